--- a/crates/daemon/src/filter/once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -27,19 +27,19 @@
 pub type Claim = Arc<RunClaim<HttpLog>>;
 
 /// Guards calls that may not be repeated.
-pub struct Once<N> {
+pub struct AtMostOnce<N> {
     shared: Arc<Shared>,
     next: Arc<N>,
 }
 
-impl<N> Once<N> {
+impl<N> AtMostOnce<N> {
     /// Passes on to `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
-        Once { shared, next: Arc::new(next) }
+        AtMostOnce { shared, next: Arc::new(next) }
     }
 }
 
-impl<N: Handler<Admitted> + 'static> Handler<Admitted> for Once<N> {
+impl<N: Handler<Admitted> + 'static> Handler<Admitted> for AtMostOnce<N> {
     async fn handle(&self, admitted: Admitted) -> Result<Answer, CallError> {
         let Work::Service(work) = &admitted.timed.received.work else {
             return self.next.handle(admitted).await;
@@ -71,7 +71,7 @@
     }
 }
 
-impl<N: Handler<Admitted> + 'static> Once<N> {
+impl<N: Handler<Admitted> + 'static> AtMostOnce<N> {
     /// Runs the call beside the connection.
     ///
     /// Guards against a caller that hangs up while its call runs and sends it again: the call goes
--- a/crates/daemon/src/filter/mod.rs
+++ b/crates/daemon/src/filter/mod.rs
@@ -4,9 +4,9 @@
 //! of the stages keep a request from skipping one. The chain is composed by generics alone.
 
 mod admission;
+mod at_most_once;
 mod deadline;
 mod dispatch;
-mod once;
 pub mod parse;
 mod receive;
 pub mod relay;
@@ -21,8 +21,8 @@
 use protocols::service::Header;
 
 pub use admission::{Admitted, Ticket};
+pub use at_most_once::Claim;
 pub use deadline::Timed;
-pub use once::Claim;
 pub use parse::{Head, Parsed, Target};
 pub use receive::{ModelWork, Received, ServiceWork, Work};
 
@@ -75,14 +75,17 @@
 /// All filters in order.
 pub type Chain = parse::Parse<
     workspace::Identify<
-        receive::Receive<deadline::Deadline<admission::Admission<once::Once<dispatch::Dispatch>>>>,
+        receive::Receive<
+            deadline::Deadline<admission::Admission<at_most_once::AtMostOnce<dispatch::Dispatch>>>,
+        >,
     >,
 >;
 
 /// The filters of an instance.
 pub fn chain(shared: &Arc<Shared>) -> Chain {
     let dispatch = dispatch::Dispatch::new(shared.clone());
-    let admission = admission::Admission::new(once::Once::new(shared.clone(), dispatch));
+    let admission =
+        admission::Admission::new(at_most_once::AtMostOnce::new(shared.clone(), dispatch));
     let deadline = deadline::Deadline::new(shared.clone(), admission);
     let receive = receive::Receive::new(shared.clone(), deadline);
     parse::Parse::new(shared.clone(), workspace::Identify::new(shared.clone(), receive))
--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use policy::{
-    arrange::PlacementRules,
     config::{Findings, SETTINGS, fields::Fields, tree::Node},
+    placement::PlacementRules,
 };
 use router::settings::Bounds;
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -4,8 +4,8 @@
 
 use daemon::settings::Settings;
 use policy::{
-    arrange::{Choice, PlacementRules},
     config::{Findings, SourceFile, tree},
+    placement::{Choice, PlacementRules},
 };
 
 fn read(placement: &str) -> Result<PlacementRules, String> {
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -5,7 +5,7 @@
 //! of steps, each of which reads at most a chunk; an event of every stream comes with the end of a pass.
 //! Memory isn't emulated.
 //!
-//! The order of reading stands a second time in `policy::arrange`, which only believes what an engine
+//! The order of reading stands a second time in `policy::placement`, which only believes what an engine
 //! does. Sharing it would hide every mistake in that belief from the experiments.
 
 use std::collections::VecDeque;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Plays a site of model engines, instances and callers in virtual time, without network or clock.
 //!
-//! The instances run the daemon's own `policy::arrange`; the engines are emulated by the figures that
+//! The instances run the daemon's own `policy::placement`; the engines are emulated by the figures that
 //! operators publish ([`engine`]), callers and their bursts are drawn from a seed ([`load`]), and
 //! words between instances take time and may be lost ([`play`]). What callers receive is judged in
 //! [`outcome`]. `trefoilhall experiment` runs it from a file ([`spec`]); `docs/BENCH.md` tells how near
@@ -12,7 +12,7 @@
 pub mod placer;
 pub mod play;
 pub mod spec;
-mod telling;
+mod update_delivery;
 
 pub use outcome::{KindSummary, Received};
 pub use placer::{Placer, PlacerName, Trial};
--- a/crates/emulator/src/placer.rs
+++ b/crates/emulator/src/placer.rs
@@ -2,7 +2,10 @@
 
 use policy::{
     EndpointId, FailCause, InstanceId, Time,
-    arrange::{Arranger, Ask, JobId, Member, Placement, PlacementRules, Refused, Told},
+    placement::{
+        EndpointUpdate, GroupScheduler, JobId, Member, Placement, PlacementRefusal,
+        PlacementRequest, PlacementRules,
+    },
     routes::EngineRules,
 };
 use serde::{Deserialize, Serialize};
@@ -66,7 +69,7 @@
     /// The product's own.
     Arranged {
         /// Decides.
-        arranger: Box<Arranger>,
+        scheduler: Box<GroupScheduler>,
         /// Requests are sent as soon as they are placed.
         sends_at_once: bool,
     },
@@ -85,10 +88,10 @@
                 if name == PlacerName::NoSplitting {
                     rules.max_helpers = 0;
                 }
-                let mut arranger = Box::new(Arranger::with_rules(trial.placement, seed));
-                arranger.set_rules(Some(rules));
-                arranger.set_members(members.to_vec(), Time::ZERO);
-                Placer::Arranged { arranger, sends_at_once }
+                let mut scheduler = Box::new(GroupScheduler::with_rules(trial.placement, seed));
+                scheduler.set_rules(Some(rules));
+                scheduler.set_members(members.to_vec(), Time::ZERO);
+                Placer::Arranged { scheduler, sends_at_once }
             }
             PlacerName::RoundRobin | PlacerName::LeastOutstanding => {
                 let outstanding = vec![0; members.len()];
@@ -103,10 +106,14 @@
     /// # Errors
     ///
     /// Where there is none.
-    pub fn place(&mut self, ask: &Ask, now: Time) -> Result<Placement, Refused> {
+    pub fn place(
+        &mut self,
+        ask: &PlacementRequest,
+        now: Time,
+    ) -> Result<Placement, PlacementRefusal> {
         match self {
-            Placer::Arranged { arranger, sends_at_once } => {
-                let mut placement = arranger.place(ask, now)?;
+            Placer::Arranged { scheduler, sends_at_once } => {
+                let mut placement = scheduler.place(ask, now)?;
                 if *sends_at_once {
                     placement.hold = Duration::ZERO;
                 }
@@ -119,66 +126,66 @@
     /// Whether a held request may be sent as placed.
     pub fn stands(&self, job: JobId, now: Time) -> bool {
         match self {
-            Placer::Arranged { arranger, .. } => arranger.stands(job, now),
+            Placer::Arranged { scheduler, .. } => scheduler.stands(job, now),
             Placer::Naive(_) => true,
         }
     }
 
     /// A connection took so long to be made.
     pub fn connected(&mut self, engine: &EndpointId, took: Duration) {
-        if let Placer::Arranged { arranger, .. } = self {
-            arranger.connected(engine, took);
+        if let Placer::Arranged { scheduler, .. } = self {
+            scheduler.connected(engine, took);
         }
     }
 
     /// The first event came.
     pub fn began(&mut self, job: JobId, now: Time) {
-        if let Placer::Arranged { arranger, .. } = self {
-            arranger.began(job, now);
+        if let Placer::Arranged { scheduler, .. } = self {
+            scheduler.began(job, now);
         }
     }
 
     /// There was a pause.
     pub fn paused(&mut self, job: JobId, pause: Duration, now: Time) {
-        if let Placer::Arranged { arranger, .. } = self {
-            arranger.paused(job, pause, now);
+        if let Placer::Arranged { scheduler, .. } = self {
+            scheduler.paused(job, pause, now);
         }
     }
 
     /// A request is over.
     pub fn ended(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
         match self {
-            Placer::Arranged { arranger, .. } => arranger.ended(job, failed, now),
+            Placer::Arranged { scheduler, .. } => scheduler.ended(job, failed, now),
             Placer::Naive(naive) => naive.ended(job),
         }
     }
 
     /// An engine was named as the one that a run broke on.
     pub fn at_fault(&mut self, engine: &EndpointId, now: Time) {
-        if let Placer::Arranged { arranger, .. } = self {
-            arranger.at_fault(engine, now);
+        if let Placer::Arranged { scheduler, .. } = self {
+            scheduler.at_fault(engine, now);
         }
     }
 
     /// What the others have to hear.
-    pub fn tell(&mut self, is_due: bool) -> Vec<Told> {
+    pub fn take_updates(&mut self, is_due: bool) -> Vec<EndpointUpdate> {
         match self {
-            Placer::Arranged { arranger, .. } => arranger.tell(is_due),
+            Placer::Arranged { scheduler, .. } => scheduler.take_updates(is_due),
             Placer::Naive(_) => Vec::new(),
         }
     }
 
     /// What another instance told.
-    pub fn hear(&mut self, peer: &InstanceId, words: &[Told], now: Time) {
-        if let Placer::Arranged { arranger, .. } = self {
-            arranger.hear(peer, words, now);
+    pub fn apply_updates(&mut self, peer: &InstanceId, words: &[EndpointUpdate], now: Time) {
+        if let Placer::Arranged { scheduler, .. } = self {
+            scheduler.apply_updates(peer, words, now);
         }
     }
 
     /// Takes over the engines that are left.
     pub fn set_members(&mut self, members: Vec<Member>, now: Time) {
         match self {
-            Placer::Arranged { arranger, .. } => arranger.set_members(members, now),
+            Placer::Arranged { scheduler, .. } => scheduler.set_members(members, now),
             Placer::Naive(naive) => naive.members = members,
         }
     }
@@ -194,7 +201,7 @@
 }
 
 impl Naive {
-    fn place(&mut self, ask: &Ask) -> Result<Placement, Refused> {
+    fn place(&mut self, ask: &PlacementRequest) -> Result<Placement, PlacementRefusal> {
         let was_tried = |m: &Member| ask.tried.contains(&(m.endpoint.clone(), m.incarnation));
         let free = (0..self.members.len()).filter(|i| !was_tried(&self.members[*i]));
         let next = self.jobs.len() % self.members.len().max(1);
@@ -203,7 +210,7 @@
             PlacerName::LeastOutstanding => free.min_by_key(|i| (self.outstanding[*i], turn(i))),
             _ => free.min_by_key(turn),
         };
-        let index = index.ok_or(Refused::NoEndpoint)?;
+        let index = index.ok_or(PlacementRefusal::NoEndpoint)?;
         self.outstanding[index] += 1;
         self.jobs.push(index);
         let member = &self.members[index];
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -4,7 +4,9 @@
 
 use policy::{
     EndpointId, FailCause, Fingerprint, Incarnation, InstanceId, Time,
-    arrange::{Ask, JobId, Member, Refused, Told, period},
+    placement::{
+        EndpointUpdate, JobId, Member, PlacementRefusal, PlacementRequest, update_interval,
+    },
 };
 
 use crate::{
@@ -67,7 +69,7 @@
     Words {
         to: usize,
         from: usize,
-        words: Vec<Told>,
+        words: Vec<EndpointUpdate>,
     },
     Tell(usize),
     Impatient {
@@ -178,7 +180,8 @@
         }
         for instance in 0..spec.instances {
             // Instances started at different times.
-            let first = period(0).as_secs_f64() * 1000.0 * instance as f64 / spec.instances as f64;
+            let first =
+                update_interval(0).as_secs_f64() * 1000.0 * instance as f64 / spec.instances as f64;
             world.at(first, Event::Tell(instance));
         }
         for death in &spec.deaths {
@@ -224,7 +227,7 @@
             Event::Heard(run, happened) => self.heard(run, happened),
             Event::Words { to, from, words } => {
                 let (name, now) = (self.names[from].clone(), self.time());
-                self.placers[to].hear(&name, &words, now);
+                self.placers[to].apply_updates(&name, &words, now);
             }
             Event::Tell(instance) => {
                 self.take_turn(instance);
@@ -246,7 +249,7 @@
             return;
         }
         let tried = progress.tried.iter().filter_map(|engine| engine_id(*engine));
-        let ask = Ask {
+        let ask = PlacementRequest {
             prompt: call.prompt,
             output: u64::from(call.events * self.spec.engine.stride),
             goal_ms: (kind.goal_ms - spent).max(0.0),
@@ -283,11 +286,13 @@
         }
     }
 
-    fn refuse(&mut self, index: usize, refused: Refused) {
+    fn refuse(&mut self, index: usize, refused: PlacementRefusal) {
         let kind = self.kind(index);
         let spent = self.now - self.calls[index].at_ms;
         let after_ms = match refused {
-            Refused::TooLate(by) | Refused::Crowded(by) => by.as_secs_f64() * 1000.0,
+            PlacementRefusal::TooLate(by) | PlacementRefusal::Crowded(by) => {
+                by.as_secs_f64() * 1000.0
+            }
             _ => 400.0,
         };
         let progress = &mut self.progress[index];
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,7 +1,7 @@
 //! What an experiment plays, as it stands in its file.
 
 use indexmap::IndexMap;
-use policy::{arrange::PlacementRules, routes::EngineRules};
+use policy::{placement::PlacementRules, routes::EngineRules};
 use serde::{Deserialize, Serialize};
 
 use crate::placer::{PlacerName, Trial};
--- a/crates/policy/examples/arrange_cost.rs
+++ b/crates/policy/examples/arrange_cost.rs
@@ -11,7 +11,7 @@
 
 use policy::{
     Fingerprint, Time,
-    arrange::{Arranger, Ask, JobId, PlacementRules},
+    placement::{GroupScheduler, JobId, PlacementRequest, PlacementRules},
     routes::EngineRules,
 };
 
@@ -36,7 +36,7 @@
 
 /// Median and 99th percentile in microseconds, beside questions that are written everywhere.
 fn measure(engines: usize, prompt: u64) -> (f64, f64) {
-    let mut site = arranger(engines);
+    let mut site = scheduler(engines);
     let mut written: VecDeque<JobId> = VecDeque::new();
     let mut took = Vec::with_capacity(PLACED);
     let step = EVERY_US / engines as u64;
@@ -64,7 +64,7 @@
     (took[took.len() / 2], took[took.len() * 99 / 100])
 }
 
-fn arranger(engines: usize) -> Arranger {
+fn scheduler(engines: usize) -> GroupScheduler {
     let engine = EngineRules {
         slots: 12,
         memory_tokens: 315_000,
@@ -78,9 +78,9 @@
         usual_context: 13_000,
         max_helpers: 16,
     };
-    arranging::arranger(engines, engine, PlacementRules::default(), 1)
+    arranging::scheduler(engines, engine, PlacementRules::default(), 1)
 }
 
-fn ask(prompt: u64, index: u64) -> Ask {
-    Ask { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
+fn ask(prompt: u64, index: u64) -> PlacementRequest {
+    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
 }
--- a/crates/policy/examples/decision_cost.rs
+++ b/crates/policy/examples/decision_cost.rs
@@ -14,9 +14,9 @@
 use policy::{
     Admission, AnyScheduler, CallKind, Decision, EndpointChange, Event, Fingerprint, Incarnation,
     LoadReport, Outcome, RequestId, RequestSpec, Scheduler, Time, Tokens, Workspace,
+    adaptive::AdaptiveScheduler,
     config::{DeploymentRules, PolicyName, WorkspaceRules, WorkspaceTable},
     scheduler::EndpointState,
-    trefoilhall::Trefoilhall,
 };
 
 /// Requests measured in each setting, after as many that warm up.
@@ -47,7 +47,7 @@
             );
         }
     }
-    let sizes = Trefoilhall::sizes();
+    let sizes = AdaptiveScheduler::sizes();
     println!(
         "bytes: endpoint {}, workspace {}, request {}",
         sizes.endpoint, sizes.workspace, sizes.request
--- a/crates/policy/examples/place_cost.rs
+++ b/crates/policy/examples/place_cost.rs
@@ -16,7 +16,7 @@
     EndpointId, Incarnation, Time, TokenRate, Tokens,
     affinity::CacheIndex,
     health::Health,
-    place::{Ask, Candidate, choose},
+    selection::{Candidate, SelectionRequest, choose},
 };
 
 const ROUNDS: u32 = 20_000;
@@ -59,7 +59,10 @@
             caution: 1.0,
         })
         .collect();
-    let ask = Ask { unheard: Duration::from_millis(200), ..Ask::new(Tokens(2_000), false) };
+    let ask = SelectionRequest {
+        unreported_work: Duration::from_millis(200),
+        ..SelectionRequest::new(Tokens(2_000), false)
+    };
     time(|| {
         black_box(choose(black_box(&candidates), &ask, &mut rng));
     })
--- a/crates/policy/src/trefoilhall/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -34,7 +34,7 @@
 };
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     queue::WorkspaceIndex,
     request::{Basis, Due, Entry, State},
     seconds, span,
@@ -71,7 +71,7 @@
     }
 }
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     pub(super) fn admit(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
         match self.check(&req, now) {
             Ok(entry) => {
--- a/crates/policy/src/trefoilhall/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -15,13 +15,13 @@
 use crate::{Outcome, RequestId, Time, Tokens};
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     request::{Attempt, Basis, Entry, State},
     seconds, span,
     workspaces::SPREAD,
 };
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// Takes note of an attempt's first token; `cached` as the engine counted it.
     pub(super) fn first_token(
         &mut self,
--- a/crates/policy/src/trefoilhall/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -26,11 +26,11 @@
 
 use crate::{
     Decision, EndpointId, FailCause, RequestId, Shard, Start, Time, TokenRate, Tokens,
-    place::{self, Ask, Candidate},
+    selection::{self, Candidate, SelectionRequest},
 };
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     class::Band,
     endpoint::Endpoint,
     request::{Attempt, Basis, Due, Entry, State},
@@ -66,7 +66,7 @@
     predicted: f64,
 }
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// Starts what can be started, shortest band first.
     pub(super) fn dispatch(&mut self, now: Time) {
         if self.waiting == 0 {
@@ -131,11 +131,11 @@
         let listed = shortlist.indices().filter_map(|index| self.fleet.endpoints.get_index(index));
         let candidates: Vec<Candidate> =
             listed.filter_map(|(_, endpoint)| self.candidate(entry, endpoint, now)).collect();
-        let Some(index) = place::choose(&candidates, &ask, &mut self.rng) else {
+        let Some(index) = selection::choose(&candidates, &ask, &mut self.rng) else {
             return Place::Later;
         };
         let chosen = &candidates[index];
-        let first_token = place::first_token(chosen, &ask);
+        let first_token = selection::first_token(chosen, &ask);
         let goes_anyway = entry.basis.goes_anyway(self.fleet.learned);
         if !goes_anyway && now + first_token > entry.bound {
             return self.too_late(entry, &candidates, &ask, now);
@@ -149,12 +149,18 @@
 
     /// What becomes of a request that can't make its bound where it would go. A slow endpoint may
     /// be the only one with room at this moment; then the request waits for a better one.
-    fn too_late(&self, entry: &Entry, candidates: &[Candidate], ask: &Ask, now: Time) -> Place {
+    fn too_late(
+        &self,
+        entry: &Entry,
+        candidates: &[Candidate],
+        ask: &SelectionRequest,
+        now: Time,
+    ) -> Place {
         let ordinary = self.fleet.typical_rate * ORDINARY;
         let first_tokens = candidates
             .iter()
             .filter(|candidate| candidate.rate.0 >= ordinary)
-            .map(|candidate| place::first_token(candidate, ask));
+            .map(|candidate| selection::first_token(candidate, ask));
         match first_tokens.min() {
             Some(least) if now + least > entry.bound => Place::TooLate,
             _ => Place::Later,
@@ -180,7 +186,7 @@
                 continue;
             }
             let wait = endpoint.ahead(band) / rate;
-            let away = if endpoint.is_home { 0.0 } else { self.unheard };
+            let away = if endpoint.is_home { 0.0 } else { self.unreported_work };
             let longs = endpoint.delayed_by(band).min(1);
             let held = holder == Some(id);
             let wait = wait + away + f64::from(longs) * budget + 2.0 * endpoint.distance;
@@ -189,13 +195,13 @@
         list
     }
 
-    fn ask(&self, entry: &Entry) -> Ask {
-        Ask {
+    fn ask(&self, entry: &Entry) -> SelectionRequest {
+        SelectionRequest {
             prompt: entry.req.prompt,
             footprint: entry.req.footprint(),
             long: entry.band.is_long(),
             prefix: entry.req.prefix.first().copied(),
-            unheard: Duration::ZERO,
+            unreported_work: Duration::ZERO,
             weights: self.rules.weights,
         }
     }
@@ -215,7 +221,7 @@
         let left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
         let wait = endpoint.ahead(band) / (rate * left)
             + endpoint.lateness(seconds(now), rate)
-            + if endpoint.is_home { 0.0 } else { self.unheard };
+            + if endpoint.is_home { 0.0 } else { self.unreported_work };
         Some(Candidate {
             endpoint: endpoint.id.clone(),
             wait: span(wait),
--- a/crates/policy/src/trefoilhall/endpoint/told.rs
+++ b/crates/policy/src/adaptive/endpoint/told.rs
@@ -5,7 +5,7 @@
 
 impl Endpoint {
     /// Remembers the own load of this moment for the next report.
-    pub(in crate::trefoilhall) fn note_moment(&mut self, now: Time) {
+    pub(in crate::adaptive) fn note_moment(&mut self, now: Time) {
         let left: f64 = self.own.sent.iter().chain(&self.others_left).sum();
         let moment = Moment { at: now, left, held: self.own.held + self.others_held };
         if self.moments.len() >= MOMENTS {
@@ -15,7 +15,7 @@
     }
 
     /// Takes note of a report of this life.
-    pub(in crate::trefoilhall) fn report(&mut self, report: &LoadReport, rate: f64) {
+    pub(in crate::adaptive) fn report(&mut self, report: &LoadReport, rate: f64) {
         if report.incarnation != self.incarnation {
             return;
         }
@@ -37,7 +37,7 @@
     }
 
     /// Takes note of another instance's part.
-    pub(in crate::trefoilhall) fn peer(
+    pub(in crate::adaptive) fn peer(
         &mut self,
         instance: &InstanceId,
         share: &EndpointShare,
@@ -65,7 +65,7 @@
     }
 
     /// Another instance's digest tells of nothing under way here.
-    pub(in crate::trefoilhall) fn peer_has_none(&mut self, instance: &InstanceId) {
+    pub(in crate::adaptive) fn peer_has_none(&mut self, instance: &InstanceId) {
         let Some(part) = self.peers.iter_mut().find(|part| part.instance == *instance) else {
             return;
         };
@@ -76,7 +76,7 @@
 
     /// Takes note of `tokens` prefilled for this instance. Once the engine has not been idle for
     /// [`BUSY_FOR`], what was prefilled there for all instances is a sample of its speed.
-    pub(in crate::trefoilhall) fn count_done(&mut self, tokens: f64, now: f64) {
+    pub(in crate::adaptive) fn count_done(&mut self, tokens: f64, now: f64) {
         self.done += tokens;
         let done = self.done + self.others_done;
         let idle = self.own.prefilling.iter().all(|count| *count == 0)
@@ -95,7 +95,7 @@
     }
 
     /// Forgets another instance's part.
-    pub(in crate::trefoilhall) fn peer_gone(&mut self, instance: &InstanceId) {
+    pub(in crate::adaptive) fn peer_gone(&mut self, instance: &InstanceId) {
         let known = self.peers.len();
         self.peers.retain(|part| part.instance != *instance);
         if self.peers.len() < known {
@@ -104,12 +104,12 @@
     }
 
     /// Whether the others have to hear of this instance's part.
-    pub(in crate::trefoilhall) fn is_told(&self) -> bool {
+    pub(in crate::adaptive) fn is_told(&self) -> bool {
         self.own.running > 0 || self.done > 0.0
     }
 
     /// This instance's part, for the others.
-    pub(in crate::trefoilhall) fn share(&self) -> EndpointShare {
+    pub(in crate::adaptive) fn share(&self) -> EndpointShare {
         let left = std::array::from_fn(|band| crate::Tokens(self.own_left(band) as u64));
         EndpointShare {
             endpoint: self.id.clone(),
@@ -126,7 +126,7 @@
 
     /// Takes over the highest speed that another instance has learned of late. All measures err low,
     /// and an instance that has little to send there learns little itself.
-    pub(in crate::trefoilhall) fn learn_from_peers(&mut self, now: f64) {
+    pub(in crate::adaptive) fn learn_from_peers(&mut self, now: f64) {
         let recent = self.peers.iter().filter(|part| now - part.learned <= PEER_RATE_FOR);
         let rates = recent.map(|part| part.rate).filter(|rate| *rate > 0.0);
         self.speed.peers = rates.max_by(f64::total_cmp);
--- a/crates/policy/src/trefoilhall/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -27,7 +27,7 @@
 };
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     endpoint::Endpoint,
     request::{Basis, Due, Entry, State, Tried},
 };
@@ -42,7 +42,7 @@
 /// How long one that couldn't be reached or died isn't asked again, until something better is
 /// known of it.
 const GONE_FOR: Duration = Duration::from_millis(500);
-impl Trefoilhall {
+impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
         &mut self,
         request: RequestId,
--- a/crates/policy/src/trefoilhall/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -81,7 +81,7 @@
 
 /// The product's scheduler; see the module's documentation.
 #[derive(Debug)]
-pub struct Trefoilhall {
+pub struct AdaptiveScheduler {
     instance: InstanceId,
     incarnation: Incarnation,
     sequence: u64,
@@ -117,7 +117,7 @@
     /// Prefill speed that short prompts can count on.
     short_rate: f64,
     /// Seconds of work that others have likely sent to an endpoint that isn't this one's home.
-    unheard: f64,
+    unreported_work: f64,
     quarantine: Quarantine,
     last_trial: f64,
     /// Requests admitted before any speed was measured.
@@ -145,7 +145,7 @@
     pub request: usize,
 }
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// What it keeps, for `decision_cost` and the page of capacities.
     pub fn sizes() -> Sizes {
         Sizes {
@@ -157,7 +157,7 @@
 
     /// A scheduler for one life of `instance`; `seed` starts its generator.
     pub fn new(instance: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
-        Trefoilhall {
+        AdaptiveScheduler {
             instance,
             incarnation,
             sequence: 0,
@@ -187,7 +187,7 @@
             pace: ShortPace::default(),
             long_prefills: IndexSet::new(),
             short_rate: 0.0,
-            unheard: 0.0,
+            unreported_work: 0.0,
             budgets: Budgets::new(Limits::default().retry_share),
             quarantine: Quarantine::new(),
             last_trial: f64::NEG_INFINITY,
@@ -269,7 +269,7 @@
     }
 }
 
-impl Scheduler for Trefoilhall {
+impl Scheduler for AdaptiveScheduler {
     fn configure(
         &mut self,
         rules: &DeploymentRules,
--- a/crates/policy/src/trefoilhall/overview.rs
+++ b/crates/policy/src/adaptive/overview.rs
@@ -14,7 +14,7 @@
 //! in between is bounded by it.
 
 use super::{
-    ASSESS_EVERY, DEMAND_HALF_LIFE, Trefoilhall, class,
+    ASSESS_EVERY, AdaptiveScheduler, DEMAND_HALF_LIFE, class,
     endpoint::ByBand,
     longs::Demand,
     pace::{self, long_claim},
@@ -23,7 +23,7 @@
 };
 use crate::{BANDS, EndpointId, Time, health::Standing};
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// Looks at the whole fleet: what is typical, what stands on the engines, and which of them
     /// are open to long prompts.
     pub(super) fn look_at_fleet(&mut self, now: Time) {
@@ -72,7 +72,7 @@
         }
         let others: f64 = self.peers.demand.iter().sum();
         let busy = others / self.fleet.total_rate.max(1.0);
-        self.unheard = self.peers.age(now).as_secs_f64().min(1.0) * busy.min(1.0);
+        self.unreported_work = self.peers.age(now).as_secs_f64().min(1.0) * busy.min(1.0);
     }
 
     /// Sets how fast short prompts may start here, by what long ones claim.
--- a/crates/policy/src/trefoilhall/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -27,7 +27,7 @@
 };
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     class::{Band, SHORT_KEEP, USABLE},
     dispatch::whole,
     endpoint::Endpoint,
@@ -49,7 +49,7 @@
     parts: Vec<WishPart>,
 }
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// Starts the first prompt that needs several engines if it has its room, else drains room.
     pub(super) fn dispatch_spread(&mut self, now: Time) {
         self.clear_drains();
--- a/crates/policy/src/any.rs
+++ b/crates/policy/src/any.rs
@@ -5,9 +5,9 @@
 use crate::{
     Admission, Decision, EndpointChange, Event, Incarnation, InstanceId, LoadDigest, RequestSpec,
     Scheduler, Time,
+    adaptive::AdaptiveScheduler,
     baseline::{FirstCome, LeastOutstanding, Naive, RoundRobin},
     config::{self, PolicyName},
-    trefoilhall::Trefoilhall,
 };
 
 /// One of the schedulers. The daemon and the bench hold this, so that a baseline runs in exactly
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub enum AnyScheduler {
     /// The product's own.
-    Trefoilhall(Box<Trefoilhall>),
+    Adaptive(Box<AdaptiveScheduler>),
     /// Endpoints in turn.
     RoundRobin(Naive<RoundRobin>),
     /// The endpoint with the fewest own requests.
@@ -34,9 +34,11 @@
     ) -> Self {
         match policy {
             PolicyName::RoundRobin => AnyScheduler::RoundRobin(Naive::new(instance, incarnation)),
-            PolicyName::Trefoilhall => {
-                AnyScheduler::Trefoilhall(Box::new(Trefoilhall::new(instance, incarnation, seed)))
-            }
+            PolicyName::Trefoilhall => AnyScheduler::Adaptive(Box::new(AdaptiveScheduler::new(
+                instance,
+                incarnation,
+                seed,
+            ))),
             PolicyName::LeastOutstanding => {
                 AnyScheduler::LeastOutstanding(Naive::new(instance, incarnation))
             }
@@ -50,7 +52,7 @@
 macro_rules! each {
     ($self:ident, $scheduler:ident => $call:expr) => {
         match $self {
-            AnyScheduler::Trefoilhall($scheduler) => $call,
+            AnyScheduler::Adaptive($scheduler) => $call,
             AnyScheduler::RoundRobin($scheduler) => $call,
             AnyScheduler::LeastOutstanding($scheduler) => $call,
             AnyScheduler::FirstCome($scheduler) => $call,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,20 +4,21 @@
 //! randomness: time and a seeded generator are arguments. The daemon and the
 //! tests therefore drive exactly the same code. See `docs/ARCHITECTURE.md`.
 
+pub mod adaptive;
 pub mod affinity;
 pub mod answers;
 pub mod any;
-pub mod arrange;
 pub mod backoff;
 pub mod baseline;
 pub mod config;
 pub mod digest;
+pub mod freshness;
 pub mod health;
 pub mod ids;
 pub mod ledger;
 pub mod membership;
 pub mod orders;
-pub mod place;
+pub mod placement;
 pub mod prompt;
 pub mod publication;
 pub mod quarantine;
@@ -29,10 +30,9 @@
 pub mod roster;
 pub mod routes;
 pub mod scheduler;
+pub mod selection;
 pub mod topology;
-pub mod trefoilhall;
 pub mod units;
-pub mod vouch;
 
 pub use any::AnyScheduler;
 pub use ids::{
--- a/crates/policy/src/arrange/ask.rs
+++ b/crates/policy/src/placement/ask.rs
@@ -1,4 +1,4 @@
-//! What is asked of the arranger, and what it answers.
+//! What is asked of the scheduler, and what it answers.
 
 use std::{fmt, time::Duration};
 
@@ -11,7 +11,7 @@
 
 /// A request that looks for a place.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Tokens of its prompt; zero for a call to a plain service.
     pub prompt: u64,
     /// Tokens that its answer may have.
@@ -72,7 +72,7 @@
 
 /// Why a request finds no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum PlacementRefusal {
     /// No endpoint may run it.
     NoEndpoint,
     /// Endpoints died of it; it isn't run for this long.
--- a/crates/policy/src/arrange/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -7,7 +7,7 @@
 use crate::{Time, health, quarantine::Standing, routes::EngineRules};
 
 use super::{
-    Arranger, Ask, Choice, Helper, JobId, Placement, PlacementRules,
+    Choice, GroupScheduler, Helper, JobId, Placement, PlacementRequest, PlacementRules,
     ask::Job,
     reading::{Part, PartKey, Pass, Read},
     rules::LONG_RANK,
@@ -52,7 +52,7 @@
 
 impl Chosen {
     /// One endpoint, of which nothing is foretold.
-    fn unweighed(index: usize, ask: &Ask) -> Chosen {
+    fn unweighed(index: usize, ask: &PlacementRequest) -> Chosen {
         Chosen {
             servers: vec![index],
             weight: 1.0,
@@ -67,7 +67,7 @@
     /// engines would read every long prompt twice.
     pub(super) fn late_ms(
         &self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         placement: &PlacementRules,
         is_overloaded: bool,
     ) -> f64 {
@@ -83,16 +83,16 @@
 
     /// Whether others would lose more by it than it is worth. What goes on after a failure has been
     /// taken on, and stays.
-    pub(super) fn is_crowding(&self, ask: &Ask, placement: &PlacementRules) -> bool {
+    pub(super) fn is_crowding(&self, ask: &PlacementRequest, placement: &PlacementRules) -> bool {
         ask.tried.is_empty() && self.harm > placement.most_harm * self.weight
     }
 }
 
-impl Arranger {
+impl GroupScheduler {
     pub(super) fn choose_engine(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         spread: usize,
         now: Time,
     ) -> Option<Chosen> {
@@ -125,7 +125,7 @@
     }
 
     /// The choice of the baselines.
-    fn choose_naively(&self, ask: &Ask, now: Time) -> Option<Chosen> {
+    fn choose_naively(&self, ask: &PlacementRequest, now: Time) -> Option<Chosen> {
         let next = usize::try_from(self.next_job).unwrap_or_default() % self.servers.len().max(1);
         let turn = |index: usize| (index + self.servers.len() - next) % self.servers.len();
         let running = |server: &Server| match self.placement.choice {
@@ -143,7 +143,7 @@
     fn gather(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         base: &Chosen,
         spread: usize,
         now: Time,
@@ -176,7 +176,7 @@
         self.placement.apart * long_share.min(1.0)
     }
 
-    pub(super) fn choose_plain(&self, ask: &Ask, now: Time) -> Option<Chosen> {
+    pub(super) fn choose_plain(&self, ask: &PlacementRequest, now: Time) -> Option<Chosen> {
         let mut best = None;
         for (index, server) in self.candidates(ask, now) {
             let load = f64::from(server.running() + 1) / f64::from(server.member.slots.max(1));
@@ -193,7 +193,7 @@
     /// because the request is suspected of crashing endpoints.
     pub(super) fn candidates<'a>(
         &'a self,
-        ask: &'a Ask,
+        ask: &'a PlacementRequest,
         now: Time,
     ) -> impl Iterator<Item = (usize, &'a Server)> {
         let usable = self.usable();
@@ -241,7 +241,7 @@
 
     /// From the time for which an answer holds its slot; before any was seen, as if the answer were as
     /// long as it may be.
-    fn slot_wait_ms(&self, rules: &EngineRules, ask: &Ask) -> f64 {
+    fn slot_wait_ms(&self, rules: &EngineRules, ask: &PlacementRequest) -> f64 {
         let passes = ask.output.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let longest_ms = || passes * rules.pass_ms(rules.slots, rules.usual_context);
         let held_ms = self.slots.held_ms().unwrap_or_else(longest_ms);
@@ -270,7 +270,12 @@
     }
 
     /// Counts the request as sent to the chosen endpoints.
-    pub(super) fn commit(&mut self, chosen: Chosen, ask: &Ask, now: Time) -> Placement {
+    pub(super) fn commit(
+        &mut self,
+        chosen: Chosen,
+        ask: &PlacementRequest,
+        now: Time,
+    ) -> Placement {
         self.next_job += 1;
         let job_id = JobId(self.next_job);
         let ids: Vec<_> = chosen
@@ -336,7 +341,7 @@
     chosen: &Chosen,
     server: &Server,
     parts: usize,
-    ask: &Ask,
+    ask: &PlacementRequest,
     now: Time,
 ) -> Part {
     let placed = millis(now);
--- a/crates/policy/src/arrange/writers.rs
+++ b/crates/policy/src/placement/decoding.rs
@@ -22,9 +22,9 @@
 
 /// One instance's writers on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Writers([Group; MOST]);
+pub struct DecodingLoad([Group; MOST]);
 
-impl Writers {
+impl DecodingLoad {
     /// Their weight.
     pub fn weight(&self) -> f64 {
         self.0.iter().map(|group| f64::from(group.steps)).sum::<f64>() / WEIGHT_STEPS
@@ -66,10 +66,10 @@
 
 /// All instances' writers on one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub(super) struct AllWriters(Vec<(u16, u64)>);
+pub(super) struct TotalDecodingLoad(Vec<(u16, u64)>);
 
-impl AllWriters {
-    pub(super) fn add(&mut self, writers: &Writers) {
+impl TotalDecodingLoad {
+    pub(super) fn add(&mut self, writers: &DecodingLoad) {
         for group in writers.0.iter().filter(|group| group.steps > 0) {
             let steps = u64::from(group.steps);
             match self.0.iter_mut().find(|(bears_ms, _)| *bears_ms == group.bears_ms) {
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn remove(&mut self, writers: &Writers) {
+    pub(super) fn remove(&mut self, writers: &DecodingLoad) {
         for group in writers.0 {
             if let Some((_, sum)) = self.0.iter_mut().find(|(ms, _)| *ms == group.bears_ms) {
                 *sum = sum.saturating_sub(u64::from(group.steps));
--- a/crates/policy/src/arrange/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -22,6 +22,7 @@
 mod backoff;
 mod choose;
 mod decaying;
+mod decoding;
 mod herd;
 mod mean;
 mod overdue;
@@ -31,20 +32,19 @@
 mod server;
 mod slots;
 mod split;
-mod told;
+mod updates;
 mod wire;
-mod writers;
 
 use std::time::Duration;
 
 use fastrand::Rng;
 use indexmap::{IndexMap, IndexSet};
 
-pub use ask::{Ask, Helper, Job, JobId, Placement, Refused};
+pub use ask::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
+pub use decoding::DecodingLoad;
 pub use reading::PartKey;
 pub use rules::{Choice, PlacementRules};
-pub use told::{Level, Told, ToldPart, period};
-pub use writers::Writers;
+pub use updates::{EndpointLoad, EndpointUpdate, PartUpdate, update_interval};
 
 use crate::{
     EndpointId, EndpointTag, FailCause, Fingerprint, Incarnation, InstanceId, Time,
@@ -53,8 +53,8 @@
     routes::EngineRules,
 };
 
+use decoding::whole_ms;
 use server::Server;
-use writers::whole_ms;
 
 /// Time between two judgements of the endpoints' health: a broken endpoint gets no more than what
 /// comes meanwhile.
@@ -88,7 +88,7 @@
 
 /// Places the requests of one endpoint group, as one instance sees it.
 #[derive(Debug)]
-pub struct Arranger {
+pub struct GroupScheduler {
     rules: Option<EngineRules>,
     placement: PlacementRules,
     servers: IndexMap<EndpointId, Server>,
@@ -110,15 +110,15 @@
     herd: herd::Herd,
 }
 
-impl Arranger {
+impl GroupScheduler {
     /// Knows no endpoint yet; `seed` starts its generator.
-    pub fn new(seed: u64) -> Arranger {
-        Arranger::with_rules(PlacementRules::default(), seed)
+    pub fn new(seed: u64) -> GroupScheduler {
+        GroupScheduler::with_rules(PlacementRules::default(), seed)
     }
 
     /// The same, with other rules than the usual ones.
-    pub fn with_rules(placement: PlacementRules, seed: u64) -> Arranger {
-        Arranger {
+    pub fn with_rules(placement: PlacementRules, seed: u64) -> GroupScheduler {
+        GroupScheduler {
             rules: None,
             placement,
             servers: IndexMap::new(),
@@ -188,16 +188,20 @@
     /// # Errors
     ///
     /// Where no endpoint may run it.
-    pub fn place(&mut self, ask: &Ask, now: Time) -> Result<Placement, Refused> {
+    pub fn place(
+        &mut self,
+        ask: &PlacementRequest,
+        now: Time,
+    ) -> Result<Placement, PlacementRefusal> {
         self.assess(now);
         if let Standing::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
-            return Err(Refused::Quarantined(left));
+            return Err(PlacementRefusal::Quarantined(left));
         }
         self.pauses.note(whole_ms(ask.pause_ms), now);
         let spread = self.spread(now);
         if let Some(rules) = &self.rules {
             // Word of a first event goes with the teller's next one.
-            let told_after = told::period(self.peers.len()) + TOLD_AFTER_MORE;
+            let told_after = updates::update_interval(self.peers.len()) + TOLD_AFTER_MORE;
             for server in self.servers.values_mut() {
                 server.follow(rules, told_after, now);
             }
@@ -209,16 +213,16 @@
             Some(rules) => self.choose_engine(rules, ask, spread, now),
             None => self.choose_plain(ask, now),
         };
-        let chosen = chosen.ok_or(Refused::NoEndpoint)?;
+        let chosen = chosen.ok_or(PlacementRefusal::NoEndpoint)?;
         if let Some(queues) = chosen.queues {
             self.slots.note(!queues, now);
         }
         let late_ms = chosen.late_ms(ask, &self.placement, self.slots.is_overloaded(now));
         if late_ms > 0.0 {
-            return Err(Refused::TooLate(Duration::from_secs_f64(late_ms / 1000.0)));
+            return Err(PlacementRefusal::TooLate(Duration::from_secs_f64(late_ms / 1000.0)));
         }
         if chosen.is_crowding(ask, &self.placement) {
-            return Err(Refused::Crowded(choose::CROWDED_FOR));
+            return Err(PlacementRefusal::Crowded(choose::CROWDED_FOR));
         }
         Ok(self.commit(chosen, ask, now))
     }
@@ -366,24 +370,32 @@
         }
     }
 
-    /// What others have to hear of this instance's work; see [`told`].
-    pub fn tell(&mut self, is_due: bool) -> Vec<Told> {
-        told::tell(&mut self.servers, is_due)
+    /// What others have to hear of this instance's work; see [`updates`].
+    pub fn take_updates(&mut self, is_due: bool) -> Vec<EndpointUpdate> {
+        updates::take_updates(&mut self.servers, is_due)
     }
 
     /// What another instance has under way.
-    pub fn hear(&mut self, peer: &InstanceId, words: &[Told], now: Time) {
+    pub fn apply_updates(&mut self, peer: &InstanceId, words: &[EndpointUpdate], now: Time) {
         if !self.peers.contains(peer) {
             self.peers.insert(peer.clone());
         }
         let rules = self.rules.as_ref();
-        told::hear(&mut self.servers, &self.tags, &mut self.health, rules, peer, words, now);
+        updates::apply_updates(
+            &mut self.servers,
+            &self.tags,
+            &mut self.health,
+            rules,
+            peer,
+            words,
+            now,
+        );
         for pause_ms in words.iter().flat_map(|word| word.level.writers.pauses()) {
             self.pauses.note(pause_ms, now);
         }
         let heads = words.iter().flat_map(|word| &word.placed).filter(|part| part.is_head);
         self.herd.heard(heads.count(), now);
-        self.long_share.add(told::long_ms(words, self.short_ms()), now);
+        self.long_share.add(updates::long_ms(words, self.short_ms()), now);
     }
 
     /// Another instance is gone, and what it had under way with it.
--- a/crates/policy/src/arrange/server.rs
+++ b/crates/policy/src/placement/server.rs
@@ -26,11 +26,11 @@
     ask::Job,
     awaited::{Awaited, SplitWait},
     backoff::HelperBackoff,
+    decoding::{DecodingLoad, TotalDecodingLoad},
     herd::ROUND_TRIPS,
     mean::Mean,
     reading::{Part, PartKey, Pass, Read, Reading, Tempo},
-    told::{Level, ToldPart},
-    writers::{AllWriters, Writers},
+    updates::{EndpointLoad, PartUpdate},
 };
 
 /// Milliseconds over which the shortest pause shows how fast an engine is: a second holds fifteen
@@ -54,15 +54,15 @@
     /// The chance that it doesn't read; see [`super::overdue`].
     pub(super) risk: f64,
     as_helper: HelperBackoff,
-    pub(super) own: Level,
-    peers: IndexMap<InstanceId, Level>,
+    pub(super) own: EndpointLoad,
+    peers: IndexMap<InstanceId, EndpointLoad>,
     /// What `own` and `peers` make together.
     all: Total,
     /// Parts placed by this instance and not told yet.
-    pub(super) untold: Vec<ToldPart>,
+    pub(super) untold: Vec<PartUpdate>,
     /// Parts told that wait no more: they aren't wanted, or were read sooner than foretold.
     pub(super) untold_gone: Vec<PartKey>,
-    pub(super) told: Level,
+    pub(super) told: EndpointLoad,
     /// A request failed, or was answered, since the last word.
     pub(super) untold_failure: bool,
     pub(super) untold_answer: bool,
@@ -107,12 +107,12 @@
             stalled_ms: 0.0,
             risk: 0.0,
             as_helper: HelperBackoff::default(),
-            own: Level::default(),
+            own: EndpointLoad::default(),
             peers: IndexMap::new(),
             all: Total::default(),
             untold: Vec::new(),
             untold_gone: Vec::new(),
-            told: Level::default(),
+            told: EndpointLoad::default(),
             untold_failure: false,
             untold_answer: false,
             untold_fault: false,
@@ -289,7 +289,7 @@
         if let Some(rules) = rules {
             let part = job.part(self.way_ms(), is_head);
             self.read(rules, part, None, now);
-            self.untold.push(ToldPart::of(&part, now));
+            self.untold.push(PartUpdate::of(&part, now));
         }
         let mut own = self.own;
         if let Some(reserved) = job.reserved_at(&self.member.endpoint) {
@@ -316,22 +316,22 @@
             own.memory = own.memory.saturating_sub(job.memory);
             own.writers.remove(job.pause_ms, job.weight);
             if own.running == 0 {
-                own.writers = Writers::default();
+                own.writers = DecodingLoad::default();
             }
         }
         self.set_own(own);
     }
 
-    fn set_own(&mut self, own: Level) {
+    fn set_own(&mut self, own: EndpointLoad) {
         self.all.remove(&self.own);
         self.all.add(&own);
         self.own = own;
     }
 
     /// Takes over what another instance has there now.
-    pub(super) fn set_peer(&mut self, peer: &InstanceId, level: Level) {
+    pub(super) fn set_peer(&mut self, peer: &InstanceId, level: EndpointLoad) {
         self.forget_level(peer);
-        if level != Level::default() {
+        if level != EndpointLoad::default() {
             self.all.add(&level);
             self.peers.insert(peer.clone(), level);
         }
@@ -386,17 +386,17 @@
 struct Total {
     running: u32,
     memory: u64,
-    writers: AllWriters,
+    writers: TotalDecodingLoad,
 }
 
 impl Total {
-    fn add(&mut self, level: &Level) {
+    fn add(&mut self, level: &EndpointLoad) {
         self.running += u32::from(level.running);
         self.memory += level.memory;
         self.writers.add(&level.writers);
     }
 
-    fn remove(&mut self, level: &Level) {
+    fn remove(&mut self, level: &EndpointLoad) {
         self.running = self.running.saturating_sub(u32::from(level.running));
         self.memory = self.memory.saturating_sub(level.memory);
         self.writers.remove(&level.writers);
--- a/crates/policy/src/arrange/split.rs
+++ b/crates/policy/src/placement/split.rs
@@ -7,17 +7,17 @@
 //! a long prompt is somebody's pause.
 //!
 //! **Rule.** Who bears only short pauses writes where others write, and its parts are read elsewhere,
-//! unless that costs more than the engine that it would take from long prompts ([`Arranger::alone`]).
+//! unless that costs more than the engine that it would take from long prompts ([`GroupScheduler::alone`]).
 //! Who bears long ones writes on whichever of its engines is best, so that nobody hears its reading.
 
 use crate::{Time, routes::EngineRules};
 
 use super::{
-    Arranger, Ask,
+    GroupScheduler, PlacementRequest,
     choose::{Chosen, tried_part},
+    decoding::whole_ms,
     reading::Read,
     server::{Outlook, Server, millis},
-    writers::whole_ms,
 };
 
 /// Tokens by which an engine's memory is planned too small: engines allocate in blocks.
@@ -64,7 +64,7 @@
     }
 }
 
-impl Arranger {
+impl GroupScheduler {
     /// The best split of a longer prompt. Each number of parts is tried at once and when enough
     /// engines have read what waits there, with the engines that are cheapest for parts of that size.
     ///
@@ -74,7 +74,7 @@
     pub(super) fn split(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         base: Chosen,
         read_ms: f64,
         now: Time,
@@ -114,7 +114,7 @@
     fn sorted(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         engines: &[Engine<'_>],
         parts: usize,
         tried: &Chosen,
@@ -136,7 +136,7 @@
     fn ways<'a>(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         sorted: &'a [Candidate],
         parts: usize,
         tried: &Chosen,
@@ -148,7 +148,7 @@
     }
 
     /// Whether it writes where others write: all but those who bear the longest pauses.
-    fn gathers(&self, ask: &Ask) -> bool {
+    fn gathers(&self, ask: &PlacementRequest) -> bool {
         self.placement.gathers && self.pauses.is_below_longest(whole_ms(ask.pause_ms))
     }
 
@@ -173,7 +173,7 @@
     fn try_split(
         &self,
         rules: &EngineRules,
-        ask: &Ask,
+        ask: &PlacementRequest,
         parts: Parts<'_>,
         tried: &Chosen,
     ) -> Option<(f64, Chosen)> {
@@ -215,7 +215,7 @@
         engine: &Engine<'_>,
         parts: usize,
         tried: &Chosen,
-        ask: &Ask,
+        ask: &PlacementRequest,
         now: Time,
     ) -> Candidate {
         let Engine { index, server, reads } = engine;
--- a/crates/policy/src/arrange/told.rs
+++ b/crates/policy/src/placement/updates.rs
@@ -10,10 +10,10 @@
 };
 
 use super::{
+    decoding::DecodingLoad,
     reading::{Part, PartKey, Pass},
     server::{Server, millis},
     wire::WirePart,
-    writers::Writers,
 };
 
 /// How often levels are told to a few peers. Reading that stands before others is told at once.
@@ -28,26 +28,26 @@
 const AT_ONCE_MS: f64 = 2.0;
 
 /// How often levels are told to this many peers.
-pub fn period(peers: usize) -> Duration {
+pub fn update_interval(peers: usize) -> Duration {
     EVERY * u32::try_from(peers / FEW + 1).unwrap_or(u32::MAX)
 }
 
 /// One instance's work on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Level {
+pub struct EndpointLoad {
     /// Requests that run or wait.
     pub running: u16,
     /// Tokens of memory that they take.
     pub memory: u64,
     /// Their weights, by the pause that they bear.
-    pub writers: Writers,
+    pub writers: DecodingLoad,
 }
 
 /// A part of a prompt that an instance placed. Times are milliseconds from the word on, so that no
 /// clocks are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "WirePart", into = "WirePart")]
-pub struct ToldPart {
+pub struct PartUpdate {
     /// Names its request.
     pub key: PartKey,
     /// Milliseconds of reading.
@@ -70,10 +70,10 @@
     pub is_head: bool,
 }
 
-impl ToldPart {
-    pub(super) fn of(part: &Part, now: Time) -> ToldPart {
+impl PartUpdate {
+    pub(super) fn of(part: &Part, now: Time) -> PartUpdate {
         let from_now = |at: f64| (at - millis(now)) as f32;
-        ToldPart {
+        PartUpdate {
             key: part.key,
             ms: part.ms as f32,
             tokens: part.tokens as f32,
@@ -107,15 +107,15 @@
 
 /// News of one endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: EndpointTag,
     /// Parts placed since the last word of it.
-    pub placed: Vec<ToldPart>,
+    pub placed: Vec<PartUpdate>,
     /// Parts told before that wait no more.
     pub gone: Vec<PartKey>,
     /// What the teller has there now.
-    pub level: Level,
+    pub level: EndpointLoad,
     /// A request of the teller's failed there since the last word.
     pub failed: bool,
     /// One was answered.
@@ -126,7 +126,10 @@
 
 /// News of all endpoints about which there is any; where levels aren't due, only if others would run into
 /// reading on some of them.
-pub(super) fn tell(servers: &mut IndexMap<EndpointId, Server>, is_due: bool) -> Vec<Told> {
+pub(super) fn take_updates(
+    servers: &mut IndexMap<EndpointId, Server>,
+    is_due: bool,
+) -> Vec<EndpointUpdate> {
     let mut news = Vec::new();
     let placed_ms =
         |server: &Server| server.untold.iter().map(|part| f64::from(part.ms)).sum::<f64>();
@@ -142,7 +145,7 @@
             continue;
         }
         server.told = server.own;
-        news.push(Told {
+        news.push(EndpointUpdate {
             endpoint: endpoint.into(),
             placed: std::mem::take(&mut server.untold),
             gone: std::mem::take(&mut server.untold_gone),
@@ -156,19 +159,20 @@
 }
 
 /// How much long reading another instance placed, in milliseconds.
-pub(super) fn long_ms(words: &[Told], short_ms: f64) -> f64 {
-    let placed = |word: &Told| word.placed.iter().map(|part| f64::from(part.ms)).sum::<f64>();
+pub(super) fn long_ms(words: &[EndpointUpdate], short_ms: f64) -> f64 {
+    let placed =
+        |word: &EndpointUpdate| word.placed.iter().map(|part| f64::from(part.ms)).sum::<f64>();
     words.iter().map(placed).filter(|ms| *ms > short_ms).sum()
 }
 
 /// Takes in another instance's news.
-pub(super) fn hear(
+pub(super) fn apply_updates(
     servers: &mut IndexMap<EndpointId, Server>,
     tags: &IndexMap<EndpointTag, usize>,
     health: &mut Health,
     rules: Option<&EngineRules>,
     peer: &InstanceId,
-    words: &[Told],
+    words: &[EndpointUpdate],
     now: Time,
 ) {
     // Where a prompt runs, word of its first event comes with that of its parts.
--- a/crates/policy/src/arrange/wire.rs
+++ b/crates/policy/src/placement/wire.rs
@@ -8,12 +8,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{reading::PartKey, told::ToldPart, writers};
+use super::{decoding, reading::PartKey, updates::PartUpdate};
 
 /// Steps of a millisecond of reading: predictions err by far more.
 const READING_STEPS: f32 = 10.0;
 
-const WEIGHT_STEPS: f32 = writers::WEIGHT_STEPS as f32;
+const WEIGHT_STEPS: f32 = decoding::WEIGHT_STEPS as f32;
 
 #[derive(Serialize, Deserialize)]
 pub(super) struct WirePart {
@@ -29,8 +29,8 @@
     is_head: bool,
 }
 
-impl From<ToldPart> for WirePart {
-    fn from(part: ToldPart) -> WirePart {
+impl From<PartUpdate> for WirePart {
+    fn from(part: PartUpdate) -> WirePart {
         WirePart {
             key: part.key,
             reading: (part.ms * READING_STEPS).round() as u32,
@@ -46,9 +46,9 @@
     }
 }
 
-impl From<WirePart> for ToldPart {
-    fn from(wire: WirePart) -> ToldPart {
-        ToldPart {
+impl From<WirePart> for PartUpdate {
+    fn from(wire: WirePart) -> PartUpdate {
+        PartUpdate {
             key: wire.key,
             ms: wire.reading as f32 / READING_STEPS,
             tokens: wire.tokens as f32,
--- a/crates/policy/src/place/cost.rs
+++ b/crates/policy/src/selection/cost.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Tokens,
-    place::{Ask, Candidate},
+    selection::{Candidate, SelectionRequest},
 };
 
 /// The part of an engine's step time that a prefill under way takes from each other request on
@@ -28,10 +28,16 @@
     }
 
     /// Whether this cost can't be told from `best`: the service costs about as much, and the wait
-    /// is longer by less than `unheard`.
-    pub(super) fn is_near(self, best: Cost, share: f64, unheard: Duration, ask: &Ask) -> bool {
+    /// is longer by less than `unreported_work`.
+    pub(super) fn is_near(
+        self,
+        best: Cost,
+        share: f64,
+        unreported_work: Duration,
+        ask: &SelectionRequest,
+    ) -> bool {
         let total = (best.wait + best.service) * (1.0 + share);
-        let blurred = total + own_weight(ask) * unheard.as_secs_f64();
+        let blurred = total + own_weight(ask) * unreported_work.as_secs_f64();
         let as_good = self.service <= best.service * (1.0 + share);
         self.wait + self.service <= if as_good { blurred } else { total }
     }
@@ -39,7 +45,7 @@
 
 /// The cost of placing `ask` on `candidate`: its own weighted first token and the weighted delay
 /// that its prefill causes to what runs there.
-pub fn cost(candidate: &Candidate, ask: &Ask) -> Cost {
+pub fn cost(candidate: &Candidate, ask: &SelectionRequest) -> Cost {
     let own_weight = own_weight(ask) * candidate.caution.max(1.0);
     let prefill = prefill(candidate, ask);
     let delayed = f64::from(candidate.shorts_running) * ask.weights.short_slowdown
@@ -51,7 +57,7 @@
 }
 
 /// Predicted time until the caller has the first token of `ask`, if placed on `candidate` now.
-pub fn first_token(candidate: &Candidate, ask: &Ask) -> Duration {
+pub fn first_token(candidate: &Candidate, ask: &SelectionRequest) -> Duration {
     let served = served(candidate, ask, prefill(candidate, ask));
     let served = Duration::try_from_secs_f64(served).unwrap_or(Duration::MAX);
     candidate.wait.saturating_add(served)
@@ -59,18 +65,18 @@
 
 /// Seconds from the start of the prefill to the first token at the caller. The prefill of a short
 /// prompt is stretched by the long ones that it shares steps with.
-fn served(candidate: &Candidate, ask: &Ask, prefill: f64) -> f64 {
+fn served(candidate: &Candidate, ask: &SelectionRequest, prefill: f64) -> f64 {
     let beside = if ask.long { 0.0 } else { f64::from(candidate.longs_running) };
     prefill * (1.0 + STEP_SHARE * beside) + 2.0 * candidate.distance.as_secs_f64()
 }
 
 /// Seconds to prefill what isn't cached. At least one token is always prefilled, because engines
 /// compute the last one anew even for a prompt they hold whole.
-fn prefill(candidate: &Candidate, ask: &Ask) -> f64 {
+fn prefill(candidate: &Candidate, ask: &SelectionRequest) -> f64 {
     let uncached = (ask.prompt - candidate.cached).0.max(1);
     candidate.rate.seconds(Tokens(uncached))
 }
 
-fn own_weight(ask: &Ask) -> f64 {
+fn own_weight(ask: &SelectionRequest) -> f64 {
     if ask.long { ask.weights.long_first_token } else { ask.weights.short_slowdown }
 }
--- a/crates/policy/src/place/mod.rs
+++ b/crates/policy/src/selection/mod.rs
@@ -72,7 +72,7 @@
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct SelectionRequest {
     /// Size of the prompt.
     pub prompt: Tokens,
     /// Memory it needs, prompt and output.
@@ -83,17 +83,24 @@
     /// [`crate::RequestSpec::prefix`] that others are expected to share, usually the first.
     pub prefix: Option<u64>,
     /// Work that the other instances have likely added to an endpoint's queue since this
-    /// instance heard of them; see [`unheard`].
-    pub unheard: Duration,
+    /// instance heard of them; see [`unreported_work`].
+    pub unreported_work: Duration,
     /// What the site weighs how much.
     pub weights: Weights,
 }
 
-impl Ask {
+impl SelectionRequest {
     /// A request with a bare prompt, the default weights and a fresh view.
-    pub fn new(prompt: Tokens, long: bool) -> Ask {
+    pub fn new(prompt: Tokens, long: bool) -> SelectionRequest {
         let weights = Weights::default();
-        Ask { prompt, footprint: prompt, long, prefix: None, unheard: Duration::ZERO, weights }
+        SelectionRequest {
+            prompt,
+            footprint: prompt,
+            long,
+            prefix: None,
+            unreported_work: Duration::ZERO,
+            weights,
+        }
     }
 
     /// Whether `candidate` can take the request at once: it has the memory, and is open to long
@@ -107,13 +114,13 @@
 /// Work that other instances have likely added to an endpoint's queue, when the view of them is
 /// `age` old: an endpoint that is busy for this share of the time gets as much work in the same
 /// time, and all but one's own part of it goes unheard.
-pub fn unheard(age: Duration, busy: f64, instances: usize) -> Duration {
+pub fn unreported_work(age: Duration, busy: f64, instances: usize) -> Duration {
     let others = 1.0 - 1.0 / instances.max(1) as f64;
     age.mul_f64(busy.clamp(0.0, 1.0) * others).min(MAX_UNHEARD)
 }
 
 /// Chooses the endpoint for `ask`, as index into `candidates`; none where none can take it now.
-pub fn choose(candidates: &[Candidate], ask: &Ask, rng: &mut Rng) -> Option<usize> {
+pub fn choose(candidates: &[Candidate], ask: &SelectionRequest, rng: &mut Rng) -> Option<usize> {
     let costs: Vec<Priced> = candidates
         .iter()
         .enumerate()
@@ -132,7 +139,7 @@
 }
 
 /// Chooses always the cheapest: the baseline that herds, kept to measure against.
-pub fn choose_cheapest(candidates: &[Candidate], ask: &Ask) -> Option<usize> {
+pub fn choose_cheapest(candidates: &[Candidate], ask: &SelectionRequest) -> Option<usize> {
     (0..candidates.len())
         .filter(|index| ask.fits(&candidates[*index]))
         .min_by(|a, b| cost(&candidates[*a], ask).total_cmp(&cost(&candidates[*b], ask)))
@@ -146,19 +153,24 @@
 
 /// The equals of `best`: as good apart from the wait, no farther away, and with a wait that is
 /// longer by no more than what is unheard of.
-fn near_best(candidates: &[Candidate], costs: &[Priced], best: &Priced, ask: &Ask) -> Vec<Priced> {
+fn near_best(
+    candidates: &[Candidate],
+    costs: &[Priced],
+    best: &Priced,
+    ask: &SelectionRequest,
+) -> Vec<Priced> {
     let cheapest = &candidates[best.index];
-    let unheard = ask.unheard.clamp(NEAR_FLOOR, MAX_UNHEARD);
+    let unreported_work = ask.unreported_work.clamp(NEAR_FLOOR, MAX_UNHEARD);
     costs
         .iter()
-        .filter(|priced| priced.cost.is_near(best.cost, NEAR_SHARE, unheard, ask))
+        .filter(|priced| priced.cost.is_near(best.cost, NEAR_SHARE, unreported_work, ask))
         .filter(|priced| candidates[priced.index].distance <= cheapest.distance)
         .copied()
         .collect()
 }
 
 /// Whether some engine holds at least half of the prompt and none of the equals does.
-fn leaves_its_holder(candidates: &[Candidate], near: &[Priced], ask: &Ask) -> bool {
+fn leaves_its_holder(candidates: &[Candidate], near: &[Priced], ask: &SelectionRequest) -> bool {
     let holds = |candidate: &Candidate| candidate.cached.0 * 2 >= ask.prompt.0.max(1);
     candidates.iter().any(holds) && !near.iter().any(|priced| holds(&candidates[priced.index]))
 }
--- a/crates/policy/tests/arrange.rs
+++ b/crates/policy/tests/arrange.rs
@@ -11,15 +11,18 @@
 use engines::engine;
 use policy::{
     EndpointId, FailCause, Incarnation, InstanceId, Time,
-    arrange::{Arranger, Ask, Choice, JobId, Member, Placement, PlacementRules, Refused, Told},
+    placement::{
+        Choice, EndpointUpdate, GroupScheduler, JobId, Member, Placement, PlacementRefusal,
+        PlacementRequest, PlacementRules,
+    },
 };
 
 fn member(index: usize, leaving: bool) -> Member {
     arranging::member(index, engine().slots, leaving)
 }
 
-fn arranger(engines: usize) -> Arranger {
-    arranging::arranger(engines, engine(), PlacementRules::default(), 7)
+fn scheduler(engines: usize) -> GroupScheduler {
+    arranging::scheduler(engines, engine(), PlacementRules::default(), 7)
 }
 
 const QUESTION: u64 = 5_000;
@@ -34,24 +37,24 @@
     Time::from_millis(ms)
 }
 
-fn place(arranger: &mut Arranger, prompt: u64, now: Time) -> Placement {
-    arranger.place(&ask(prompt), now).unwrap()
+fn place(scheduler: &mut GroupScheduler, prompt: u64, now: Time) -> Placement {
+    scheduler.place(&ask(prompt), now).unwrap()
 }
 
 /// A burst of questions alone: writing together costs next to nothing, so they gather on few
 /// engines and leave the others free, but never beyond what an engine runs at once.
 #[test]
 fn questions_gather_without_queueing() {
-    let mut arranger = arranger(16);
+    let mut scheduler = scheduler(16);
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     // A dossier a second keeps long prompts in mind.
     for second in 0..4 {
-        place(&mut arranger, DOSSIER, at(second * 1_000));
+        place(&mut scheduler, DOSSIER, at(second * 1_000));
     }
     for i in 0..60 {
         let now = at(4_000 + i * 25);
-        let placement = place(&mut arranger, QUESTION, now);
-        arranger.began(placement.job, now + Duration::from_millis(50));
+        let placement = place(&mut scheduler, QUESTION, now);
+        scheduler.began(placement.job, now + Duration::from_millis(50));
         *counts.entry(placement.endpoint).or_default() += 1;
     }
     assert!(counts.len() <= 12, "{counts:?}");
@@ -62,15 +65,15 @@
 /// others, and nobody's pause grows.
 #[test]
 fn a_dossier_keeps_off_those_who_write() {
-    let mut arranger = arranger(16);
+    let mut scheduler = scheduler(16);
     let mut writing = Vec::new();
     for i in 0..40 {
         let now = at(i * 25);
-        let placement = place(&mut arranger, QUESTION, now);
-        arranger.began(placement.job, now + Duration::from_millis(40));
+        let placement = place(&mut scheduler, QUESTION, now);
+        scheduler.began(placement.job, now + Duration::from_millis(40));
         writing.push(placement.endpoint);
     }
-    let placement = place(&mut arranger, DOSSIER, at(1_100));
+    let placement = place(&mut scheduler, DOSSIER, at(1_100));
     let free = (0..16).map(id).filter(|engine| !writing.contains(engine)).count();
     assert!(placement.helpers.len() + 1 >= free.min(3), "{placement:?}");
     let disturbed = std::iter::once(&placement.endpoint)
@@ -84,7 +87,7 @@
 /// On an idle site a dossier meets its goal with room to spare, because many engines read it.
 #[test]
 fn an_idle_site_reads_a_dossier_together() {
-    let placement = place(&mut arranger(16), DOSSIER, Time::ZERO);
+    let placement = place(&mut scheduler(16), DOSSIER, Time::ZERO);
     assert!(placement.helpers.len() >= 3, "{placement:?}");
     assert!(placement.predicted_ms < 1_000.0, "{placement:?}");
 }
@@ -94,16 +97,16 @@
 /// every part of a dossier would be a caller's pause.
 #[test]
 fn middle_questions_write_together() {
-    let mut arranger = arranger(20);
+    let mut scheduler = scheduler(20);
     let mut heads = std::collections::BTreeSet::new();
     for i in 0..14 {
         let now = at(i * 100);
         if i % 4 == 0 {
-            let dossier = place(&mut arranger, DOSSIER, now);
-            arranger.ended(dossier.job, None, now + Duration::from_millis(50));
+            let dossier = place(&mut scheduler, DOSSIER, now);
+            scheduler.ended(dossier.job, None, now + Duration::from_millis(50));
         }
-        let placement = place(&mut arranger, 28_000, now);
-        arranger.began(placement.job, now + Duration::from_millis(60));
+        let placement = place(&mut scheduler, 28_000, now);
+        scheduler.began(placement.job, now + Duration::from_millis(60));
         heads.insert(placement.endpoint);
     }
     assert!(heads.len() <= 5, "{heads:?}");
@@ -113,15 +116,15 @@
 /// soon taken; the next question goes to another engine instead of waiting for a slot until it is late.
 #[test]
 fn questions_dont_queue_for_the_company_of_others() {
-    let mut arranger = arranger(20);
+    let mut scheduler = scheduler(20);
     for i in 0..24 {
-        let dossier = place(&mut arranger, DOSSIER, at(i * 100));
-        arranger.ended(dossier.job, None, at(i * 100 + 50));
+        let dossier = place(&mut scheduler, DOSSIER, at(i * 100));
+        scheduler.ended(dossier.job, None, at(i * 100 + 50));
     }
     for i in 0..60 {
-        let placement = place(&mut arranger, QUESTION, at(2_500 + i * 10));
+        let placement = place(&mut scheduler, QUESTION, at(2_500 + i * 10));
         assert!(placement.predicted_ms < 300.0, "question {i}: {placement:?}");
-        arranger.began(placement.job, at(2_505 + i * 10));
+        scheduler.began(placement.job, at(2_505 + i * 10));
     }
 }
 
@@ -129,10 +132,10 @@
 /// engines that are about to read it, as long as others are idle.
 #[test]
 fn word_of_others_keeps_dossiers_apart() {
-    let (mut one, mut two) = (arranger(16), arranger(16));
+    let (mut one, mut two) = (scheduler(16), scheduler(16));
     let first = place(&mut one, DOSSIER, Time::ZERO);
     let peer = InstanceId::new("entry-1").unwrap();
-    two.hear(&peer, &one.tell(false), Time::ZERO);
+    two.apply_updates(&peer, &one.take_updates(false), Time::ZERO);
     let second = place(&mut two, DOSSIER, Time::ZERO);
     let taken: Vec<_> = endpoints(&first);
     let shared = endpoints(&second).iter().filter(|engine| taken.contains(engine)).count();
@@ -143,19 +146,19 @@
 /// A slow engine: every pause there is five times as long. It gets less than its share.
 #[test]
 fn a_slow_engine_gets_less() {
-    let mut arranger = arranger(4);
+    let mut scheduler = scheduler(4);
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for i in 0..200 {
         let now = at(i * 40);
-        let placement = place(&mut arranger, QUESTION, now);
+        let placement = place(&mut scheduler, QUESTION, now);
         let is_slow = placement.endpoint == id(0);
         let pause = Duration::from_millis(if is_slow { 250 } else { 50 });
-        arranger.began(placement.job, now + pause);
+        scheduler.began(placement.job, now + pause);
         for _ in 0..8 {
-            arranger.paused(placement.job, pause, now + pause);
+            scheduler.paused(placement.job, pause, now + pause);
         }
         *counts.entry(placement.endpoint).or_default() += 1;
-        arranger.ended(placement.job, None, now + 3 * pause);
+        scheduler.ended(placement.job, None, now + 3 * pause);
     }
     let slow = counts.get(&id(0)).copied().unwrap_or(0);
     assert!(slow < 25, "{counts:?}");
@@ -165,17 +168,17 @@
 /// the others serve.
 #[test]
 fn a_failing_engine_is_taken_out() {
-    let mut arranger = arranger(4);
+    let mut scheduler = scheduler(4);
     let mut failures = 0;
     for i in 0..200 {
         let now = at(i * 20);
-        let placement = place(&mut arranger, QUESTION, now);
+        let placement = place(&mut scheduler, QUESTION, now);
         if placement.endpoint == id(0) {
             failures += 1;
-            arranger.ended(placement.job, Some(FailCause::Broken), now);
+            scheduler.ended(placement.job, Some(FailCause::Broken), now);
         } else {
-            arranger.began(placement.job, now);
-            arranger.ended(placement.job, None, now + Duration::from_millis(200));
+            scheduler.began(placement.job, now);
+            scheduler.ended(placement.job, None, now + Duration::from_millis(200));
         }
     }
     assert!(failures <= 40, "{failures}");
@@ -183,41 +186,43 @@
 
 #[test]
 fn what_left_or_was_tried_gets_nothing() {
-    let mut arranger = arranger(3);
-    arranger.set_members(vec![member(0, true), member(1, false), member(2, false)], at(1));
+    let mut scheduler = scheduler(3);
+    scheduler.set_members(vec![member(0, true), member(1, false), member(2, false)], at(1));
     let tried = vec![(id(1), Incarnation(1))];
     for _ in 0..5 {
-        let ask = Ask { tried: tried.clone(), ..ask(QUESTION) };
-        assert_eq!(arranger.place(&ask, at(2)).unwrap().endpoint, id(2));
+        let ask = PlacementRequest { tried: tried.clone(), ..ask(QUESTION) };
+        assert_eq!(scheduler.place(&ask, at(2)).unwrap().endpoint, id(2));
     }
-    let ask =
-        Ask { tried: vec![(id(1), Incarnation(1)), (id(2), Incarnation(1))], ..ask(QUESTION) };
-    assert_eq!(arranger.place(&ask, at(2)), Err(Refused::NoEndpoint));
+    let ask = PlacementRequest {
+        tried: vec![(id(1), Incarnation(1)), (id(2), Incarnation(1))],
+        ..ask(QUESTION)
+    };
+    assert_eq!(scheduler.place(&ask, at(2)), Err(PlacementRefusal::NoEndpoint));
 }
 
 /// Whatever is placed is given back: after all has ended nothing is left to tell, and an idle site
 /// predicts as it did in the beginning.
 #[test]
 fn ended_requests_leave_nothing() {
-    let mut arranger = arranger(8);
-    let fresh = place(&mut arranger, DOSSIER, Time::ZERO);
+    let mut scheduler = scheduler(8);
+    let fresh = place(&mut scheduler, DOSSIER, Time::ZERO);
     let mut jobs: Vec<JobId> = vec![fresh.job];
     for i in 0..100 {
         let prompt = [QUESTION, 45_000, DOSSIER][i % 3];
-        let patient = Ask { goal_ms: 60_000.0, ..ask(prompt) };
+        let patient = PlacementRequest { goal_ms: 60_000.0, ..ask(prompt) };
         // Some are refused, because those who write would lose more by them.
-        jobs.extend(arranger.place(&patient, at(i as u64)).map(|placement| placement.job));
+        jobs.extend(scheduler.place(&patient, at(i as u64)).map(|placement| placement.job));
     }
     assert!(jobs.len() > 60, "{}", jobs.len());
-    arranger.tell(true);
+    scheduler.take_updates(true);
     for (i, job) in jobs.into_iter().enumerate() {
         let failed = (i % 2 == 0).then_some(FailCause::Deadline);
-        arranger.ended(job, failed, at(200));
-        arranger.ended(job, failed, at(200));
+        scheduler.ended(job, failed, at(200));
+        scheduler.ended(job, failed, at(200));
     }
-    let told = arranger.tell(true);
+    let told = scheduler.take_updates(true);
     assert!(told.iter().all(|word| word.level.running == 0 && word.level.memory == 0), "{told:?}");
-    let again = place(&mut arranger, DOSSIER, at(60_000));
+    let again = place(&mut scheduler, DOSSIER, at(60_000));
     assert!((again.predicted_ms - fresh.predicted_ms).abs() < 1.0, "{again:?} {fresh:?}");
 }
 
@@ -225,15 +230,15 @@
 /// others, exactly, and given back with the rest.
 #[test]
 fn the_longest_prompts_reserve_what_is_missing() {
-    let mut arranger = arranger(16);
-    let placement = place(&mut arranger, 900_000, Time::ZERO);
+    let mut scheduler = scheduler(16);
+    let placement = place(&mut scheduler, 900_000, Time::ZERO);
     let reserved: u64 = placement.helpers.iter().filter_map(|helper| helper.reserve).sum();
     assert!(reserved >= 900_000 + 1_500 - 450_000, "{placement:?}");
     assert!(placement.helpers.iter().filter(|helper| helper.reserve.is_some()).count() <= 2);
-    let level: u64 = arranger.tell(true).iter().map(|word| word.level.memory).sum();
+    let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
     assert_eq!(level, 901_500);
-    arranger.ended(placement.job, None, at(9_000));
-    let level: u64 = arranger.tell(true).iter().map(|word| word.level.memory).sum();
+    scheduler.ended(placement.job, None, at(9_000));
+    let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
     assert_eq!(level, 0);
 }
 
@@ -241,10 +246,11 @@
 /// when the time is over.
 #[test]
 fn what_cannot_fit_is_refused_at_once() {
-    let mut two = arranger(2);
-    assert_eq!(two.place(&ask(1_000_000), Time::ZERO), Err(Refused::NoEndpoint));
-    let late = arranger(2).place(&Ask { left_ms: 2_000.0, ..ask(600_000) }, Time::ZERO);
-    assert!(matches!(late, Err(Refused::TooLate(_))), "{late:?}");
+    let mut two = scheduler(2);
+    assert_eq!(two.place(&ask(1_000_000), Time::ZERO), Err(PlacementRefusal::NoEndpoint));
+    let late =
+        scheduler(2).place(&PlacementRequest { left_ms: 2_000.0, ..ask(600_000) }, Time::ZERO);
+    assert!(matches!(late, Err(PlacementRefusal::TooLate(_))), "{late:?}");
 }
 
 /// Overload: dossiers come twice as fast as sixteen engines read them, for ten seconds. Those that
@@ -253,7 +259,7 @@
 /// long, which comes as foretold.
 #[test]
 fn overload_is_refused_early_and_the_rest_is_on_time() {
-    let mut arranger = arranger(16);
+    let mut scheduler = scheduler(16);
     let (mut taken_ms, mut refused) = (0.0, 0);
     let mut answers: BTreeMap<Time, Vec<JobId>> = BTreeMap::new();
     for i in 0..100 {
@@ -261,17 +267,17 @@
         let later = answers.split_off(&now);
         for (answered, jobs) in std::mem::replace(&mut answers, later) {
             for job in jobs {
-                arranger.ended(job, None, answered);
+                scheduler.ended(job, None, answered);
             }
         }
-        match arranger.place(&Ask { left_ms: 15_000.0, ..ask(DOSSIER) }, now) {
+        match scheduler.place(&PlacementRequest { left_ms: 15_000.0, ..ask(DOSSIER) }, now) {
             Ok(placement) => {
                 assert!(placement.predicted_ms <= 3_000.0, "{placement:?}");
                 let answered = now + Duration::from_secs_f64(placement.predicted_ms / 1000.0);
                 answers.entry(answered).or_default().push(placement.job);
                 taken_ms += engine().read_ms(DOSSIER);
             }
-            Err(Refused::TooLate(after)) => {
+            Err(PlacementRefusal::TooLate(after)) => {
                 assert!(after < Duration::from_secs(5), "{after:?}");
                 refused += 1;
             }
@@ -286,34 +292,34 @@
 /// that it isn't coming, and uses the engines again.
 #[test]
 fn others_hear_of_what_was_called_off() {
-    let (mut one, mut two) = (arranger(4), arranger(4));
+    let (mut one, mut two) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("entry-1").unwrap();
     let first = place(&mut one, DOSSIER, Time::ZERO);
-    two.hear(&peer, &one.tell(false), Time::ZERO);
+    two.apply_updates(&peer, &one.take_updates(false), Time::ZERO);
     one.ended(first.job, Some(FailCause::Deadline), at(2));
-    two.hear(&peer, &one.tell(true), at(2));
+    two.apply_updates(&peer, &one.take_updates(true), at(2));
     let after = place(&mut two, DOSSIER, at(3)).predicted_ms;
-    let alone = place(&mut arranger(4), DOSSIER, at(3)).predicted_ms;
+    let alone = place(&mut scheduler(4), DOSSIER, at(3)).predicted_ms;
     assert!((after - alone).abs() < 1.0, "{after} {alone}");
 }
 
-fn fail_at(arranger: &mut Arranger, engines: usize, endpoint: &EndpointId, now: Time) {
+fn fail_at(scheduler: &mut GroupScheduler, engines: usize, endpoint: &EndpointId, now: Time) {
     let others = (0..engines).map(id).filter(|other| other != endpoint);
     let tried = others.map(|other| (other, Incarnation(1))).collect();
-    let placement = arranger.place(&Ask { tried, ..ask(QUESTION) }, now).unwrap();
-    arranger.ended(placement.job, Some(FailCause::Broken), now);
+    let placement = scheduler.place(&PlacementRequest { tried, ..ask(QUESTION) }, now).unwrap();
+    scheduler.ended(placement.job, Some(FailCause::Broken), now);
 }
 
 /// Twenty instances serve a site, and an engine begins to reset whatever it gets. Each instance
 /// meets it now and then only; together they know after three failures, not after sixty.
 #[test]
 fn instances_learn_of_a_broken_engine_together() {
-    let mut here = arranger(6);
+    let mut here = scheduler(6);
     for (index, now) in (0..3).map(|i| (i, at(i * 20))) {
-        let mut other = arranger(6);
+        let mut other = scheduler(6);
         fail_at(&mut other, 6, &id(2), now);
         let peer = InstanceId::new(&format!("entry-{index}")).unwrap();
-        here.hear(&peer, &other.tell(true), now);
+        here.apply_updates(&peer, &other.take_updates(true), now);
     }
     for i in 0..40 {
         let placement = place(&mut here, QUESTION, at(200 + i * 20));
@@ -326,17 +332,17 @@
 /// takes an engine out for that.
 #[test]
 fn one_instance_in_trouble_condemns_nobody() {
-    let (mut here, mut other) = (arranger(4), arranger(4));
+    let (mut here, mut other) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("entry-9").unwrap();
     for i in 0..40 {
         let placement = place(&mut other, QUESTION, at(i * 10));
         other.ended(placement.job, Some(FailCause::Broken), at(i * 10));
-        here.hear(&peer, &other.tell(true), at(i * 10));
+        here.apply_updates(&peer, &other.take_updates(true), at(i * 10));
     }
     for wanted in 0..4 {
         let others = (0..4).filter(|other| *other != wanted);
         let tried = others.map(|other| (id(other), Incarnation(1))).collect();
-        let placed = here.place(&Ask { tried, ..ask(QUESTION) }, at(1_000));
+        let placed = here.place(&PlacementRequest { tried, ..ask(QUESTION) }, at(1_000));
         assert!(placed.is_ok(), "{wanted}: {placed:?}");
     }
 }
@@ -346,33 +352,33 @@
 /// is taken on.
 #[test]
 fn what_costs_others_more_than_it_is_worth_waits() {
-    let mut arranger = arranger(8);
+    let mut scheduler = scheduler(8);
     let mut writing = Vec::new();
     for i in 0..120 {
-        let placement = place(&mut arranger, QUESTION, at(i * 12));
-        arranger.began(placement.job, at(i * 12 + 10));
+        let placement = place(&mut scheduler, QUESTION, at(i * 12));
+        scheduler.began(placement.job, at(i * 12 + 10));
         writing.push(placement.job);
     }
-    let dossier = Ask { goal_ms: 6_000.0, ..ask(DOSSIER) };
-    let refused = arranger.place(&dossier, at(1_500));
-    assert!(matches!(refused, Err(Refused::Crowded(_))), "{refused:?}");
+    let dossier = PlacementRequest { goal_ms: 6_000.0, ..ask(DOSSIER) };
+    let refused = scheduler.place(&dossier, at(1_500));
+    assert!(matches!(refused, Err(PlacementRefusal::Crowded(_))), "{refused:?}");
     for job in writing {
-        arranger.ended(job, None, at(1_510));
+        scheduler.ended(job, None, at(1_510));
     }
-    assert!(arranger.place(&dossier, at(1_700)).is_ok());
+    assert!(scheduler.place(&dossier, at(1_700)).is_ok());
 }
 
 /// Two instances choose the same idle engines for a dossier before either hears of the other. Once
 /// both have heard, exactly one of them looks for another place.
 #[test]
 fn of_two_dossiers_on_the_same_engines_one_moves() {
-    let (mut one, mut two) = (arranger(4), Arranger::new(8));
+    let (mut one, mut two) = (scheduler(4), GroupScheduler::new(8));
     two.set_rules(Some(engine()));
     two.set_members((0..4).map(|i| member(i, false)).collect(), Time::ZERO);
     let (first, second) = (place(&mut one, DOSSIER, at(0)), place(&mut two, DOSSIER, at(1)));
-    let (words, others) = (one.tell(false), two.tell(false));
-    one.hear(&InstanceId::new("entry-2").unwrap(), &others, at(4));
-    two.hear(&InstanceId::new("entry-1").unwrap(), &words, at(4));
+    let (words, others) = (one.take_updates(false), two.take_updates(false));
+    one.apply_updates(&InstanceId::new("entry-2").unwrap(), &others, at(4));
+    two.apply_updates(&InstanceId::new("entry-1").unwrap(), &words, at(4));
     let stand = [one.stands(first.job, at(8)), two.stands(second.job, at(9))];
     assert_eq!(stand.iter().filter(|stands| **stands).count(), 1, "{stand:?}");
 }
@@ -381,25 +387,25 @@
 /// the dossier has to be placed anew.
 #[test]
 fn a_held_dossier_moves_away_from_what_leaves() {
-    let mut arranger = arranger(4);
-    place(&mut arranger, DOSSIER, at(0));
-    let held = place(&mut arranger, DOSSIER, at(20));
+    let mut scheduler = scheduler(4);
+    place(&mut scheduler, DOSSIER, at(0));
+    let held = place(&mut scheduler, DOSSIER, at(20));
     assert!(held.hold > Duration::from_millis(200), "{held:?}");
-    assert!(arranger.stands(held.job, at(30)));
+    assert!(scheduler.stands(held.job, at(30)));
     let members = (0..4).map(|i| member(i, id(i) == held.endpoint)).collect();
-    arranger.set_members(members, at(40));
-    assert!(!arranger.stands(held.job, at(50)));
+    scheduler.set_members(members, at(40));
+    assert!(!scheduler.stands(held.job, at(50)));
 }
 
 /// An engine dies in the middle of a dossier's answer, long past the goal for its first event, while
 /// the others are busy. The answer goes on elsewhere although a new dossier would be refused.
 #[test]
 fn what_was_begun_goes_on_under_load() {
-    let mut arranger = arranger(8);
-    while arranger.place(&ask(DOSSIER), at(0)).is_ok() {}
+    let mut scheduler = scheduler(8);
+    while scheduler.place(&ask(DOSSIER), at(0)).is_ok() {}
     let tried = vec![(id(0), Incarnation(1))];
-    let going_on = Ask { tried, goal_ms: 0.0, left_ms: 9_000.0, ..ask(DOSSIER) };
-    let placed = arranger.place(&going_on, at(1));
+    let going_on = PlacementRequest { tried, goal_ms: 0.0, left_ms: 9_000.0, ..ask(DOSSIER) };
+    let placed = scheduler.place(&going_on, at(1));
     assert!(placed.is_ok(), "{placed:?}");
 }
 
@@ -407,13 +413,13 @@
 /// lose what they tell when they are shortened.
 #[test]
 fn words_are_short_and_tell_all() {
-    let (mut one, mut two) = (arranger(4), arranger(4));
+    let (mut one, mut two) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("one").unwrap();
     one.place(&ask(QUESTION), at(0)).unwrap();
-    let words = one.tell(false);
+    let words = one.take_updates(false);
     let bytes = bincode::serde::encode_to_vec(&words, bincode::config::standard()).unwrap();
     assert!(bytes.len() <= 45, "{} bytes for a question", bytes.len());
-    let (heard, _): (Vec<Told>, _) =
+    let (heard, _): (Vec<EndpointUpdate>, _) =
         bincode::serde::decode_from_slice(&bytes, bincode::config::standard()).unwrap();
     let (told, heard_of) = (&words[0], &heard[0]);
     assert_eq!(told.endpoint, heard_of.endpoint);
@@ -421,24 +427,24 @@
     assert_eq!(told.placed[0].key, heard_of.placed[0].key);
     assert!((told.placed[0].ms - heard_of.placed[0].ms).abs() < 0.1);
     assert!((told.level.writers.weight() - heard_of.level.writers.weight()).abs() < 0.01);
-    two.hear(&peer, &heard, at(2));
-    assert!(two.tell(true).is_empty());
+    two.apply_updates(&peer, &heard, at(2));
+    assert!(two.take_updates(true).is_empty());
 }
 
 /// Guards against writers that bear less than others being counted as if they bore as much.
 #[test]
 fn a_long_pass_goes_where_it_is_borne() {
-    let mut arranger = arranger(2);
-    let dossier = place(&mut arranger, DOSSIER, at(0));
-    arranger.ended(dossier.job, None, at(0));
+    let mut scheduler = scheduler(2);
+    let dossier = place(&mut scheduler, DOSSIER, at(0));
+    scheduler.ended(dossier.job, None, at(0));
     for (engine, pause_ms) in [(0, 90.0), (1, 250.0)] {
         let other = vec![(id(1 - engine), Incarnation(1))];
-        let writer = Ask { pause_ms, tried: other, ..ask(QUESTION) };
-        let placed = arranger.place(&writer, at(0)).unwrap();
+        let writer = PlacementRequest { pause_ms, tried: other, ..ask(QUESTION) };
+        let placed = scheduler.place(&writer, at(0)).unwrap();
         assert_eq!(placed.endpoint, id(engine));
-        arranger.began(placed.job, at(40));
+        scheduler.began(placed.job, at(40));
     }
-    let placed = place(&mut arranger, 17_000, at(200));
+    let placed = place(&mut scheduler, 17_000, at(200));
     assert_eq!(placed.endpoint, id(1), "{placed:?}");
 }
 
@@ -449,9 +455,9 @@
     let prompt = 17_000;
     let read_ms = engine().read_ms(prompt);
     for (pause_ms, is_split) in [(read_ms * 3.0, false), (read_ms, true)] {
-        let mut arranger = arranger(8);
-        let ask = Ask { pause_ms, ..ask(prompt) };
-        let placed = arranger.place(&ask, at(0)).unwrap();
+        let mut scheduler = scheduler(8);
+        let ask = PlacementRequest { pause_ms, ..ask(prompt) };
+        let placed = scheduler.place(&ask, at(0)).unwrap();
         assert_eq!(!placed.helpers.is_empty(), is_split, "{pause_ms} ms: {placed:?}");
     }
 }
@@ -461,7 +467,7 @@
 #[test]
 fn a_standing_queue_is_refused_what_would_be_late() {
     const HELD_MS: u64 = 1_600;
-    let mut arranger = arranger(2);
+    let mut scheduler = scheduler(2);
     let slots = u64::from(engine().slots) * 2;
     let every_ms = HELD_MS / slots / 2;
     let mut free_at = vec![0; usize::try_from(slots).unwrap()];
@@ -471,14 +477,14 @@
     for now in (0..20_000).step_by(usize::try_from(every_ms).unwrap()) {
         running.retain_mut(|(begins, ends, job)| {
             if let Some(begun) = begins.take_if(|begins| *begins <= now) {
-                arranger.began(*job, at(begun));
+                scheduler.began(*job, at(begun));
             }
             if *ends <= now {
-                arranger.ended(*job, None, at(*ends));
+                scheduler.ended(*job, None, at(*ends));
             }
             *ends > now
         });
-        match arranger.place(&ask(QUESTION), at(now)) {
+        match scheduler.place(&ask(QUESTION), at(now)) {
             Ok(placed) => {
                 let slot = free_at.iter_mut().min().unwrap();
                 let begins = (*slot).max(now) + 25;
@@ -489,7 +495,7 @@
                     *(if begins - now <= 300 { &mut on_time } else { &mut late }) += 1;
                 }
             }
-            Err(Refused::TooLate(_)) => refused += 1,
+            Err(PlacementRefusal::TooLate(_)) => refused += 1,
             Err(other) => panic!("{other:?}"),
         }
     }
@@ -502,16 +508,16 @@
         #[test]
         fn $case() {
             let rules = PlacementRules { choice: $choice, ..PlacementRules::default() };
-            let mut arranger = arranging::arranger(3, engine(), rules, 7);
+            let mut scheduler = arranging::scheduler(3, engine(), rules, 7);
             let mut counts = [0; 3];
             for i in 0..6 {
-                let placed = place(&mut arranger, if i == 0 { DOSSIER } else { QUESTION }, at(i));
+                let placed = place(&mut scheduler, if i == 0 { DOSSIER } else { QUESTION }, at(i));
                 assert!(placed.helpers.is_empty() && placed.hold.is_zero(), "{placed:?}");
                 let index = (0..3).find(|index| id(*index) == placed.endpoint).unwrap();
                 counts[index] += 1;
                 // All but the first engine answer at once.
                 if index > 0 {
-                    arranger.ended(placed.job, None, at(i));
+                    scheduler.ended(placed.job, None, at(i));
                 }
             }
             assert_eq!(counts, $counts);
--- a/crates/policy/tests/arranging/mod.rs
+++ b/crates/policy/tests/arranging/mod.rs
@@ -5,7 +5,7 @@
 
 use policy::{
     EndpointId, Fingerprint, Incarnation, Time,
-    arrange::{Arranger, Ask, Member, PlacementRules},
+    placement::{GroupScheduler, Member, PlacementRequest, PlacementRules},
     routes::EngineRules,
 };
 
@@ -22,27 +22,27 @@
     Member { endpoint: id(index), incarnation: Incarnation(1), slots, leaving }
 }
 
-pub fn arranger(
+pub fn scheduler(
     engines: usize,
     engine: EngineRules,
     placement: PlacementRules,
     seed: u64,
-) -> Arranger {
-    let mut arranger = Arranger::with_rules(placement, seed);
+) -> GroupScheduler {
+    let mut scheduler = GroupScheduler::with_rules(placement, seed);
     let members = (0..engines).map(|index| member(index, engine.slots, false)).collect();
-    arranger.set_rules(Some(engine));
-    arranger.set_members(members, Time::ZERO);
-    arranger
+    scheduler.set_rules(Some(engine));
+    scheduler.set_members(members, Time::ZERO);
+    scheduler
 }
 
 /// A question, a summary or a dossier, by its length.
-pub fn ask(prompt: u64) -> Ask {
+pub fn ask(prompt: u64) -> PlacementRequest {
     let (goal_ms, pause_ms) = match prompt {
         0..=30_000 => (300.0, 200.0),
         30_001..=120_000 => (1_500.0, 500.0),
         _ => (3_000.0, 800.0),
     };
-    Ask {
+    PlacementRequest {
         prompt,
         output: 1_500,
         goal_ms,
--- a/crates/policy/tests/helpers.rs
+++ b/crates/policy/tests/helpers.rs
@@ -10,27 +10,33 @@
 use engines::engine;
 use policy::{
     EndpointId, Fingerprint, InstanceId, Time,
-    arrange::{Arranger, Ask, Level, PlacementRules},
+    placement::{EndpointLoad, GroupScheduler, PlacementRequest, PlacementRules},
     routes::EngineRules,
 };
 
 const ENGINES: usize = 12;
 
-fn arranger(seed: u64) -> Arranger {
-    arranging::arranger(ENGINES, engine(), PlacementRules::default(), seed)
+fn scheduler(seed: u64) -> GroupScheduler {
+    arranging::scheduler(ENGINES, engine(), PlacementRules::default(), seed)
 }
 
-fn summary(index: u64) -> Ask {
+fn summary(index: u64) -> PlacementRequest {
     let fingerprint = Fingerprint(u128::from(index));
     let goal_ms = 6_000.0;
-    Ask { output: 1_000, goal_ms, left_ms: 10_000.0, fingerprint, ..arranging::ask(60_000) }
+    PlacementRequest {
+        output: 1_000,
+        goal_ms,
+        left_ms: 10_000.0,
+        fingerprint,
+        ..arranging::ask(60_000)
+    }
 }
 
 /// Summaries come at once on two instances. Guards against requests that are refused because one of
 /// their engines helps too many others.
 #[test]
 fn no_engine_helps_more_others_than_it_has_slots() {
-    let (mut one, mut two) = (arranger(1), arranger(2));
+    let (mut one, mut two) = (scheduler(1), scheduler(2));
     let names = ["one", "two"].map(|name| InstanceId::new(name).unwrap());
     let mut helping: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let mut placed = 0;
@@ -41,7 +47,7 @@
             _ => (&mut two, &mut one, &names[1]),
         };
         let Ok(placement) = here.place(&summary(index), now) else { continue };
-        there.hear(name, &here.tell(false), now);
+        there.apply_updates(name, &here.take_updates(false), now);
         placed += 1;
         // What is held is sent only when its engines have read the others' parts.
         if placement.hold.as_millis() < 20 {
@@ -87,8 +93,8 @@
     let heedless = PlacementRules { most_harm: 1e9, holds: false, ..PlacementRules::default() };
     let few_slots = EngineRules { slots: 5, ..engine() };
     let rules = PlacementRules::default();
-    let mut one = arranging::arranger(ENGINES, few_slots.clone(), rules, 1);
-    let mut two = arranging::arranger(ENGINES, few_slots.clone(), heedless, 2);
+    let mut one = arranging::scheduler(ENGINES, few_slots.clone(), rules, 1);
+    let mut two = arranging::scheduler(ENGINES, few_slots.clone(), heedless, 2);
     let name = InstanceId::new("one").unwrap();
     let mut helping: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let (mut jobs, mut foretold_ms) = (Vec::new(), 0);
@@ -104,18 +110,18 @@
         foretold_ms = foretold_ms.max(placement.predicted_ms as u64);
         jobs.push(placement.job);
     }
-    let mut words = one.tell(false);
+    let mut words = one.take_updates(false);
     for word in &mut words {
         // Who runs and writes there makes an engine unattractive as well.
-        word.level = Level::default();
+        word.level = EndpointLoad::default();
     }
-    two.hear(&name, &words, Time(200));
+    two.apply_updates(&name, &words, Time(200));
     let mut full = helping.into_iter().filter(|(_, count)| *count >= few_slots.slots - 1);
     let (full, _) = full.next().expect("an engine helps as many as it may");
     let late = Time::from_millis(foretold_ms + late_ms);
-    let takes_full = |two: &mut Arranger| {
+    let takes_full = |two: &mut GroupScheduler| {
         // A prompt that all engines are needed for.
-        let dossier = Ask { prompt: 300_000, goal_ms: 9_000.0, ..summary(900) };
+        let dossier = PlacementRequest { prompt: 300_000, goal_ms: 9_000.0, ..summary(900) };
         let placement = two.place(&dossier, late).unwrap();
         two.ended(placement.job, None, late);
         let helps = |endpoint| placement.helpers.iter().any(|h| h.endpoint == endpoint);
@@ -129,7 +135,7 @@
                 one.began(job, late);
                 one.ended(job, None, late);
             }
-            two.hear(&name, &one.tell(true), late);
+            two.apply_updates(&name, &one.take_updates(true), late);
         }
         Freed::Forgotten => two.forget(&name),
     }
--- a/crates/policy/tests/herd.rs
+++ b/crates/policy/tests/herd.rs
@@ -10,7 +10,7 @@
 use engines::engine;
 use policy::{
     Fingerprint, InstanceId, Time,
-    arrange::{Arranger, Ask, PlacementRules, Told},
+    placement::{EndpointUpdate, GroupScheduler, PlacementRequest, PlacementRules},
 };
 
 const ENGINES: usize = 60;
@@ -27,26 +27,31 @@
 /// Microseconds between two questions of the burst.
 const EVERY_US: u64 = 125;
 
-fn instance(index: usize) -> Arranger {
+fn instance(index: usize) -> GroupScheduler {
     let rules = PlacementRules::default();
-    let mut arranger = arranging::arranger(ENGINES, engine(), rules, index as u64);
+    let mut scheduler = arranging::scheduler(ENGINES, engine(), rules, index as u64);
     for index in 0..ENGINES {
-        arranger.connected(&arranging::id(index), Duration::from_micros(WORD_US));
+        scheduler.connected(&arranging::id(index), Duration::from_micros(WORD_US));
     }
-    arranger
+    scheduler
 }
 
-fn ask(index: u64) -> Ask {
+fn ask(index: u64) -> PlacementRequest {
     let fingerprint = Fingerprint(u128::from(index));
-    Ask { goal_ms: GOAL_MS, left_ms: 10_000.0, fingerprint, ..arranging::ask(QUESTION) }
+    PlacementRequest {
+        goal_ms: GOAL_MS,
+        left_ms: 10_000.0,
+        fingerprint,
+        ..arranging::ask(QUESTION)
+    }
 }
 
 /// Guards against a herd: all instances see the same engine as the best one, and until each hears of the
 /// others' placements there, it has a queue of prompts that makes all of them late.
 #[test]
 fn a_burst_on_many_instances_doesnt_queue_on_one_engine() {
-    let mut instances: Vec<Arranger> = (0..INSTANCES).map(instance).collect();
-    let mut words: VecDeque<(u64, usize, Vec<Told>)> = VecDeque::new();
+    let mut instances: Vec<GroupScheduler> = (0..INSTANCES).map(instance).collect();
+    let mut words: VecDeque<(u64, usize, Vec<EndpointUpdate>)> = VecDeque::new();
     // When each engine has read what it got.
     let mut read_at = vec![0.0_f64; ENGINES];
     let (mut late, mut asked) = (0, 0);
@@ -57,13 +62,13 @@
             let peer = InstanceId::new(&format!("p-{from}")).unwrap();
             for (to, other) in instances.iter_mut().enumerate() {
                 if to != from {
-                    other.hear(&peer, &told, now);
+                    other.apply_updates(&peer, &told, now);
                 }
             }
         }
         let from = index * 7 % INSTANCES;
         let Ok(placed) = instances[from].place(&ask(index as u64), now) else { continue };
-        words.push_back((now_us + WORD_US, from, instances[from].tell(false)));
+        words.push_back((now_us + WORD_US, from, instances[from].take_updates(false)));
         let engine = arranging::index(&placed.endpoint);
         let now_ms = now_us as f64 / 1_000.0;
         read_at[engine] = read_at[engine].max(now_ms) + self::engine().read_ms(QUESTION);
@@ -79,7 +84,7 @@
 /// first questions of each queue there.
 #[test]
 fn a_burst_on_instances_that_have_just_started_spreads() {
-    let mut instances: Vec<Arranger> = (0..INSTANCES).map(instance).collect();
+    let mut instances: Vec<GroupScheduler> = (0..INSTANCES).map(instance).collect();
     let mut on_engine = [0_u32; ENGINES];
     for index in 0..300 {
         let now = Time(index * EVERY_US);
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -9,7 +9,7 @@
 use policy::{
     EndpointId, TokenRate, Tokens,
     config::Weights,
-    place::{Ask, Candidate, choose, choose_cheapest, unheard},
+    selection::{Candidate, SelectionRequest, choose, choose_cheapest, unreported_work},
 };
 
 fn candidate(name: &str) -> Candidate {
@@ -31,15 +31,16 @@
     Candidate { wait: Duration::from_millis(millis), ..candidate(name) }
 }
 
-const SHORT: Ask = Ask {
+const SHORT: SelectionRequest = SelectionRequest {
     prompt: Tokens(1_000),
     footprint: Tokens(1_500),
     long: false,
     prefix: Some(7),
-    unheard: Duration::ZERO,
+    unreported_work: Duration::ZERO,
     weights: Weights { long_first_token: 1.0, short_slowdown: 1.0 },
 };
-const LONG: Ask = Ask { prompt: Tokens(200_000), footprint: Tokens(210_000), long: true, ..SHORT };
+const LONG: SelectionRequest =
+    SelectionRequest { prompt: Tokens(200_000), footprint: Tokens(210_000), long: true, ..SHORT };
 
 macro_rules! always {
     ($($case:ident: $ask:expr, $candidates:expr => $wanted:expr;)*) => {$(
@@ -87,7 +88,8 @@
     let candidates =
         [Candidate { shorts_running: 2, ..candidate("busy") }, waiting("queued", 13_000)];
     let weighed = |long_first_token, short_slowdown| {
-        let ask = Ask { weights: Weights { long_first_token, short_slowdown }, ..LONG };
+        let ask =
+            SelectionRequest { weights: Weights { long_first_token, short_slowdown }, ..LONG };
         choose(&candidates, &ask, &mut Rng::with_seed(1))
     };
     assert_eq!(weighed(4.0, 1.0), Some(0));
@@ -114,7 +116,7 @@
         #[test]
         fn $case() {
             let site = $site;
-            let sharp = |ask: &Ask| Ask { unheard: Duration::ZERO, ..*ask };
+            let sharp = |ask: &SelectionRequest| SelectionRequest { unreported_work: Duration::ZERO, ..*ask };
             let cheapest = replay(&site, |candidates, ask, _| choose_cheapest(candidates, ask));
             let narrow = replay(&site, |all, ask, rng| choose(all, &sharp(ask), rng));
             let policy = replay(&site, choose);
@@ -153,7 +155,10 @@
 const ENDPOINTS: usize = 8;
 
 /// Eight engines, one prompt in fifty of 20,000 tokens, twenty seeds of 10,000 requests.
-fn replay(site: &Site, choose: impl Fn(&[Candidate], &Ask, &mut Rng) -> Option<usize>) -> Waits {
+fn replay(
+    site: &Site,
+    choose: impl Fn(&[Candidate], &SelectionRequest, &mut Rng) -> Option<usize>,
+) -> Waits {
     let mut waits = Vec::new();
     let mut worst = Duration::ZERO;
     for seed in 0..SEEDS {
@@ -181,9 +186,9 @@
                 })
                 .collect();
             let age = Duration::from_secs_f64(now - reported_at);
-            let ask = Ask {
-                unheard: unheard(age, site.busy, site.instances),
-                ..Ask::new(Tokens(prompt), false)
+            let ask = SelectionRequest {
+                unreported_work: unreported_work(age, site.busy, site.instances),
+                ..SelectionRequest::new(Tokens(prompt), false)
             };
             let chosen = choose(&candidates, &ask, &mut rng).unwrap();
             let work = prompt as f64 / 20_000.0;
--- a/crates/policy/tests/stalls.rs
+++ b/crates/policy/tests/stalls.rs
@@ -11,7 +11,7 @@
 use engines::engine;
 use policy::{
     EndpointId, FailCause, Fingerprint, Incarnation, InstanceId, Time,
-    arrange::{Arranger, Ask, JobId, Placement, PlacementRules},
+    placement::{GroupScheduler, JobId, Placement, PlacementRequest, PlacementRules},
 };
 
 const ENGINES: usize = 40;
@@ -28,7 +28,7 @@
 
 /// Instances that hear of each other within the millisecond.
 struct Site {
-    instances: Vec<Arranger>,
+    instances: Vec<GroupScheduler>,
     /// What happens later, in milliseconds, with the instance and the job.
     later: VecDeque<(u64, usize, JobId, Event)>,
 }
@@ -42,8 +42,8 @@
 impl Site {
     fn new() -> Site {
         let rules = PlacementRules::default();
-        let arranger = |index| arranging::arranger(ENGINES, engine(), rules, index as u64);
-        Site { instances: (0..INSTANCES).map(arranger).collect(), later: VecDeque::new() }
+        let scheduler = |index| arranging::scheduler(ENGINES, engine(), rules, index as u64);
+        Site { instances: (0..INSTANCES).map(scheduler).collect(), later: VecDeque::new() }
     }
 
     fn at(&mut self, at: u64, instance: usize, job: JobId, event: Event) {
@@ -81,16 +81,16 @@
     }
 
     fn tell(&mut self, from: usize, is_due: bool, now: Time) {
-        let words = self.instances[from].tell(is_due);
+        let words = self.instances[from].take_updates(is_due);
         let peer = InstanceId::new(&format!("p-{from}")).unwrap();
         for (to, other) in self.instances.iter_mut().enumerate() {
             if to != from && !words.is_empty() {
-                other.hear(&peer, &words, now);
+                other.apply_updates(&peer, &words, now);
             }
         }
     }
 
-    fn place(&mut self, from: usize, ask: &Ask, now: u64) -> Option<Placement> {
+    fn place(&mut self, from: usize, ask: &PlacementRequest, now: u64) -> Option<Placement> {
         let now = Time::from_millis(now);
         let placement = self.instances[from].place(ask, now).ok()?;
         self.tell(from, false, now);
@@ -98,14 +98,14 @@
     }
 }
 
-fn ask(prompt: u64, index: u64) -> Ask {
-    Ask { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
+fn ask(prompt: u64, index: u64) -> PlacementRequest {
+    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
 }
 
 /// A question that only one of two engines may run.
-fn question_for(engine: usize, index: u64) -> Ask {
+fn question_for(engine: usize, index: u64) -> PlacementRequest {
     let tried = vec![(arranging::id(1 - engine), Incarnation(1))];
-    Ask { tried, is_beside: true, ..ask(5_000, index) }
+    PlacementRequest { tried, is_beside: true, ..ask(5_000, index) }
 }
 
 /// Guards against an engine that died without a word: it looks idle, as what was sent there counts as
@@ -113,24 +113,25 @@
 #[test]
 fn questions_leave_an_engine_that_answers_nobody() {
     let rules = PlacementRules::default();
-    let [mut one, mut two] = [1, 2].map(|seed| arranging::arranger(2, engine(), rules, seed));
+    let [mut one, mut two] = [1, 2].map(|seed| arranging::scheduler(2, engine(), rules, seed));
     let peer = InstanceId::new("p-1").unwrap();
-    let to = |arranger: &mut Arranger, engine: usize, index: u64, now: u64| {
-        arranger.place(&question_for(engine, index), Time::from_millis(now)).unwrap()
+    let to = |scheduler: &mut GroupScheduler, engine: usize, index: u64, now: u64| {
+        scheduler.place(&question_for(engine, index), Time::from_millis(now)).unwrap()
     };
     let unanswered = to(&mut one, 0, 0, 1);
-    two.hear(&peer, &one.tell(true), Time::from_millis(1));
+    two.apply_updates(&peer, &one.take_updates(true), Time::from_millis(1));
     // The other engine answers, and has a few questions to read.
     let now = unanswered.predicted_ms as u64 + 700;
     for index in 1..4 {
         to(&mut two, 1, index, now);
     }
-    let place =
-        |two: &mut Arranger, index| two.place(&ask(5_000, index), Time::from_millis(now)).unwrap();
+    let place = |two: &mut GroupScheduler, index| {
+        two.place(&ask(5_000, index), Time::from_millis(now)).unwrap()
+    };
     assert_eq!(place(&mut two, 10).endpoint, arranging::id(1));
     // Its first event comes after all.
     one.began(unanswered.job, Time::from_millis(now));
-    two.hear(&peer, &one.tell(true), Time::from_millis(now));
+    two.apply_updates(&peer, &one.take_updates(true), Time::from_millis(now));
     assert_eq!(place(&mut two, 11).endpoint, arranging::id(0));
 }
 
@@ -184,19 +185,19 @@
 #[test]
 fn a_helper_that_refused_is_taken_again() {
     let rules = PlacementRules::default();
-    let mut arranger = arranging::arranger(3, engine(), rules, 1);
+    let mut scheduler = arranging::scheduler(3, engine(), rules, 1);
     let other = arranging::id(1);
-    let helps = |arranger: &mut Arranger, now: Time| {
-        let placed = arranger.place(&ask(210_000, 1), now).unwrap();
-        arranger.ended(placed.job, None, now);
+    let helps = |scheduler: &mut GroupScheduler, now: Time| {
+        let placed = scheduler.place(&ask(210_000, 1), now).unwrap();
+        scheduler.ended(placed.job, None, now);
         let mut all = placed.helpers.iter().map(|helper| &helper.endpoint);
         placed.endpoint == other || all.any(|helper| *helper == other)
     };
-    assert!(helps(&mut arranger, Time::from_millis(1)));
-    arranger.at_fault(&other, Time::from_millis(2));
-    assert!(!helps(&mut arranger, Time::from_millis(3)));
+    assert!(helps(&mut scheduler, Time::from_millis(1)));
+    scheduler.at_fault(&other, Time::from_millis(2));
+    assert!(!helps(&mut scheduler, Time::from_millis(3)));
     let later = Time::from_millis(3) + Duration::from_secs(1);
-    assert!(helps(&mut arranger, later));
+    assert!(helps(&mut scheduler, later));
 }
 
 /// Guards against engines of a large site that all look as if they stalled: with many instances, word
@@ -204,14 +205,14 @@
 #[test]
 fn many_instances_tell_late_of_first_events() {
     let rules = PlacementRules::default();
-    let [mut one, mut two] = [1, 2].map(|seed| arranging::arranger(2, engine(), rules, seed));
+    let [mut one, mut two] = [1, 2].map(|seed| arranging::scheduler(2, engine(), rules, seed));
     for index in 0..120 {
         let peer = InstanceId::new(&format!("p-{index}")).unwrap();
-        two.hear(&peer, &[], Time::from_millis(1));
+        two.apply_updates(&peer, &[], Time::from_millis(1));
     }
     let unanswered = one.place(&question_for(0, 0), Time::from_millis(1)).unwrap();
     let peer = InstanceId::new("p-1").unwrap();
-    two.hear(&peer, &one.tell(true), Time::from_millis(1));
+    two.apply_updates(&peer, &one.take_updates(true), Time::from_millis(1));
     let now = Time::from_millis(unanswered.predicted_ms as u64 + 600);
     let next = two.place(&question_for(0, 1), now).unwrap();
     assert!(next.predicted_ms < 100.0);
@@ -219,8 +220,8 @@
 
 /// An instance that places dossiers, and another one that hears of them.
 struct Pair {
-    one: Arranger,
-    two: Arranger,
+    one: GroupScheduler,
+    two: GroupScheduler,
     first: Placement,
 }
 
@@ -228,7 +229,7 @@
     /// The first of them has placed a dossier.
     fn new() -> Pair {
         let rules = PlacementRules::default();
-        let [mut one, two] = [1, 2].map(|seed| arranging::arranger(20, engine(), rules, seed));
+        let [mut one, two] = [1, 2].map(|seed| arranging::scheduler(20, engine(), rules, seed));
         let first = one.place(&ask(210_000, 1), Time::from_millis(1)).unwrap();
         let mut pair = Pair { one, two, first };
         pair.tell(Time::from_millis(1));
@@ -237,7 +238,7 @@
 
     fn tell(&mut self, now: Time) {
         let peer = InstanceId::new("p-1").unwrap();
-        self.two.hear(&peer, &self.one.tell(true), now);
+        self.two.apply_updates(&peer, &self.one.take_updates(true), now);
     }
 
     /// When the first dossier is overdue by `late_ms`.
--- a/crates/policy/tests/vouch.rs
+++ b/crates/policy/tests/vouch.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use policy::{
     DataCentre, InstanceId,
-    vouch::{Position, Vouch, Word, readers},
+    freshness::{Position, Vouch, Word, readers},
 };
 
 fn instance(name: usize) -> InstanceId {
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -76,7 +76,7 @@
         let known = self.configuration.age().is_some_and(|age| age <= READY_FOR);
         let serving = self.lifecycle.stage() == Stage::Serving;
         let has_endpoints =
-            self.groups.all().iter().any(|group| crate::lock(&group.arranger).usable() > 0);
+            self.groups.all().iter().any(|group| crate::lock(&group.scheduler).usable() > 0);
         known && serving && has_endpoints && self.configuration.table().version.0 > 0
     }
 }
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -8,7 +8,7 @@
 use http::{Response, StatusCode};
 use policy::{
     EndpointId, FailCause, Incarnation, Time,
-    arrange::{Ask, Helper, JobId, Placement, Refused},
+    placement::{Helper, JobId, Placement, PlacementRefusal, PlacementRequest},
 };
 
 use super::{
@@ -164,7 +164,7 @@
     /// Another endpoint answered first although it was asked later.
     pub(super) fn outrun(&self, job: JobId) {
         let now = self.parts.clock.now();
-        lock(&self.group.arranger).ended(job, Some(FailCause::Silent), now);
+        lock(&self.group.scheduler).ended(job, Some(FailCause::Silent), now);
     }
 
     /// The next place for it, if one more attempt is allowed.
@@ -202,7 +202,7 @@
     fn place(&self, beside: Beside) -> Result<Placement, Refusal> {
         let now = self.parts.clock.now();
         let ask = self.ask(beside, now);
-        let placed = lock(&self.group.arranger).place(&ask, now);
+        let placed = lock(&self.group.scheduler).place(&ask, now);
         match placed {
             Ok(placement) => {
                 log::info!(
@@ -221,28 +221,28 @@
                 }
                 Ok(placement)
             }
-            Err(Refused::NoEndpoint) => Err(self.give_up(Reason::NoEndpoint)),
-            Err(Refused::Quarantined(_)) => Err(self.give_up(Reason::Quarantined)),
-            Err(Refused::TooLate(by)) => {
+            Err(PlacementRefusal::NoEndpoint) => Err(self.give_up(Reason::NoEndpoint)),
+            Err(PlacementRefusal::Quarantined(_)) => Err(self.give_up(Reason::Quarantined)),
+            Err(PlacementRefusal::TooLate(by)) => {
                 log::info!(id = self.id(), prompt = ask.prompt, late_ms = by.as_millis() as u64;
                     "too_late");
                 Err(self.come_back(Reason::TooLate, by))
             }
-            Err(Refused::Crowded(after)) => {
+            Err(PlacementRefusal::Crowded(after)) => {
                 log::info!(id = self.id(), prompt = ask.prompt; "crowded");
                 Err(self.come_back(Reason::Crowded, after))
             }
         }
     }
 
-    fn ask(&self, beside: Beside, now: Time) -> Ask {
+    fn ask(&self, beside: Beside, now: Time) -> PlacementRequest {
         let received = &self.received;
         let (prompt, output) = received.caller.tokens.unwrap_or((0, 0));
         let progress = lock(&self.progress);
         let since_event = progress.last_event_at.map(|at| now.since(at));
         let goal = received.route.time_to_bound(now.since(received.arrived), since_event);
         let rank = received.owner.as_ref().and_then(|owner| owner.priority);
-        Ask {
+        PlacementRequest {
             prompt,
             output,
             left_ms: self.left().as_secs_f64() * 1000.0,
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -88,10 +88,10 @@
     /// were as long as it may be.
     fn needed(&self, route: &str, (prompt, output): (u64, u64), group: &Group) -> Duration {
         let seen = lock(&self.0.answer_times).bound(route);
-        let arranger = lock(&group.arranger);
+        let scheduler = lock(&group.scheduler);
         match seen {
-            Some(writing) => arranger.usual_time(prompt, 0) + writing,
-            None => arranger.usual_time(prompt, output),
+            Some(writing) => scheduler.usual_time(prompt, 0) + writing,
+            None => scheduler.usual_time(prompt, output),
         }
     }
 }
--- a/crates/router/src/filter/hedge.rs
+++ b/crates/router/src/filter/hedge.rs
@@ -15,7 +15,7 @@
 use std::{future::Future, pin::pin, time::Duration};
 
 use futures_lite::FutureExt;
-use policy::{FailCause, arrange::Placement};
+use policy::{FailCause, placement::Placement};
 use smol::Timer;
 
 use super::{
--- a/crates/router/src/filter/send.rs
+++ b/crates/router/src/filter/send.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use policy::{FailCause, arrange::Placement};
+use policy::{FailCause, placement::Placement};
 use smol::Timer;
 
 use super::{
@@ -64,9 +64,9 @@
         self.parts.metrics.sent();
         let group = self.group.clone();
         let sending = |took| {
-            let mut arranger = lock(&group.arranger);
-            arranger.connected(&placement.endpoint, took);
-            arranger.sent(placement.job);
+            let mut scheduler = lock(&group.scheduler);
+            scheduler.connected(&placement.endpoint, took);
+            scheduler.sent(placement.job);
         };
         match attempt::send(&self.parts.executor, address, req, self.left(), sending).await {
             Ok(upstream) => self.judge(Live { upstream, run }).await,
@@ -75,7 +75,7 @@
                 log::info!(id = self.id(), endpoint = run.endpoint.as_str(), is_refused;
                     "not_sent");
                 if is_refused {
-                    lock(&self.group.arranger).died(&run.endpoint, self.parts.clock.now());
+                    lock(&self.group.scheduler).died(&run.endpoint, self.parts.clock.now());
                 }
                 run.end(Some(FailCause::NotSent));
                 None
@@ -94,7 +94,7 @@
             return true;
         }
         Timer::after(placement.hold).await;
-        let stands = lock(&self.group.arranger).stands(placement.job, self.parts.clock.now());
+        let stands = lock(&self.group.scheduler).stands(placement.job, self.parts.clock.now());
         if !stands {
             log::info!(id = self.id(), endpoint = placement.endpoint.as_str(); "placed_anew");
         }
@@ -202,7 +202,7 @@
         lock(&self.progress).doubtful -= 1;
         let fault = facts.at_fault.and_then(|address| self.group.at(address));
         if let Some(fault) = fault.filter(|fault| *fault != run.endpoint) {
-            lock(&self.group.arranger).at_fault(&fault, self.parts.clock.now());
+            lock(&self.group.scheduler).at_fault(&fault, self.parts.clock.now());
             self.parts.urgent.raise();
         }
         run.end(Some(FailCause::Rejected));
--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -3,18 +3,18 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use policy::{
+    freshness::{Position, Word},
     routes::RouteTable,
-    vouch::{Position, Word},
 };
 
 use super::Contact;
 use crate::{
     clock::BootTime,
+    freshness::{Heard, Source, Vouching, Whom},
     lock,
     snapshot::{SnapshotClient, Transfer},
     source::ConfigSource,
     state::{Configuration, Groups},
-    vouching::{Heard, Source, Vouching, Whom},
 };
 
 /// Time between two questions to a peer. News are told at once; where such a word is lost, this is how
@@ -163,7 +163,7 @@
             log::info!(version = version.0; "config_in_force");
             for (name, rules) in &self.configuration.table().groups {
                 let group = self.groups.get_or_add(name);
-                lock(&group.arranger).set_rules(rules.engine.clone());
+                lock(&group.scheduler).set_rules(rules.engine.clone());
             }
         }
         is_news
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -7,16 +7,16 @@
 };
 
 use indexmap::IndexMap;
-use policy::{EndpointGroup, EndpointId, arrange::Member, roster::Roster, vouch::Position};
+use policy::{EndpointGroup, EndpointId, freshness::Position, placement::Member, roster::Roster};
 
 use super::Contact;
 use crate::{
     clock::{BootTime, Clock},
+    freshness::{EndpointChange, Heard, Source, Vouching, Whom},
     lock, names,
     snapshot::{self, SnapshotClient, Transfer},
     source::{EndpointEntry, EndpointSource},
     state::{Group, Groups},
-    vouching::{EndpointChange, Heard, Source, Vouching, Whom},
 };
 
 /// Time between two readings, as a part of the time within which a leaving endpoint may get nothing
@@ -286,7 +286,7 @@
         slots: entry.slots,
         leaving: entry.leaving,
     });
-    lock(&group.arranger).set_members(members.collect(), clock.now());
+    lock(&group.scheduler).set_members(members.collect(), clock.now());
 }
 
 /// Logs what changed in a group, in one line however many endpoints there are.
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -11,13 +11,13 @@
 
 pub use configuration::Follower as ConfigurationFollower;
 pub use endpoints::Follower as EndpointsFollower;
-use policy::{backoff::Backoff, vouch::Position};
+use policy::{backoff::Backoff, freshness::Position};
 use smol::Timer;
 
 use crate::{
+    freshness::{Source, Vouching},
     snapshot::{MAX_RELAYED, SnapshotClient, Transfer},
     source::SourceError,
-    vouching::{Source, Vouching},
 };
 
 /// Over this time instances ask for the same news. Little beside the time within which a change has to be
--- a/crates/router/src/vouching.rs
+++ b/crates/router/src/freshness.rs
@@ -1,6 +1,6 @@
 //! What this instance has read of the log, for peers that ask, and its questions to them.
 //!
-//! [`policy::vouch`] says what a peer's answer means; here it is kept and passed on.
+//! [`policy::freshness`] says what a peer's answer means; here it is kept and passed on.
 
 use std::{
     collections::VecDeque,
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 use policy::{
     EndpointId,
-    vouch::{ASKED, Position, Vouch},
+    freshness::{ASKED, Position, Vouch},
 };
 use serde::{Deserialize, Serialize};
 use smol::{
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -16,6 +16,7 @@
     entry::{Entry, Readiness},
     filter::{Dispatch, Identify, Parts, Receive, ReservationIds, Start},
     follow,
+    freshness::Vouching,
     links::{self, LinkParts, Links},
     metrics::{Metrics, MetricsError, MetricsPage},
     net, serve,
@@ -23,7 +24,6 @@
     snapshot::{self, SnapshotClient},
     source::{ConfigSource, EndpointSource, PeerDirectory, PeerEntry},
     state::{Configuration, Groups, Lifecycle, Stage},
-    vouching::Vouching,
 };
 
 /// How long a stopping instance serves on as before: the balancer asks every second and believes
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod events;
 pub mod filter;
 pub mod follow;
+pub mod freshness;
 pub mod instance;
 pub mod links;
 pub mod metrics;
@@ -20,7 +21,6 @@
 pub mod snapshot;
 pub mod source;
 pub mod state;
-pub mod vouching;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/router/src/links/message.rs
+++ b/crates/router/src/links/message.rs
@@ -1,11 +1,12 @@
 //! What instances send each other.
 
 use policy::{
-    DataCentre, GroupTag, Incarnation, InstanceId, arrange::Told, quarantine, vouch::Position,
+    DataCentre, GroupTag, Incarnation, InstanceId, freshness::Position, placement::EndpointUpdate,
+    quarantine,
 };
 use serde::{Deserialize, Serialize};
 
-use crate::vouching::Answer;
+use crate::freshness::Answer;
 
 /// One datagram. Its sender is known by its address and life, so that most datagrams hold no name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -43,7 +44,7 @@
     /// A sign of life; whoever doesn't know the sender yet answers with one.
     Heartbeat(Hello),
     /// Work on endpoints of one group.
-    Work { group: GroupTag, words: Vec<Told> },
+    Work { group: GroupTag, words: Vec<EndpointUpdate> },
     /// Requests suspected of crashing endpoints of one group.
     Suspects { group: GroupTag, entries: Vec<quarantine::Entry> },
     /// How fresh is what the receiver knows, and what has changed of the endpoints since a position?
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -4,7 +4,7 @@
 //! is made good by the next, and none waits behind another. A stream would deliver old words late
 //! and in order (`docs/decisions/platform.md`). What an instance is told unasked changes only where it
 //! sends work, or wakes it to look; nothing that must hold depends on it. Answers to its own questions
-//! ([`questions`]) are believed as [`policy::vouch`] says.
+//! ([`questions`]) are believed as [`policy::freshness`] says.
 
 mod message;
 mod questions;
@@ -21,7 +21,8 @@
 use futures_lite::FutureExt;
 use indexmap::IndexMap;
 use policy::{
-    DataCentre, EndpointGroup, Incarnation, InstanceId, Time, arrange::period, vouch::sharers,
+    DataCentre, EndpointGroup, Incarnation, InstanceId, Time, freshness::sharers,
+    placement::update_interval,
 };
 use smol::{
     Timer,
@@ -31,11 +32,11 @@
 
 use crate::{
     clock::Clock,
+    freshness::{Question, Vouching},
     lock, names,
     signal::Signal,
     source::{PeerDirectory, PeerEntry},
     state::{Group, Groups},
-    vouching::{Question, Vouching},
 };
 
 use message::{Body, Datagram, Hello, LifeTag};
@@ -187,7 +188,7 @@
         loop {
             match self.wake(next).await {
                 Wake::Due => {
-                    next = self.clock.now() + period(self.peers.len());
+                    next = self.clock.now() + update_interval(self.peers.len());
                     self.tell(true).await;
                     self.greet().await;
                     self.forget_silent();
@@ -237,7 +238,7 @@
 
     async fn tell(&mut self, is_due: bool) {
         for group in self.groups.all() {
-            let words = lock(&group.arranger).tell(is_due);
+            let words = lock(&group.scheduler).take_updates(is_due);
             for part in words.chunks(WORDS) {
                 let body = Body::Work { group: group.tag, words: part.to_vec() };
                 self.send_all(body).await;
@@ -253,7 +254,7 @@
 
     async fn tell_suspects(&mut self, group: &Group) {
         let now = self.clock.now();
-        let entries = lock(&group.arranger).quarantine().export(now);
+        let entries = lock(&group.scheduler).quarantine().export(now);
         let before = self.suspects.insert(group.name.clone(), entries.len()).unwrap_or(0);
         if entries.len() > before {
             let body = Body::Suspects { group: group.tag, entries };
@@ -368,12 +369,12 @@
             Body::Heartbeat(_) => {}
             Body::Work { group, words } => {
                 if let Some(group) = self.groups.by_tag(group) {
-                    lock(&group.arranger).hear(&instance, &words, now);
+                    lock(&group.scheduler).apply_updates(&instance, &words, now);
                 }
             }
             Body::Suspects { group, entries } => {
                 if let Some(group) = self.groups.by_tag(group) {
-                    lock(&group.arranger).quarantine().import(&entries, now);
+                    lock(&group.scheduler).quarantine().import(&entries, now);
                 }
             }
             Body::Question { nonce, endpoints_at } => {
@@ -421,7 +422,7 @@
 
     fn forget(&self, instance: &InstanceId) {
         for group in self.groups.all() {
-            lock(&group.arranger).forget(instance);
+            lock(&group.scheduler).forget(instance);
         }
     }
 
--- a/crates/router/src/links/questions.rs
+++ b/crates/router/src/links/questions.rs
@@ -2,13 +2,13 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use policy::{InstanceId, Time, vouch::readers};
+use policy::{InstanceId, Time, freshness::readers};
 use smol::channel::Sender;
 
 use super::{Body, Links};
 use crate::{
     clock::BootTime,
-    vouching::{Answer, Heard, Question, Whom},
+    freshness::{Answer, Heard, Question, Whom},
 };
 
 /// How long an answer to a question may come.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use policy::{DataCentre, InstanceId, arrange::PlacementRules, retry::RetryRules};
+use policy::{DataCentre, InstanceId, placement::PlacementRules, retry::RetryRules};
 
 /// Settings of one instance.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! State transfer between instances: whoever is behind takes what a peer has read, whole.
 //!
-//! Datagrams tell who has read further ([`crate::vouching`]). What it has read is too long for one, so it
+//! Datagrams tell who has read further ([`crate::freshness`]). What it has read is too long for one, so it
 //! travels over HTTP/2 with `bincode`, on the port at which the peer listens for datagrams.
 //!
 //! Guards against an instance that the log turns away: it knows that its peers have a newer version, and
@@ -16,7 +16,7 @@
     body::Incoming, client::conn::http2 as client, server::conn::http2 as server,
     service::service_fn,
 };
-use policy::vouch::{Position, Vouch};
+use policy::freshness::{Position, Vouch};
 use serde::{Deserialize, Serialize};
 use smol::{
     Executor, Timer,
@@ -27,8 +27,8 @@
 
 use crate::{
     clock::BootTime,
+    freshness::{Source, Vouching},
     net, serve,
-    vouching::{Source, Vouching},
 };
 
 /// How long a transfer may take. Within a data centre it takes milliseconds; a peer that takes longer is
--- a/crates/router/src/source.rs
+++ b/crates/router/src/source.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use indexmap::IndexMap;
 use policy::{
-    DataCentre, EndpointGroup, EndpointId, Incarnation, InstanceId, routes::RouteTable,
-    vouch::Position,
+    DataCentre, EndpointGroup, EndpointId, Incarnation, InstanceId, freshness::Position,
+    routes::RouteTable,
 };
 use serde::{Deserialize, Serialize};
 
-use crate::{clock::BootTime, vouching::EndpointChange};
+use crate::{clock::BootTime, freshness::EndpointChange};
 
 /// Why a source can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use policy::{
     EndpointGroup, EndpointId, GroupTag, Time,
-    arrange::{Arranger, PlacementRules},
+    placement::{GroupScheduler, PlacementRules},
     retry::{RetryRules, RetryWindow},
     routes::RouteTable,
 };
@@ -166,7 +166,7 @@
     /// The same in messages.
     pub tag: GroupTag,
     /// Decides where requests go.
-    pub arranger: Mutex<Arranger>,
+    pub scheduler: Mutex<GroupScheduler>,
     /// Where its endpoints listen.
     pub addresses: RwLock<IndexMap<EndpointId, SocketAddr>>,
     retries: Mutex<RetryWindow>,
@@ -178,7 +178,7 @@
         Group {
             tag: GroupTag::from(&name),
             name,
-            arranger: Mutex::new(Arranger::with_rules(placement, seed)),
+            scheduler: Mutex::new(GroupScheduler::with_rules(placement, seed)),
             addresses: RwLock::default(),
             retries: Mutex::default(),
         }
