--- a/crates/daemon/src/admin/publish.rs
+++ b/crates/daemon/src/admin/publish.rs
@@ -204,7 +204,7 @@
         status: StatusCode::ServiceUnavailable,
         code: "log_unavailable",
         message: "this instance has not read the configuration stream to its end".to_owned(),
-        ran: policy::Ran::No,
+        ran: policy::RunStatus::No,
         retry_after: Some(Duration::from_secs(1)),
     }
 }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http_types::StatusCode;
-use policy::{FailCause, Failure, Ran, Refusal, RefusalReason};
+use policy::{FailCause, Failure, Refusal, RefusalReason, RunStatus};
 use serde::Serialize;
 
 /// Why a call has no answer.
@@ -17,7 +17,7 @@
     /// A sentence for people.
     pub message: String,
     /// Whether the call was run.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When asking again is likely to succeed; absent where it won't.
     pub retry_after: Option<Duration>,
 }
@@ -25,7 +25,7 @@
 impl CallError {
     /// An error in the call itself, which therefore was not run.
     pub fn caller(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
-        CallError { status, code, message: message.into(), ran: Ran::No, retry_after: None }
+        CallError { status, code, message: message.into(), ran: RunStatus::No, retry_after: None }
     }
 
     /// A malformed call.
@@ -62,7 +62,7 @@
 struct ErrorContent<'a> {
     code: &'a str,
     message: &'a str,
-    ran: Ran,
+    ran: RunStatus,
     retry_after: Option<f64>,
 }
 
@@ -75,7 +75,7 @@
             status,
             code: refusal.reason.as_str(),
             message: message.to_owned(),
-            ran: Ran::No,
+            ran: RunStatus::No,
             retry_after: (!final_for_good).then_some(refusal.retry_after),
         }
     }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -5,7 +5,7 @@
 use futures_lite::FutureExt;
 use http_types::StatusCode;
 use policy::{
-    Outcome, Ran, Refusal, RefusalReason,
+    Outcome, Refusal, RefusalReason, RunStatus,
     ledger::{Answer as KeptAnswer, CallKey, MAX_KEPT_BODY},
 };
 use protocols::log::http::HttpLog;
@@ -113,13 +113,13 @@
             claim.unknown();
             Ok(stream)
         }
-        Err(e) if e.ran == Ran::No => {
+        Err(e) if e.ran == RunStatus::No => {
             let ran = claim.not_run();
             Err(CallError { ran, ..e })
         }
         Err(e) => {
             claim.unknown();
-            Err(CallError { ran: Ran::Unknown, ..e })
+            Err(CallError { ran: RunStatus::Unknown, ..e })
         }
     }
 }
@@ -165,7 +165,7 @@
             message: "the call was not run now, and whether one with its key ran before can't be \
                       looked up"
                 .to_owned(),
-            ran: Ran::Unknown,
+            ran: RunStatus::Unknown,
             ..log_down()
         },
         ClaimOutcome::KeyTooOld => CallError {
@@ -174,7 +174,7 @@
             message: "the Idempotency-Key is older than what is remembered; the call was not run \
                       now, and may have run before"
                 .to_owned(),
-            ran: Ran::Unknown,
+            ran: RunStatus::Unknown,
             retry_after: None,
         },
         ClaimOutcome::KeyFromTheFuture => CallError::malformed(
@@ -192,7 +192,7 @@
                 "the call ran and was answered with status {}; the answer was too large to be kept",
                 answer.status
             ),
-            ran: Ran::Yes,
+            ran: RunStatus::Yes,
             retry_after: None,
         });
     };
@@ -209,7 +209,7 @@
         status: StatusCode::GatewayTimeout,
         code: "outcome_unknown",
         message: "whether the call ran can't be told; it isn't run again".to_owned(),
-        ran: Ran::Unknown,
+        ran: RunStatus::Unknown,
         retry_after: Some(ASK_AGAIN),
     }
 }
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use policy::{FailCause, Failure, Ran, Time};
+use policy::{FailCause, Failure, RunStatus, Time};
 
 use crate::{
     error::CallError,
@@ -39,7 +39,7 @@
         let span = received.route.rules.limits.deadline(asked);
         let deadline = received.record.arrived + span;
         if deadline <= self.shared.clock.now() {
-            return Err(expired(Ran::No));
+            return Err(expired(RunStatus::No));
         }
         received.conn.cut_at(deadline + WRITE_GRACE);
         self.next.handle(Timed { received, deadline }).await
@@ -48,7 +48,7 @@
 
 /// What a caller hears whose request didn't end in time. It may come back at once: how soon asking
 /// again would succeed, only the scheduler can tell.
-pub(super) fn expired(ran: Ran) -> CallError {
+pub(super) fn expired(ran: RunStatus) -> CallError {
     let retry_after = Duration::from_secs(1);
     Failure { cause: FailCause::Deadline, ran, retry_after }.into()
 }
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -4,7 +4,7 @@
 
 use futures_lite::FutureExt;
 use http_types::StatusCode;
-use policy::{Decision, Event, FailCause, Failure, Outcome, Ran, Start, Tokens};
+use policy::{Decision, Event, FailCause, Failure, Outcome, RunStatus, Start, Tokens};
 use protocols::engine::run::FinalAnswer;
 use smol::channel::Sender;
 
@@ -142,15 +142,15 @@
         let Driver { shared, timed, ticket, work, replies, output, runs } = self;
         let record = &timed.received.record;
         let ran = match (runs, output.offset) {
-            (0, _) => Ran::No,
-            (_, 0) => Ran::Unknown,
-            _ => Ran::Yes,
+            (0, _) => RunStatus::No,
+            (_, 0) => RunStatus::Unknown,
+            _ => RunStatus::Yes,
         };
         let (outcome, reply) = match end {
             End::Finished => {
                 let mut id = String::new();
                 record.note(|facts| {
-                    (facts.outcome, facts.ran) = ("finished", Ran::Yes);
+                    (facts.outcome, facts.ran) = ("finished", RunStatus::Yes);
                     id.clone_from(&facts.request_id);
                 });
                 let prompt =
@@ -192,7 +192,7 @@
 
 fn forgotten() -> Failure {
     let retry_after = std::time::Duration::from_secs(1);
-    Failure { cause: FailCause::NoEndpoint, ran: Ran::Unknown, retry_after }
+    Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
 
 /// The most of an engine's own words that an error repeats.
@@ -204,7 +204,7 @@
         status: StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway),
         code: "refused_by_engine",
         message: format!("the engine refused the request: {words}"),
-        ran: Ran::Unknown,
+        ran: RunStatus::Unknown,
         retry_after: None,
     }
 }
--- a/crates/daemon/src/filter/dispatch/mod.rs
+++ b/crates/daemon/src/filter/dispatch/mod.rs
@@ -15,7 +15,7 @@
 };
 
 use futures_lite::FutureExt;
-use policy::{FailCause, Failure, Ran};
+use policy::{FailCause, Failure, RunStatus};
 use smol::channel::{Receiver, bounded};
 
 use crate::{
@@ -101,5 +101,5 @@
 
 fn driver_gone() -> CallError {
     let retry_after = std::time::Duration::from_secs(1);
-    Failure { cause: FailCause::BadAnswer, ran: Ran::Unknown, retry_after }.into()
+    Failure { cause: FailCause::BadAnswer, ran: RunStatus::Unknown, retry_after }.into()
 }
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -3,7 +3,9 @@
 use std::{sync::Arc, time::Duration};
 
 use futures_lite::FutureExt;
-use policy::{Decision, Event, FailCause, Failure, Outcome, Ran, RefusalReason, Start, Tokens};
+use policy::{
+    Decision, Event, FailCause, Failure, Outcome, RefusalReason, RunStatus, Start, Tokens,
+};
 use protocols::{
     engine::wire::FENCING,
     service::{Header, ServiceAnswer, ServiceCall, ServiceError, http::HttpService},
@@ -47,11 +49,11 @@
         End::HungUp
     };
     let end = call.follow(ticket).or(hung_up).or(late).await;
-    let ran = if call.sent { Ran::Unknown } else { Ran::No };
+    let ran = if call.sent { RunStatus::Unknown } else { RunStatus::No };
     let record = admitted.timed.received.record.clone();
     match end {
         End::Answered(answer) => {
-            record.note(|facts| (facts.outcome, facts.ran) = ("finished", Ran::Yes));
+            record.note(|facts| (facts.outcome, facts.ran) = ("finished", RunStatus::Yes));
             admitted.ticket.end(Outcome::Finished { prompt: Tokens::ZERO, output: Tokens::ZERO });
             Ok(Answer::Whole(whole(answer)))
         }
@@ -180,7 +182,7 @@
 
 fn forgotten() -> Failure {
     let retry_after = Duration::from_secs(1);
-    Failure { cause: FailCause::NoEndpoint, ran: Ran::Unknown, retry_after }
+    Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
 
 fn hung_up_error() -> CallError {
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use http_types::{Body, Method, Request, StatusCode};
-use policy::{EndpointGroup, Ran, Refusal, RefusalReason, config::Version};
+use policy::{EndpointGroup, Refusal, RefusalReason, RunStatus, config::Version};
 use protocols::service::Header;
 
 use crate::{
@@ -133,7 +133,7 @@
             status: StatusCode::ServiceUnavailable,
             code: "not_ready",
             message: "this instance has no configuration yet".to_owned(),
-            ran: Ran::No,
+            ran: RunStatus::No,
             retry_after: Some(COME_BACK),
         });
     }
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_lite::{AsyncReadExt, FutureExt, future::yield_now};
 use http_types::{Body, StatusCode};
-use policy::{Fingerprint, Model, Ran, Tokens, Workspace, config::RouteRules};
+use policy::{Fingerprint, Model, RunStatus, Tokens, Workspace, config::RouteRules};
 use smol::Timer;
 use xxhash_rust::xxh3::xxh3_128;
 
@@ -159,7 +159,7 @@
         status: StatusCode::ServiceUnavailable,
         code: "busy",
         message: "too many large requests are coming in at once".to_owned(),
-        ran: Ran::No,
+        ran: RunStatus::No,
         retry_after: Some(Duration::from_secs(2)),
     }
 }
--- a/crates/daemon/src/ledger/claim.rs
+++ b/crates/daemon/src/ledger/claim.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use policy::{
-    Offset, Ran,
+    Offset, RunStatus,
     ledger::{Answer, CallKey, Entry, GivenUp},
 };
 use protocols::log::Log;
@@ -54,10 +54,10 @@
     }
 
     /// Gives the call up. What the caller may be told of it.
-    pub fn not_run(mut self) -> Ran {
+    pub fn not_run(mut self) -> RunStatus {
         match self.give_up() {
-            Some(GivenUp::NotRun) => Ran::No,
-            _ => Ran::Unknown,
+            Some(GivenUp::NotRun) => RunStatus::No,
+            _ => RunStatus::Unknown,
         }
     }
 
--- a/crates/daemon/src/ledger/decide.rs
+++ b/crates/daemon/src/ledger/decide.rs
@@ -1,6 +1,6 @@
 //! What a call does next, by what is known of its key.
 
-use policy::ledger::{Answer, Ledger, Phase, Standing};
+use policy::ledger::{Answer, KeyState, Ledger, Phase};
 use smol::channel::Receiver;
 
 use super::{ClaimOutcome, ClaimRequest};
@@ -54,7 +54,7 @@
 
 /// Judges a call by what its key's stream says.
 pub(super) fn judge(
-    standing: &Standing,
+    standing: &KeyState,
     ledger: &Ledger,
     req: &ClaimRequest,
     waited: bool,
--- a/crates/daemon/src/peer/compact.rs
+++ b/crates/daemon/src/peer/compact.rs
@@ -9,7 +9,7 @@
 
 use indexmap::IndexSet;
 use policy::{
-    BANDS, Deployment, EndpointId, Incarnation, LoadDigest, ReservationWish, TokenRate, Tokens,
+    BANDS, Deployment, EndpointId, Incarnation, LoadDigest, PendingReservation, TokenRate, Tokens,
     Workspace,
     quarantine::Entry,
     report::{EndpointShare, WorkspaceShare},
@@ -48,7 +48,7 @@
     workspaces: Vec<CompactWorkspace>,
     queued: [Tokens; BANDS],
     demand: [f32; BANDS],
-    wishes: Vec<ReservationWish>,
+    wishes: Vec<PendingReservation>,
     suspicions: Vec<Entry>,
     suspects_at: Vec<EndpointId>,
     longs_late: bool,
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexSet;
 use policy::{
     Deployment, Incarnation, InstanceId, LoadDigest,
-    digest::Teller,
+    digest::DigestSender,
     membership::{ListLine, owners::OwnerLife},
 };
 use protocols::instances::{ListPage, ListedState, Role};
@@ -73,7 +73,7 @@
         let mut state = self.lock();
         let budget = self.load_budget(&state);
         let load = state.loads.entry(deployment.clone()).or_insert_with(|| OwnLoad {
-            teller: Teller::new(budget, now),
+            teller: DigestSender::new(budget, now),
             digest: digest.clone(),
         });
         load.digest = digest;
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use policy::{
     DataCentre, Deployment, Incarnation, InstanceId, LoadDigest, Time,
-    digest::{Listener, Teller},
+    digest::{DigestReceiver, DigestSender},
     membership::{Evidence, Membership},
     topology::{self, Placed},
 };
@@ -36,7 +36,7 @@
 
 /// What this instance told of one deployment.
 pub(super) struct OwnLoad {
-    pub(super) teller: Teller,
+    pub(super) teller: DigestSender,
     pub(super) digest: LoadDigest,
 }
 
@@ -52,7 +52,7 @@
     pub(super) sent: Time,
     /// Whether the peer has said on this link that it is leaving.
     pub(super) leaving: bool,
-    pub(super) listeners: IndexMap<Deployment, Listener>,
+    pub(super) listeners: IndexMap<Deployment, DigestReceiver>,
     /// Dropping it ends the link shortly after.
     pub(super) _stop: Sender<()>,
 }
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use policy::{Deployment, EndpointId, FailCause, Ran, RequestId, Time, Tokens, Workspace};
+use policy::{Deployment, EndpointId, FailCause, RequestId, RunStatus, Time, Tokens, Workspace};
 
 use crate::{clock::Clock, endpoint::lock, metrics::Metrics};
 
@@ -32,7 +32,7 @@
     /// `finished`, or the error's code.
     pub outcome: &'static str,
     /// Whether it was run.
-    pub ran: Ran,
+    pub ran: RunStatus,
 }
 
 /// Follows one request. It is shared by all that work on the request; the last of them to let go
@@ -72,7 +72,7 @@
             first_token: None,
             status: 0,
             outcome: "hung_up",
-            ran: Ran::No,
+            ran: RunStatus::No,
         };
         let arrived = clock.now();
         CallRecord { id, arrived, clock, metrics, facts: Mutex::new(facts), _open: open }
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -10,7 +10,7 @@
 use std::{sync::Arc, time::Duration};
 
 use http_types::StatusCode;
-use policy::Ran;
+use policy::RunStatus;
 use smol::{Timer, net::TcpListener};
 
 use crate::{error::CallError, filter::Chain, server::connection::Connection, shared::Shared};
@@ -70,7 +70,7 @@
         status: StatusCode::ServiceUnavailable,
         code: "connections",
         message: "too many connections are open here".to_owned(),
-        ran: Ran::No,
+        ran: RunStatus::No,
         retry_after: Some(Duration::from_secs(1)),
     }
 }
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -9,7 +9,7 @@
     ledger::{ClaimOutcome, ClaimRequest, Ledger, LedgerConfig, RunClaim},
 };
 use policy::{
-    EndpointGroup, Fingerprint, Incarnation, InstanceId, Ran, Workspace,
+    EndpointGroup, Fingerprint, Incarnation, InstanceId, RunStatus, Workspace,
     ledger::{Answer, CallKey, Writer},
 };
 use protocols::log::http::HttpLog;
@@ -189,7 +189,7 @@
 fn a_call_given_up_before_it_was_sent_may_run_later() {
     let log = LogService::start(LogConfig::default()).unwrap();
     let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    assert_eq!(won(a.claim("k")).not_run(), Ran::No);
+    assert_eq!(won(a.claim("k")).not_run(), RunStatus::No);
     until(|| match b.claim_for("k", 1, PATIENCE) {
         ClaimOutcome::Run(claim) => {
             assert!(claim.begin_sending());
@@ -216,7 +216,7 @@
     let second = b.clone();
     let waiting = thread::spawn(move || name(&second.claim("k")));
     until(|| b.ledger.waiting() == 1);
-    assert_eq!(claim.not_run(), Ran::No);
+    assert_eq!(claim.not_run(), RunStatus::No);
     assert_eq!(waiting.join().unwrap(), "not run");
     run(&b, "k", "x");
 }
--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -29,8 +29,8 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    Admission, FailCause, Forecast, Ran, Refusal, RefusalReason, RequestSpec, Time, TokenRate,
-    Tokens, quarantine::Standing,
+    Admission, FailCause, Forecast, Refusal, RefusalReason, RequestSpec, RunStatus, Time,
+    TokenRate, Tokens, quarantine::QuarantineState,
 };
 
 use super::{
@@ -89,7 +89,7 @@
         if let Some(over) = state.over_limit(instances, seconds(now)) {
             return Err(self.refusal(RefusalReason::OverLimit, over));
         }
-        if let Standing::Refused(left) = self.quarantine.standing(req.fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.quarantine.standing(req.fingerprint, now) {
             return Err(Refusal::new(RefusalReason::Quarantined, left));
         }
         if self.fleet.usable == 0 {
@@ -334,13 +334,13 @@
     }
 
     /// What may be said of a request's run when it is given up now.
-    pub(super) fn ran(entry: &Entry) -> Ran {
+    pub(super) fn ran(entry: &Entry) -> RunStatus {
         match &entry.state {
-            _ if entry.passed_on.0 > 0 => Ran::Yes,
-            State::Running(attempt) if attempt.first_token.is_some() => Ran::Yes,
-            State::Running(_) => Ran::Unknown,
-            _ if entry.may_have_run => Ran::Unknown,
-            _ => Ran::No,
+            _ if entry.passed_on.0 > 0 => RunStatus::Yes,
+            State::Running(attempt) if attempt.first_token.is_some() => RunStatus::Yes,
+            State::Running(_) => RunStatus::Unknown,
+            _ if entry.may_have_run => RunStatus::Unknown,
+            _ => RunStatus::No,
         }
     }
 }
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -8,7 +8,7 @@
 //!
 //! **Rule.** An engine gets only so much prefill ahead that it doesn't run dry before it can get
 //! more: a budget in predicted seconds for each band (see [`super::class`]), not a number of
-//! requests. All else waits here. Which engine it is, [`crate::place`] chooses among those with
+//! requests. All else waits here. Which engine it is, [`crate::selection`] chooses among those with
 //! room. Short prompts have the higher engine priority, so their budget counts
 //! short ones only. The cost of an engine is the prompt's own predicted first token, weighted by
 //! its class, and the delay of those that it would overtake there, weighted by theirs; so short
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -22,8 +22,8 @@
 use std::time::Duration;
 
 use crate::{
-    Decision, FailCause, Failure, Fingerprint, RequestId, Time, Tokens, quarantine::Standing,
-    retry::backoff,
+    Decision, FailCause, Failure, Fingerprint, RequestId, Time, Tokens,
+    quarantine::QuarantineState, retry::backoff,
 };
 
 use super::{
@@ -142,7 +142,10 @@
         if entry.may_have_run && !entry.req.repeatable {
             return Some(cause);
         }
-        if matches!(self.quarantine.standing(entry.req.fingerprint, now), Standing::Refused(_)) {
+        if matches!(
+            self.quarantine.standing(entry.req.fingerprint, now),
+            QuarantineState::Refused(_)
+        ) {
             return Some(FailCause::Quarantined);
         }
         if entry.failures >= MAX_FAILURES || entry.attempts >= MAX_ATTEMPTS {
--- a/crates/policy/src/adaptive/overview.rs
+++ b/crates/policy/src/adaptive/overview.rs
@@ -21,7 +21,7 @@
     request::Entry,
     seconds,
 };
-use crate::{BANDS, EndpointId, Time, health::Standing};
+use crate::{BANDS, EndpointId, Time, health::HealthState};
 
 impl AdaptiveScheduler {
     /// Looks at the whole fleet: what is typical, what stands on the engines, and which of them
@@ -111,8 +111,8 @@
         }
         for endpoint in self.fleet.endpoints.values_mut() {
             endpoint.caution = match self.health.standing(&endpoint.id, now) {
-                Standing::Usable(caution) => caution,
-                Standing::Out => f64::INFINITY,
+                HealthState::Usable(caution) => caution,
+                HealthState::Out => f64::INFINITY,
             };
         }
     }
@@ -121,7 +121,7 @@
     /// probes all the time, and an endpoint that answers probes may still fail its calls.
     pub(super) fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time) {
         self.probes.extend(self.health.due_probes(now));
-        let is_out = self.health.standing(endpoint, now) == Standing::Out;
+        let is_out = self.health.standing(endpoint, now) == HealthState::Out;
         let due = self.probes.iter().position(|probe| probe == endpoint);
         if let Some(index) = due {
             self.probes.swap_remove(index);
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -18,7 +18,7 @@
 
 use indexmap::IndexMap;
 
-use crate::{Incarnation, InstanceId, LoadDigest, ReservationWish, Time};
+use crate::{Incarnation, InstanceId, LoadDigest, PendingReservation, Time};
 
 use super::{endpoint::ByBand, workspaces::Workspaces};
 
@@ -46,7 +46,7 @@
 pub(super) struct PeerWish<'a> {
     pub(super) instance: &'a InstanceId,
     pub(super) waited: Duration,
-    pub(super) wish: &'a ReservationWish,
+    pub(super) wish: &'a PendingReservation,
 }
 
 impl Peers {
--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     BANDS, EndpointId, RequestId, Shard, Time, Tokens,
-    report::{ReservationWish, WishPart},
+    report::{PendingReservation, PendingReservationPart},
 };
 
 use super::{
@@ -46,7 +46,7 @@
 pub(super) struct Plan {
     pub(super) request: RequestId,
     made: Time,
-    parts: Vec<WishPart>,
+    parts: Vec<PendingReservationPart>,
 }
 
 impl AdaptiveScheduler {
@@ -79,11 +79,11 @@
     }
 
     /// This instance's wish, for the others.
-    pub(super) fn wishes(&self, now: Time) -> Vec<ReservationWish> {
+    pub(super) fn wishes(&self, now: Time) -> Vec<PendingReservation> {
         let wish = |plan: &Plan| {
             let entry = self.requests.get(&plan.request)?;
             let waited = now.since(entry.req.arrived);
-            Some(ReservationWish { waited, parts: plan.parts.clone() })
+            Some(PendingReservation { waited, parts: plan.parts.clone() })
         };
         self.plan.iter().filter_map(wish).collect()
     }
@@ -120,7 +120,7 @@
 
     /// The fewest engines, those with the most room first, whose memory holds the prompt; in the
     /// order of their ids.
-    fn choose_parts(&self, request: RequestId) -> Option<Vec<WishPart>> {
+    fn choose_parts(&self, request: RequestId) -> Option<Vec<PendingReservationPart>> {
         let entry = self.requests.get(&request)?;
         let mut engines: Vec<&Endpoint> = self
             .fleet
@@ -134,9 +134,9 @@
         let chosen = fewest(&engines, needed, USABLE - SHORT_KEEP)
             .or_else(|| fewest(&engines, needed, USABLE))?;
         let memory: f64 = chosen.iter().map(|endpoint| endpoint.memory).sum();
-        let mut parts: Vec<WishPart> = chosen
+        let mut parts: Vec<PendingReservationPart> = chosen
             .iter()
-            .map(|endpoint| WishPart {
+            .map(|endpoint| PendingReservationPart {
                 endpoint: endpoint.id.clone(),
                 tokens: whole(needed * endpoint.memory / memory),
             })
@@ -159,14 +159,14 @@
         drain(&mut self.fleet, &parts);
     }
 
-    fn has_room(&self, part: &WishPart, is_first: bool, now: Time) -> bool {
+    fn has_room(&self, part: &PendingReservationPart, is_first: bool, now: Time) -> bool {
         self.fleet.get(&part.endpoint).is_some_and(|endpoint| {
             let free = if is_first { endpoint.free_for_drain() } else { endpoint.free(LONGEST) };
             endpoint.usable() && endpoint.full_until <= now && free >= part.tokens.0 as f64
         })
     }
 
-    fn shard(&self, part: &WishPart) -> Option<Shard> {
+    fn shard(&self, part: &PendingReservationPart) -> Option<Shard> {
         let endpoint = self.fleet.get(&part.endpoint)?;
         Some(Shard {
             endpoint: part.endpoint.clone(),
@@ -176,7 +176,7 @@
     }
 }
 
-fn drain(fleet: &mut super::fleet::Fleet, parts: &[WishPart]) {
+fn drain(fleet: &mut super::fleet::Fleet, parts: &[PendingReservationPart]) {
     for part in parts {
         if let Some(endpoint) = fleet.get_mut(&part.endpoint) {
             endpoint.draining = part.tokens.0 as f64;
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -13,7 +13,7 @@
 //! blocks known before it doubtful: they count [`DOUBT`] of their size until seen again. Doubt
 //! only weakens the preference, since the blocks are probably still there. A new incarnation
 //! empties the engine's index. The preference bends to load because placement weighs only the
-//! prefill saved, not the holding as such; see [`crate::place`].
+//! prefill saved, not the holding as such; see [`crate::selection`].
 //!
 //! **Grounds.** [`BLOCKS_PER_ENGINE`] blocks are 2 million tokens, more than an engine's memory as
 //! the brief gives it (the longest prompts, a million tokens, need more than twice one engine's);
--- a/crates/policy/src/baseline/naive.rs
+++ b/crates/policy/src/baseline/naive.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     Admission, Decision, EndpointChange, EndpointId, Event, FailCause, Failure, Incarnation,
-    InstanceId, LoadDigest, Priority, Ran, RequestId, RequestSpec, Scheduler, Shard, Start, Time,
-    Tokens, config, scheduler::EndpointState,
+    InstanceId, LoadDigest, Priority, RequestId, RequestSpec, RunStatus, Scheduler, Shard, Start,
+    Time, Tokens, config, scheduler::EndpointState,
 };
 
 /// Attempts for one request. High enough for a retry storm to build up, as it does in the field
@@ -134,7 +134,7 @@
         }
     }
 
-    fn fail(&mut self, request: RequestId, cause: FailCause, ran: Ran) {
+    fn fail(&mut self, request: RequestId, cause: FailCause, ran: RunStatus) {
         self.forget(request);
         let failure = Failure { cause, ran, retry_after: RETRY_AFTER };
         self.failed.push(Decision::Fail { request, failure });
@@ -152,7 +152,7 @@
             self.queue.push_back(request);
             return;
         }
-        let ran = if not_run && attempt == 1 { Ran::No } else { Ran::Unknown };
+        let ran = if not_run && attempt == 1 { RunStatus::No } else { RunStatus::Unknown };
         self.fail(request, cause, ran);
     }
 
@@ -163,7 +163,7 @@
             }
             let request = due.request;
             let sent = self.requests.get(&request).is_some_and(|entry| entry.attempt > 0);
-            let ran = if sent { Ran::Unknown } else { Ran::No };
+            let ran = if sent { RunStatus::Unknown } else { RunStatus::No };
             self.fail(request, FailCause::Deadline, ran);
         }
     }
--- a/crates/policy/src/digest.rs
+++ b/crates/policy/src/digest.rs
@@ -69,7 +69,7 @@
 
 /// Chooses what to tell. One for each deployment, for all peers alike.
 #[derive(Debug)]
-pub struct Teller {
+pub struct DigestSender {
     bytes_per_second: f64,
     saved: f64,
     last: Time,
@@ -92,11 +92,11 @@
     at: Time,
 }
 
-impl Teller {
+impl DigestSender {
     /// Tells at most so many bytes a second, averaged over some seconds.
-    pub fn new(bytes_per_second: u32, now: Time) -> Teller {
+    pub fn new(bytes_per_second: u32, now: Time) -> DigestSender {
         let bytes_per_second = f64::from(bytes_per_second);
-        Teller {
+        DigestSender {
             bytes_per_second,
             saved: bytes_per_second * SAVED_SECONDS,
             last: now,
@@ -337,14 +337,14 @@
 
 /// Puts the parts of another instance's digest together again.
 #[derive(Debug, Default)]
-pub struct Listener {
+pub struct DigestReceiver {
     whole: Option<LoadDigest>,
 }
 
-impl Listener {
+impl DigestReceiver {
     /// Nothing was heard yet.
-    pub fn new() -> Listener {
-        Listener::default()
+    pub fn new() -> DigestReceiver {
+        DigestReceiver::default()
     }
 
     /// Takes in a part and gives the whole as known now; none where the part is older than what is
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -44,7 +44,7 @@
 
 /// What an instance knows of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vouch {
+pub struct Freshness {
     /// Nothing was there at this position or beyond.
     pub position: Position,
     /// How long ago that was so at least, when it was told.
@@ -53,20 +53,20 @@
 
 /// What a peer's answer says of one's own knowledge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum FreshnessCheck {
     /// Nothing was missing this long ago.
     Complete(Duration),
     /// The peer has read further.
     Behind,
 }
 
-impl Vouch {
+impl Freshness {
     /// What it says of an instance that has read up to `mine` and asked `since_asked` ago, by a clock that
     /// counts suspends.
-    pub fn says_of(&self, mine: Position, since_asked: Duration) -> Word {
+    pub fn check(&self, mine: Position, since_asked: Duration) -> FreshnessCheck {
         match self.position > mine {
-            true => Word::Behind,
-            false => Word::Complete(self.age_after(since_asked)),
+            true => FreshnessCheck::Behind,
+            false => FreshnessCheck::Complete(self.age_after(since_asked)),
         }
     }
 
--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -66,7 +66,7 @@
 
 /// Whether and how cautiously an endpoint may be used.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum HealthState {
     /// It may be used; its cost is multiplied by this number, which is at least 1.
     Usable(f64),
     /// It gets nothing but probes.
@@ -138,7 +138,7 @@
     }
 
     /// Takes note of a failed attempt. Causes that say nothing about the endpoint are ignored, and
-    /// so is silence, which [`silence::Judge`] looks into first.
+    /// so is silence, which [`silence::SilenceDetector`] looks into first.
     pub fn failed(&mut self, endpoint: &EndpointId, cause: FailCause) {
         let Some(record) = self.records.get_mut(endpoint) else {
             return;
@@ -209,14 +209,14 @@
 
     /// Whether and how cautiously to use an endpoint. Where all are out, all may be used, as a
     /// chance is better than none.
-    pub fn standing(&self, endpoint: &EndpointId, now: Time) -> Standing {
+    pub fn standing(&self, endpoint: &EndpointId, now: Time) -> HealthState {
         let Some(record) = self.records.get(endpoint) else {
-            return Standing::Usable(1.0);
+            return HealthState::Usable(1.0);
         };
         if record.is_out() && self.records.values().any(|record| !record.is_out()) {
-            return Standing::Out;
+            return HealthState::Out;
         }
-        Standing::Usable(record.caution(self.median, now))
+        HealthState::Usable(record.caution(self.median, now))
     }
 
     /// The endpoints whose probe is due. Each is given out once until its probe has ended or got
--- a/crates/policy/src/health/silence.rs
+++ b/crates/policy/src/health/silence.rs
@@ -27,9 +27,9 @@
 }
 
 /// Judges silence for all endpoints of one instance. Bounded by the number of endpoints, as
-/// [`Judge::forget`] drops those that are gone.
+/// [`SilenceDetector::forget`] drops those that are gone.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct SilenceDetector {
     proofs: IndexMap<EndpointId, Proof>,
 }
 
@@ -39,10 +39,10 @@
     alive_at: Option<Time>,
 }
 
-impl Judge {
+impl SilenceDetector {
     /// Nothing is known yet.
-    pub fn new() -> Judge {
-        Judge::default()
+    pub fn new() -> SilenceDetector {
+        SilenceDetector::default()
     }
 
     /// A connection to `endpoint` is silent past its deadline; `last_sign` is when it last gave a
--- a/crates/policy/src/ledger/claimant.rs
+++ b/crates/policy/src/ledger/claimant.rs
@@ -1,6 +1,6 @@
 //! The claimant's own side of a claim: claimed, then sending or abandoned, and never both.
 
-use super::{Claim, ClaimId, Ledger, Phase, Standing, Writer};
+use super::{Claim, ClaimId, KeyState, Ledger, Phase, Writer};
 use crate::{Offset, Time};
 
 /// How far the claimant has come.
@@ -113,6 +113,6 @@
     }
 }
 
-fn holds(standing: &Standing, writer: &Writer, id: ClaimId) -> bool {
+fn holds(standing: &KeyState, writer: &Writer, id: ClaimId) -> bool {
     standing.is_held_by(writer, id) && standing.phase == Phase::Claimed
 }
--- a/crates/policy/src/ledger/fold.rs
+++ b/crates/policy/src/ledger/fold.rs
@@ -52,7 +52,7 @@
 
 /// What is known of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct KeyState {
     /// The present attempt.
     pub attempt: u32,
     /// Who has claimed it.
@@ -77,7 +77,7 @@
     pub phase: Phase,
 }
 
-impl Standing {
+impl KeyState {
     /// The bytes that the answer's body takes.
     fn body_bytes(&self) -> usize {
         match &self.phase {
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone)]
 pub struct Ledger {
     window: Window,
-    keys: HashMap<CallKey, Standing>,
+    keys: HashMap<CallKey, KeyState>,
     /// Keys by when they are forgotten.
     expiry: BTreeSet<(u64, CallKey)>,
     /// Keys whose answer has a body, by when they are forgotten.
@@ -125,7 +125,7 @@
 
 impl Ledger {
     /// What is known of `key`.
-    pub fn standing(&self, key: &CallKey) -> Option<&Standing> {
+    pub fn standing(&self, key: &CallKey) -> Option<&KeyState> {
         self.keys.get(key)
     }
 
@@ -217,7 +217,7 @@
         }
         let made_ms = claim.key.made_ms().unwrap_or(0);
         let expires_ms = made_ms.max(stamp.time_ms).saturating_add(millis(self.window.0));
-        let standing = Standing {
+        let standing = KeyState {
             attempt: claim.attempt,
             writer: writer.clone(),
             claim: id,
@@ -240,7 +240,7 @@
         key: CallKey,
         writer: &Writer,
         claim: ClaimId,
-        step: impl FnOnce(&Standing) -> Option<Phase>,
+        step: impl FnOnce(&KeyState) -> Option<Phase>,
     ) -> Option<CallKey> {
         let standing = self.keys.get_mut(&key)?;
         if !standing.is_held_by(writer, claim) {
--- a/crates/policy/src/ledger/mod.rs
+++ b/crates/policy/src/ledger/mod.rs
@@ -19,6 +19,6 @@
 mod record;
 
 pub use claimant::{Claimant, GivenUp, Step};
-pub use fold::{Ledger, MAX_KEPT_BYTES, Phase, Standing, Window};
+pub use fold::{KeyState, Ledger, MAX_KEPT_BYTES, Phase, Window};
 pub use key::{CallKey, KeyError, KeyTime, MAX_KEY_LEN};
 pub use record::{Answer, Batch, Claim, ClaimId, Entry, MAX_KEPT_BODY, Part, Writer};
--- a/crates/policy/src/ledger/record.rs
+++ b/crates/policy/src/ledger/record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{CallKey, Standing};
+use super::{CallKey, KeyState};
 use crate::{Fingerprint, Incarnation, InstanceId};
 
 /// The largest body kept for callers that send again, in bytes. Confirmations of registrations and
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Part {
     /// Some of the keys.
-    pub keys: Vec<(CallKey, Standing)>,
+    pub keys: Vec<(CallKey, KeyState)>,
     /// The writers, with their last batch and when it came. Only in the first part.
     pub writers: Vec<(Writer, u64, u64)>,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -40,10 +40,12 @@
     Incarnation, InstanceId, Model, RequestId, Workspace,
 };
 pub use replay::Offset;
-pub use report::{BANDS, CacheEvents, LoadDigest, LoadReport, ReservationWish, WishPart};
+pub use report::{
+    BANDS, CacheEvents, LoadDigest, LoadReport, PendingReservation, PendingReservationPart,
+};
 pub use request::{CallKind, RequestSpec};
 pub use scheduler::{
     Admission, Decision, EndpointChange, Event, FailCause, Failure, Forecast, Outcome, Priority,
-    Ran, Refusal, RefusalReason, Scheduler, Shard, Start,
+    Refusal, RefusalReason, RunStatus, Scheduler, Shard, Start,
 };
 pub use units::{Time, TokenRate, Tokens};
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::{Time, health, quarantine::Standing, routes::EngineRules};
+use crate::{Time, health, quarantine::QuarantineState, routes::EngineRules};
 
 use super::{
     Choice, GroupScheduler, Helper, JobId, Placement, PlacementRequest, PlacementRules,
@@ -197,7 +197,7 @@
         now: Time,
     ) -> impl Iterator<Item = (usize, &'a Server)> {
         let usable = self.usable();
-        let is_suspect = self.quarantine.standing(ask.fingerprint, now) != Standing::Clear;
+        let is_suspect = self.quarantine.standing(ask.fingerprint, now) != QuarantineState::Clear;
         self.servers.values().enumerate().filter(move |(_, server)| {
             let member = &server.member;
             let tried = ask
@@ -206,16 +206,16 @@
                 .any(|(id, life)| *id == member.endpoint && *life == member.incarnation);
             let barred = is_suspect
                 && !self.quarantine.may_run(ask.fingerprint, &member.endpoint, usable, now);
-            let is_out = self.health.standing(&member.endpoint, now) == health::Standing::Out;
+            let is_out = self.health.standing(&member.endpoint, now) == health::HealthState::Out;
             !member.leaving && !tried && !barred && (!is_out || server.is_on_trial)
         })
     }
 
     pub(super) fn caution(&self, server: &Server, now: Time) -> f64 {
         match self.health.standing(&server.member.endpoint, now) {
-            health::Standing::Usable(caution) => caution,
+            health::HealthState::Usable(caution) => caution,
             // It is on trial: the probe has to go somewhere.
-            health::Standing::Out => 0.5,
+            health::HealthState::Out => 0.5,
         }
     }
 
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -49,7 +49,7 @@
 use crate::{
     EndpointId, EndpointTag, FailCause, Fingerprint, Incarnation, InstanceId, Time,
     health::Health,
-    quarantine::{Quarantine, Standing},
+    quarantine::{Quarantine, QuarantineState},
     routes::EngineRules,
 };
 
@@ -194,7 +194,7 @@
         now: Time,
     ) -> Result<Placement, PlacementRefusal> {
         self.assess(now);
-        if let Standing::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
             return Err(PlacementRefusal::Quarantined(left));
         }
         self.pauses.note(whole_ms(ask.pause_ms), now);
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -58,7 +58,7 @@
 
 /// What is known against a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// Nothing.
     Clear,
     /// It ran where an endpoint died; it has to run apart from other suspects.
@@ -122,14 +122,14 @@
     }
 
     /// What is known against a fingerprint.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Time) -> Standing {
+    pub fn standing(&self, fingerprint: Fingerprint, now: Time) -> QuarantineState {
         let refused = self.confirmed.get(&fingerprint).map(|c| c.until.since(now));
         if let Some(left) = refused.filter(|left| !left.is_zero()) {
-            return Standing::Refused(left);
+            return QuarantineState::Refused(left);
         }
         match self.suspects.get(&fingerprint) {
-            Some(suspect) if suspect.is_current(now) => Standing::Suspect,
-            _ => Standing::Clear,
+            Some(suspect) if suspect.is_current(now) => QuarantineState::Suspect,
+            _ => QuarantineState::Clear,
         }
     }
 
@@ -145,9 +145,9 @@
         now: Time,
     ) -> bool {
         match self.standing(fingerprint, now) {
-            Standing::Clear => true,
-            Standing::Refused(_) => false,
-            Standing::Suspect => {
+            QuarantineState::Clear => true,
+            QuarantineState::Refused(_) => false,
+            QuarantineState::Suspect => {
                 let beside = self.running.get(endpoint).is_some_and(|other| *other != fingerprint);
                 let heard = self.heard.get(endpoint).is_some_and(|at| now.since(*at) < HEARD_FOR);
                 let spared = healthy > 1 || self.has_waited(fingerprint, now);
@@ -170,7 +170,7 @@
 
     /// Takes note that a fingerprint was sent to an endpoint.
     pub fn started(&mut self, fingerprint: Fingerprint, endpoint: &EndpointId, now: Time) {
-        if self.standing(fingerprint, now) == Standing::Suspect {
+        if self.standing(fingerprint, now) == QuarantineState::Suspect {
             self.running.insert(endpoint.clone(), fingerprint);
         }
     }
@@ -225,7 +225,7 @@
     }
 
     fn entry(&self, fingerprint: &Fingerprint, now: Time) -> Option<Entry> {
-        if let Standing::Refused(left) = self.standing(*fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.standing(*fingerprint, now) {
             let refused_ms = millis(left);
             let fingerprint = *fingerprint;
             return Some(Entry { fingerprint, deaths: CONFIRMED_AT, death_age_ms: 0, refused_ms });
@@ -249,7 +249,7 @@
             return;
         }
         let age = Duration::from_millis(entry.death_age_ms);
-        if self.standing(entry.fingerprint, now) != Standing::Clear || age >= SUSPECT_FOR {
+        if self.standing(entry.fingerprint, now) != QuarantineState::Clear || age >= SUSPECT_FOR {
             return;
         }
         make_room(&mut self.suspects, MAX_SUSPECTS, |suspect| suspect.last_death);
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -59,7 +59,7 @@
     /// Prompt tokens a second admitted here of late, by band of prompt length.
     pub demand: [TokenRate; BANDS],
     /// Prompts that wait here for the memory of several engines, longest wait first.
-    pub wishes: Vec<ReservationWish>,
+    pub wishes: Vec<PendingReservation>,
     /// Whether a long prompt of this instance is starved by short ones.
     pub longs_late: bool,
     /// Fingerprints under suspicion of crashing endpoints, and those refused for it; at most
@@ -97,16 +97,16 @@
 
 /// A prompt that waits for the memory of several engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReservationWish {
+pub struct PendingReservation {
     /// How long it has waited.
     pub waited: Duration,
     /// What it needs of which engine, in the order of their ids.
-    pub parts: Vec<WishPart>,
+    pub parts: Vec<PendingReservationPart>,
 }
 
 /// Memory wished for on one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct WishPart {
+pub struct PendingReservationPart {
     /// The engine.
     pub endpoint: EndpointId,
     /// How much.
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -199,7 +199,7 @@
 /// Whether a request that failed was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum RunStatus {
     /// It was not run and won't be.
     No,
     /// It was run.
@@ -214,7 +214,7 @@
     /// Why it failed.
     pub cause: FailCause,
     /// Whether it was run.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When asking again is likely to succeed.
     pub retry_after: Duration,
 }
--- a/crates/policy/tests/any_events.rs
+++ b/crates/policy/tests/any_events.rs
@@ -10,8 +10,8 @@
 
 use policy::{
     Admission, AnyScheduler, CallKind, Decision, EndpointChange, EndpointId, Event, FailCause,
-    Fingerprint, Incarnation, LoadReport, Outcome, Ran, RequestId, RequestSpec, Scheduler, Shard,
-    Time, Tokens,
+    Fingerprint, Incarnation, LoadReport, Outcome, RequestId, RequestSpec, RunStatus, Scheduler,
+    Shard, Time, Tokens,
     config::{DeploymentRules, PolicyName, WorkspaceTable},
     scheduler::EndpointState,
 };
@@ -175,7 +175,10 @@
                 Decision::Fail { request, failure } => {
                     let attempt = self.open.remove(&request).expect("a request ended twice");
                     let ran = attempt.is_some() || self.may_have_run.contains(&request);
-                    assert!(failure.ran != Ran::No || !ran, "a wrong word that it did not run");
+                    assert!(
+                        failure.ran != RunStatus::No || !ran,
+                        "a wrong word that it did not run"
+                    );
                 }
                 Decision::Cancel { .. } => {}
                 Decision::Start(start) => {
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -8,7 +8,7 @@
 use policy::{
     EndpointId, Fingerprint, Incarnation, InstanceId, LoadDigest, Time, TokenRate, Tokens,
     Workspace,
-    digest::{ENTRY_BYTES, Listener, PART_BYTES, REFRESH, Teller},
+    digest::{DigestReceiver, DigestSender, ENTRY_BYTES, PART_BYTES, REFRESH},
     quarantine::Entry,
     report::{EndpointShare, WorkspaceShare},
 };
@@ -42,7 +42,7 @@
     second: Vec<EndpointShare>,
     gap: Duration,
 ) -> Vec<EndpointShare> {
-    let mut teller = Teller::new(100_000, at(0));
+    let mut teller = DigestSender::new(100_000, at(0));
     teller.part(&digest(1, first), at(0));
     let part = teller.part(&digest(2, second), at(0) + gap);
     part.map(|part| part.endpoints).unwrap_or_default()
@@ -79,8 +79,8 @@
 /// requests are sent behind it.
 #[test]
 fn an_unchanged_view_is_confirmed() {
-    let mut teller = Teller::new(100_000, at(0));
-    let mut listener = Listener::new();
+    let mut teller = DigestSender::new(100_000, at(0));
+    let mut listener = DigestReceiver::new();
     let mut heard = Vec::new();
     for period in 0..60 {
         let load = digest(period + 1, vec![share(1, 900_000)]);
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_greatest_changes_go_first_within_the_budget() {
-    let mut teller = Teller::new((PART_BYTES + ENTRY_BYTES * 4) as u32, at(0));
+    let mut teller = DigestSender::new((PART_BYTES + ENTRY_BYTES * 4) as u32, at(0));
     let load: Vec<EndpointShare> = (0..100).map(|n| share(n, 1_000 * n as u64)).collect();
     let part = teller.part(&digest(1, load), at(0)).unwrap();
     let told: Vec<String> = part.endpoints.iter().map(|s| s.endpoint.to_string()).collect();
@@ -108,8 +108,8 @@
 fn the_parts_add_up_to_the_whole() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
-        let mut teller = Teller::new(400, at(0));
-        let mut listener = Listener::new();
+        let mut teller = DigestSender::new(400, at(0));
+        let mut listener = DigestReceiver::new();
         let mut load = BTreeMap::new();
         let mut heard = Vec::new();
         for step in 0..400_u64 {
@@ -139,7 +139,7 @@
 
 #[test]
 fn late_parts_and_older_lives_are_ignored() {
-    let mut listener = Listener::new();
+    let mut listener = DigestReceiver::new();
     let life = |life, part: LoadDigest| LoadDigest { incarnation: Incarnation(life), ..part };
     assert!(listener.merge(life(2, digest(5, vec![share(1, 10)]))).is_some());
     assert!(listener.merge(life(2, digest(4, vec![share(1, 99)]))).is_none());
@@ -150,7 +150,7 @@
 
 #[test]
 fn suspicions_are_told_once_and_where_suspects_run_again_and_again() {
-    let mut teller = Teller::new(100_000, at(0));
+    let mut teller = DigestSender::new(100_000, at(0));
     let mut suspecting = digest(1, vec![share(1, 9_000)]);
     let entry = Entry { fingerprint: Fingerprint(7), deaths: 1, death_age_ms: 5, refused_ms: 0 };
     suspecting.suspicions = vec![entry];
@@ -217,7 +217,7 @@
 #[allow(clippy::print_stdout)]
 fn effect_first_beats_turns_and_silence(budget: u32) {
     let silent = mean_error(|_, _| Vec::new());
-    let mut teller = Teller::new(budget, at(0));
+    let mut teller = DigestSender::new(budget, at(0));
     let mut counts = Vec::new();
     let by_effect = mean_error(|period, load| {
         let part = teller.part(&digest(period, load), at(500 * period));
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use policy::{
     EndpointId, FailCause, Time,
-    health::{EjectCause, Health, RAMP_CAUTION, Standing, silence},
+    health::{EjectCause, Health, HealthState, RAMP_CAUTION, silence},
 };
 
 fn endpoint(n: usize) -> EndpointId {
@@ -95,8 +95,8 @@
     let mut group = Group::of(4).answer(0, 1.0).answer(1, 1.0).answer(2, 1.0).answer(3, 3.0);
     assert!(group.causes(1).is_empty());
     let caution = |n| group.health.standing(&endpoint(n), group.now);
-    assert_eq!(caution(0), Standing::Usable(1.0));
-    assert!(matches!(caution(3), Standing::Usable(caution) if (caution - 3.0).abs() < 1e-9));
+    assert_eq!(caution(0), HealthState::Usable(1.0));
+    assert!(matches!(caution(3), HealthState::Usable(caution) if (caution - 3.0).abs() < 1e-9));
 }
 
 #[test]
@@ -105,7 +105,7 @@
     group.causes(1);
     let mut gaps = Vec::new();
     for _ in 0..6 {
-        assert_eq!(group.health.standing(&endpoint(0), group.now), Standing::Out);
+        assert_eq!(group.health.standing(&endpoint(0), group.now), HealthState::Out);
         let due = group.health.next_probe().unwrap();
         gaps.push(due.since(group.now).as_secs());
         assert!(group.health.due_probes(group.now).is_empty());
@@ -122,15 +122,15 @@
         let at = group.now + Duration::from_secs(seconds);
         group.health.standing(&endpoint(0), at)
     };
-    assert_eq!(caution(0), Standing::Usable(RAMP_CAUTION));
-    assert_eq!(caution(10), Standing::Usable(1.0));
+    assert_eq!(caution(0), HealthState::Usable(RAMP_CAUTION));
+    assert_eq!(caution(10), HealthState::Usable(1.0));
 }
 
 #[test]
 fn where_all_are_out_all_may_be_tried() {
     let mut group = Group::of(2).fail(0, NotSent, 2).fail(1, NotSent, 2);
     assert_eq!(group.causes(1), [Dead, Dead]);
-    assert!(matches!(group.health.standing(&endpoint(0), group.now), Standing::Usable(_)));
+    assert!(matches!(group.health.standing(&endpoint(0), group.now), HealthState::Usable(_)));
 }
 
 /// What a user sees: answers that hang until the deadline, from an endpoint that serves others
@@ -138,13 +138,13 @@
 /// out by itself, and an endpoint judged by them would be ejected though it is healthy.
 #[test]
 fn one_probe_settles_all_silent_connections() {
-    let mut judge = silence::Judge::new();
+    let mut detector = silence::SilenceDetector::new();
     let (opened, noticed) = (Time::from_millis(0), Time::from_millis(5_000));
-    assert_eq!(judge.silent(&endpoint(0), opened, noticed), silence::Verdict::Probe);
-    assert_eq!(judge.silent(&endpoint(0), opened, noticed), silence::Verdict::Wait);
-    assert_eq!(judge.probed(&endpoint(0), true), silence::Verdict::DropBefore(noticed));
+    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::Verdict::Probe);
+    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::Verdict::Wait);
+    assert_eq!(detector.probed(&endpoint(0), true), silence::Verdict::DropBefore(noticed));
     let later = Time::from_millis(5_200);
-    assert_eq!(judge.silent(&endpoint(0), opened, later), silence::Verdict::DropBefore(noticed));
-    assert_eq!(judge.silent(&endpoint(0), later, later), silence::Verdict::Probe);
-    assert_eq!(judge.probed(&endpoint(0), false), silence::Verdict::Dead);
+    assert_eq!(detector.silent(&endpoint(0), opened, later), silence::Verdict::DropBefore(noticed));
+    assert_eq!(detector.silent(&endpoint(0), later, later), silence::Verdict::Probe);
+    assert_eq!(detector.probed(&endpoint(0), false), silence::Verdict::Dead);
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -8,7 +8,9 @@
 use fastrand::Rng;
 use policy::{
     EndpointId, Fingerprint, Time,
-    quarantine::{Entry, MAX_SUSPECTS, Quarantine, REFUSED_FOR, SPARED_FOR, SUSPECT_FOR, Standing},
+    quarantine::{
+        Entry, MAX_SUSPECTS, Quarantine, QuarantineState, REFUSED_FOR, SPARED_FOR, SUSPECT_FOR,
+    },
 };
 use quickcheck::quickcheck;
 
@@ -48,10 +50,12 @@
             }
         }
         assert_eq!(deaths, 2);
-        assert!(matches!(quarantine.standing(KILLER, now), Standing::Refused(_)));
+        assert!(matches!(quarantine.standing(KILLER, now), QuarantineState::Refused(_)));
         assert!(!quarantine.may_run(KILLER, &endpoint(3), 3, now));
-        assert!((1..40).all(|n| quarantine.standing(Fingerprint(n), now) == Standing::Clear));
-        assert_eq!(quarantine.standing(Fingerprint(100), now), Standing::Suspect);
+        assert!(
+            (1..40).all(|n| quarantine.standing(Fingerprint(n), now) == QuarantineState::Clear)
+        );
+        assert_eq!(quarantine.standing(Fingerprint(100), now), QuarantineState::Suspect);
     }
 }
 
@@ -98,7 +102,7 @@
             at(10) + Duration::from_millis(300 * n as u64),
         );
     }
-    assert_eq!(quarantine.standing(Fingerprint(1), at(11)), Standing::Suspect);
+    assert_eq!(quarantine.standing(Fingerprint(1), at(11)), QuarantineState::Suspect);
 }
 
 /// What a user sees without it: all four engines die within a second of one call. The call was run
@@ -110,27 +114,27 @@
     let now = at(10) + Duration::from_millis(50);
     quarantine.started(Fingerprint(1), &endpoint(1), now);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], now);
-    assert_eq!(quarantine.standing(Fingerprint(1), now), Standing::Refused(REFUSED_FOR));
-    assert_eq!(quarantine.standing(Fingerprint(2), now), Standing::Suspect);
+    assert_eq!(quarantine.standing(Fingerprint(1), now), QuarantineState::Refused(REFUSED_FOR));
+    assert_eq!(quarantine.standing(Fingerprint(2), now), QuarantineState::Suspect);
 }
 
 #[test]
 fn a_verdict_expires_and_the_next_lasts_twice_as_long() {
     let mut quarantine = suspects(&[1]);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], at(20));
-    assert_eq!(quarantine.standing(Fingerprint(1), at(20)), Standing::Refused(REFUSED_FOR));
+    assert_eq!(quarantine.standing(Fingerprint(1), at(20)), QuarantineState::Refused(REFUSED_FOR));
     let over = at(20) + REFUSED_FOR;
-    assert_eq!(quarantine.standing(Fingerprint(1), over), Standing::Clear);
+    assert_eq!(quarantine.standing(Fingerprint(1), over), QuarantineState::Clear);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], over);
     quarantine.died(&endpoint(2), &[Fingerprint(1)], over + Duration::from_secs(10));
     let again = quarantine.standing(Fingerprint(1), over + Duration::from_secs(10));
-    assert_eq!(again, Standing::Refused(REFUSED_FOR * 2));
+    assert_eq!(again, QuarantineState::Refused(REFUSED_FOR * 2));
 }
 
 #[test]
 fn an_old_suspicion_is_forgotten() {
     let quarantine = suspects(&[1]);
-    assert_eq!(quarantine.standing(Fingerprint(1), at(10) + SUSPECT_FOR), Standing::Clear);
+    assert_eq!(quarantine.standing(Fingerprint(1), at(10) + SUSPECT_FOR), QuarantineState::Clear);
 }
 
 #[test]
@@ -141,8 +145,8 @@
     // Clocks differ between instances: only spans are told.
     there.import(&here.export(at(30)), at(5_000));
     let left = REFUSED_FOR - Duration::from_secs(10);
-    assert_eq!(there.standing(Fingerprint(1), at(5_000)), Standing::Refused(left));
-    assert_eq!(there.standing(Fingerprint(2), at(5_000)), Standing::Suspect);
+    assert_eq!(there.standing(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
+    assert_eq!(there.standing(Fingerprint(2), at(5_000)), QuarantineState::Suspect);
 }
 
 #[test]
--- a/crates/policy/tests/vouch.rs
+++ b/crates/policy/tests/vouch.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use policy::{
     DataCentre, InstanceId,
-    freshness::{Position, Vouch, Word, readers},
+    freshness::{Freshness, FreshnessCheck, Position, readers},
 };
 
 fn instance(name: usize) -> InstanceId {
@@ -46,11 +46,11 @@
     };
 
     who_has_read_less_is_told_so => || {
-        let vouch = Vouch { position: Position(7), age: Duration::ZERO };
-        assert_eq!(vouch.says_of(Position(6), Duration::ZERO), Word::Behind);
+        let freshness = Freshness { position: Position(7), age: Duration::ZERO };
+        assert_eq!(freshness.check(Position(6), Duration::ZERO), FreshnessCheck::Behind);
         let age = Duration::from_millis(300);
-        assert_eq!(vouch.says_of(Position(7), age), Word::Complete(age));
-        assert_eq!(vouch.says_of(Position(8), age), Word::Complete(age));
+        assert_eq!(freshness.check(Position(7), age), FreshnessCheck::Complete(age));
+        assert_eq!(freshness.check(Position(8), age), FreshnessCheck::Complete(age));
     };
 
     /// Guards against a key that was taken away and runs on: instances ask each other, and take over what
@@ -118,7 +118,7 @@
     Answer {
         from: usize,
         asked: u64,
-        vouch: Vouch,
+        freshness: Freshness,
     },
     /// Asks for all that was read beyond a position.
     Transfer {
@@ -129,7 +129,7 @@
     /// All that the sender has read.
     Snapshot {
         asked: u64,
-        vouch: Vouch,
+        freshness: Freshness,
     },
 }
 
@@ -220,17 +220,19 @@
         let now = self.now;
         match message {
             Message::Question { from, asked } => {
-                let vouch = self.vouch(i);
-                self.send(from, Message::Answer { from: i, asked, vouch });
+                let freshness = self.freshness(i);
+                self.send(from, Message::Answer { from: i, asked, freshness });
             }
-            Message::Answer { from, asked, vouch } => {
+            Message::Answer { from, asked, freshness } => {
                 let me = &mut self.instances[i];
                 if me.asked != Some(asked) {
                     return;
                 }
-                match vouch.says_of(Position(me.position), Duration::from_millis(now - asked)) {
-                    Word::Complete(age) => me.as_of = me.as_of.max(now.saturating_sub(millis(age))),
-                    Word::Behind => {
+                match freshness.check(Position(me.position), Duration::from_millis(now - asked)) {
+                    FreshnessCheck::Complete(age) => {
+                        me.as_of = me.as_of.max(now.saturating_sub(millis(age)))
+                    }
+                    FreshnessCheck::Behind => {
                         me.transfer = Some(now);
                         let after = me.position;
                         self.send(from, Message::Transfer { from: i, asked: now, after });
@@ -238,26 +240,26 @@
                 }
             }
             Message::Transfer { from, asked, after } => {
-                let vouch = self.vouch(i);
-                if vouch.position > Position(after) {
-                    self.send(from, Message::Snapshot { asked, vouch });
+                let freshness = self.freshness(i);
+                if freshness.position > Position(after) {
+                    self.send(from, Message::Snapshot { asked, freshness });
                 }
             }
-            Message::Snapshot { asked, vouch } => {
+            Message::Snapshot { asked, freshness } => {
                 let me = &mut self.instances[i];
                 if me.transfer != Some(asked) {
                     return;
                 }
-                let age = vouch.age_after(Duration::from_millis(now - asked));
-                me.adopt(vouch.position.0, now.saturating_sub(millis(age)));
+                let age = freshness.age_after(Duration::from_millis(now - asked));
+                me.adopt(freshness.position.0, now.saturating_sub(millis(age)));
             }
         }
     }
 
-    fn vouch(&self, i: usize) -> Vouch {
+    fn freshness(&self, i: usize) -> Freshness {
         let me = &self.instances[i];
         let age = Duration::from_millis(self.now - me.as_of);
-        Vouch { position: Position(me.position), age }
+        Freshness { position: Position(me.position), age }
     }
 
     fn check(&mut self, i: usize) {
--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -3,14 +3,14 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use policy::{
-    freshness::{Position, Word},
+    freshness::{FreshnessCheck, Position},
     routes::RouteTable,
 };
 
 use super::Contact;
 use crate::{
     clock::BootTime,
-    freshness::{Heard, Source, Vouching, Whom},
+    freshness::{FreshnessTracker, QueryTarget, ReceivedReply, Source},
     lock,
     snapshot::{SnapshotClient, Transfer},
     source::ConfigSource,
@@ -31,7 +31,7 @@
     source: S,
     configuration: Arc<Configuration>,
     groups: Arc<Groups>,
-    vouching: Arc<Vouching>,
+    tracker: Arc<FreshnessTracker>,
     contact: Contact,
 }
 
@@ -41,18 +41,18 @@
         source: S,
         configuration: Arc<Configuration>,
         groups: Arc<Groups>,
-        vouching: Arc<Vouching>,
+        tracker: Arc<FreshnessTracker>,
         snapshots: SnapshotClient,
     ) -> Self {
-        let contact = Contact::new(Source::Configuration, vouching.clone(), snapshots);
-        Follower { source, configuration, groups, vouching, contact }
+        let contact = Contact::new(Source::Configuration, tracker.clone(), snapshots);
+        Follower { source, configuration, groups, tracker, contact }
     }
 
     /// Reads on until it is dropped.
     pub async fn run(mut self) {
         loop {
             let pause = self.follow().await;
-            if self.vouching.news(Source::Configuration, pause).await {
+            if self.tracker.news(Source::Configuration, pause).await {
                 self.contact.hear_news().await;
             }
         }
@@ -74,15 +74,15 @@
     /// Guards against news that come from another peer than those that are asked first, and are in force
     /// late.
     async fn has_all_news(&mut self) -> bool {
-        if self.vouching.is_behind(Source::Configuration) {
+        if self.tracker.is_behind(Source::Configuration) {
             self.ask_anybody().await;
         }
-        !self.vouching.is_behind(Source::Configuration)
+        !self.tracker.is_behind(Source::Configuration)
     }
 
     /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
     async fn ask_readers(&mut self) -> bool {
-        let Some(word) = self.vouching.ask_readers(self.judge()).await else { return false };
+        let Some(word) = self.tracker.ask_readers(self.judge()).await else { return false };
         let is_taken = self.take(&word).await;
         if is_taken {
             self.contact.answered();
@@ -93,14 +93,14 @@
     /// Guards against an instance that alone can't reach the log and refuses all that need a key, while
     /// its peers have read a moment ago.
     async fn ask_anybody(&mut self) -> bool {
-        match self.vouching.ask_any(Whom::Anybody, self.judge()).await {
+        match self.tracker.ask_any(QueryTarget::Anybody, self.judge()).await {
             Some(word) => self.take(&word).await,
             None => false,
         }
     }
 
     /// Judges answers by what this instance has read so far.
-    fn judge(&self) -> impl Fn(Heard) -> Option<PeerWord> + use<S> {
+    fn judge(&self) -> impl Fn(ReceivedReply) -> Option<PeerWord> + use<S> {
         let (configuration, mine) = (self.configuration.clone(), self.source.position());
         move |heard| judge(&configuration, &heard, mine)
     }
@@ -109,7 +109,7 @@
     async fn take(&mut self, word: &PeerWord) -> bool {
         match *word {
             PeerWord::Complete(position, as_of) => {
-                self.vouching.know_configuration(position, as_of, None);
+                self.tracker.know_configuration(position, as_of, None);
                 true
             }
             PeerWord::Behind(peer) => self.transfer(peer).await,
@@ -124,7 +124,7 @@
             Ok(table) => {
                 self.put(table);
                 self.configuration.confirm(as_of);
-                self.vouching.know_configuration(position, as_of, Some(content));
+                self.tracker.know_configuration(position, as_of, Some(content));
                 true
             }
             Err(e) => {
@@ -142,9 +142,9 @@
                 let is_news = reading.news.is_some_and(|news| self.put(news.table));
                 self.contact.log_read(reading.position, is_news);
                 self.configuration.confirm(reading.as_of);
-                self.vouching.know_configuration(reading.position, reading.as_of, bytes);
+                self.tracker.know_configuration(reading.position, reading.as_of, bytes);
                 if is_news {
-                    self.vouching.announce();
+                    self.tracker.announce();
                 }
                 Duration::ZERO
             }
@@ -179,16 +179,20 @@
 }
 
 /// Confirms what was read up to `mine`, and judges what else the answer is good for.
-fn judge(configuration: &Configuration, heard: &Heard, mine: Option<Position>) -> Option<PeerWord> {
-    let vouch = heard.answer.configuration?;
+fn judge(
+    configuration: &Configuration,
+    heard: &ReceivedReply,
+    mine: Option<Position>,
+) -> Option<PeerWord> {
+    let freshness = heard.answer.configuration?;
     let behind = Some(PeerWord::Behind(heard.from));
     let Some(mine) = mine else { return behind };
-    match vouch.says_of(mine, heard.asked.age()) {
-        Word::Complete(age) => {
+    match freshness.check(mine, heard.asked.age()) {
+        FreshnessCheck::Complete(age) => {
             let as_of = BootTime::now().before(age);
             configuration.confirm(as_of);
             (age <= YOUNG).then_some(PeerWord::Complete(mine, as_of))
         }
-        Word::Behind => behind,
+        FreshnessCheck::Behind => behind,
     }
 }
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -12,7 +12,7 @@
 use super::Contact;
 use crate::{
     clock::{BootTime, Clock},
-    freshness::{EndpointChange, Heard, Source, Vouching, Whom},
+    freshness::{EndpointChange, FreshnessTracker, QueryTarget, ReceivedReply, Source},
     lock, names,
     snapshot::{self, SnapshotClient, Transfer},
     source::{EndpointEntry, EndpointSource},
@@ -40,7 +40,7 @@
     clock: Clock,
     /// Within this a leaving endpoint gets nothing new any more.
     leave: Duration,
-    vouching: Arc<Vouching>,
+    tracker: Arc<FreshnessTracker>,
     contact: Contact,
     roster: Roster<EndpointId, EndpointEntry>,
     found: Arc<IndexMap<EndpointId, EndpointEntry>>,
@@ -53,7 +53,7 @@
         groups: Arc<Groups>,
         clock: Clock,
         leave: Duration,
-        vouching: Arc<Vouching>,
+        tracker: Arc<FreshnessTracker>,
         snapshots: SnapshotClient,
     ) -> Self {
         Follower {
@@ -61,8 +61,8 @@
             groups,
             clock,
             leave,
-            contact: Contact::new(Source::Endpoints, vouching.clone(), snapshots),
-            vouching,
+            contact: Contact::new(Source::Endpoints, tracker.clone(), snapshots),
+            tracker,
             roster: Roster::default(),
             found: Arc::default(),
         }
@@ -86,11 +86,11 @@
     async fn wait(&mut self, until: Instant) {
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            if !self.vouching.news(Source::Endpoints, left).await {
+            if !self.tracker.news(Source::Endpoints, left).await {
                 return;
             }
             self.contact.hear_news().await;
-            if !self.contact.is_reader() || !self.ask(Whom::Informant).await {
+            if !self.contact.is_reader() || !self.ask(QueryTarget::Informant).await {
                 return;
             }
         }
@@ -106,7 +106,7 @@
         if until_retry.is_zero() {
             return self.read().await;
         }
-        if self.ask(Whom::Anybody).await {
+        if self.ask(QueryTarget::Anybody).await {
             return ask_period;
         }
         self.roster.failed();
@@ -116,7 +116,7 @@
     /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
     async fn ask_readers(&mut self) -> bool {
         let oldest = self.leave.mul_f64(YOUNG);
-        let told = self.vouching.ask_readers(|heard| Told::of(heard, oldest)).await;
+        let told = self.tracker.ask_readers(|heard| Told::of(heard, oldest)).await;
         let Some(told) = told else { return false };
         let is_taken = self.take(&told).await;
         if is_taken {
@@ -128,9 +128,9 @@
     /// Takes over what other peers than the readers know; false where that comes to nothing.
     ///
     /// Guards against an instance that alone can't reach the log, and goes on with what it knew.
-    async fn ask(&mut self, whom: Whom) -> bool {
+    async fn ask(&mut self, whom: QueryTarget) -> bool {
         let oldest = self.leave.mul_f64(YOUNG);
-        match self.vouching.ask_any(whom, |heard| Told::of(heard, oldest)).await {
+        match self.tracker.ask_any(whom, |heard| Told::of(heard, oldest)).await {
             Some(told) => self.take(&told).await,
             None => false,
         }
@@ -150,7 +150,7 @@
             self.apply(changes, position);
         }
         let position = position.max(mine);
-        self.vouching.know_endpoints(Some(mine), position, as_of, changes, &self.found);
+        self.tracker.know_endpoints(Some(mine), position, as_of, changes, &self.found);
         self.update();
         true
     }
@@ -168,7 +168,7 @@
         };
         self.source.adopt(&entries, position);
         self.found = Arc::new(entries);
-        self.vouching.know_endpoints(None, position, as_of, &[], &self.found);
+        self.tracker.know_endpoints(None, position, as_of, &[], &self.found);
         self.update();
         true
     }
@@ -196,9 +196,9 @@
                 };
                 let (position, as_of) = (reading.position, reading.as_of);
                 self.contact.log_read(position, !changes.is_empty());
-                self.vouching.know_endpoints(before, position, as_of, &changes, &self.found);
+                self.tracker.know_endpoints(before, position, as_of, &changes, &self.found);
                 if before.is_some() && !changes.is_empty() {
-                    self.vouching.announce();
+                    self.tracker.announce();
                 }
                 self.update();
                 self.leave.mul_f64(PERIOD)
@@ -206,7 +206,7 @@
             Err(e) => {
                 self.contact.failed(&e);
                 let ask_period = self.leave.mul_f64(ASK_PERIOD);
-                if self.ask(Whom::Anybody).await {
+                if self.ask(QueryTarget::Anybody).await {
                     return ask_period;
                 }
                 self.roster.failed();
@@ -246,14 +246,14 @@
 
 impl Told {
     /// None where what the peer knows is older than `oldest`.
-    fn of(heard: Heard, oldest: Duration) -> Option<Told> {
-        let vouch = heard.answer.endpoints?;
-        let age = vouch.age_after(heard.asked.age());
+    fn of(heard: ReceivedReply, oldest: Duration) -> Option<Told> {
+        let freshness = heard.answer.endpoints?;
+        let age = freshness.age_after(heard.asked.age());
         let as_of = BootTime::now().before(age);
         let changes = heard.answer.changes;
         (age <= oldest).then_some(Told {
             from: heard.from,
-            position: vouch.position,
+            position: freshness.position,
             as_of,
             changes,
         })
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -15,7 +15,7 @@
 use smol::Timer;
 
 use crate::{
-    freshness::{Source, Vouching},
+    freshness::{FreshnessTracker, Source},
     snapshot::{MAX_RELAYED, SnapshotClient, Transfer},
     source::SourceError,
 };
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Contact {
     source: Source,
-    vouching: Arc<Vouching>,
+    tracker: Arc<FreshnessTracker>,
     snapshots: SnapshotClient,
     is_lost: bool,
     backoff: Backoff,
@@ -36,10 +36,10 @@
 }
 
 impl Contact {
-    fn new(source: Source, vouching: Arc<Vouching>, snapshots: SnapshotClient) -> Contact {
+    fn new(source: Source, tracker: Arc<FreshnessTracker>, snapshots: SnapshotClient) -> Contact {
         Contact {
             source,
-            vouching,
+            tracker,
             snapshots,
             is_lost: false,
             backoff: Backoff::default(),
@@ -50,9 +50,9 @@
     fn failed(&mut self, e: &SourceError) {
         if !std::mem::replace(&mut self.is_lost, true) {
             log::warn!(source = self.source.as_str(), cause:% = e; "source_lost");
-            self.vouching.set_lost(self.source, true);
+            self.tracker.set_lost(self.source, true);
         }
-        let pause = self.backoff.failed(self.vouching.sharers(), &mut fastrand::Rng::new());
+        let pause = self.backoff.failed(self.tracker.sharers(), &mut fastrand::Rng::new());
         self.retry_at = Some(Instant::now() + pause);
     }
 
@@ -62,7 +62,7 @@
         self.retry_at = None;
         if std::mem::replace(&mut self.is_lost, false) {
             log::info!(source = self.source.as_str(); "source_back");
-            self.vouching.set_lost(self.source, false);
+            self.tracker.set_lost(self.source, false);
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Whether no peer reads before this instance does.
     fn is_first(&self) -> bool {
-        self.vouching.sharers() == 1
+        self.tracker.sharers() == 1
     }
 
     /// Whether it reads the source for others.
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 use policy::{
     EndpointId,
-    freshness::{ASKED, Position, Vouch},
+    freshness::{ASKED, Freshness, Position},
 };
 use serde::{Deserialize, Serialize};
 use smol::{
@@ -51,11 +51,11 @@
 
 /// What one instance tells another that asked.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Answer {
+pub struct FreshnessReply {
     /// Of the configuration; none where it can't be read.
-    pub configuration: Option<Vouch>,
+    pub configuration: Option<Freshness>,
     /// Of the endpoints; none where they can't be read.
-    pub endpoints: Option<Vouch>,
+    pub endpoints: Option<Freshness>,
     /// What changed of the endpoints since the position that was asked about; none where that is no
     /// longer known.
     pub changes: Option<Vec<EndpointChange>>,
@@ -63,18 +63,18 @@
 
 /// An answer that came.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct ReceivedReply {
     /// Who answered.
     pub from: SocketAddr,
     /// When the question was sent.
     pub asked: BootTime,
     /// The answer.
-    pub answer: Answer,
+    pub answer: FreshnessReply,
 }
 
 /// Whom a question goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Whom {
+pub enum QueryTarget {
     /// The one at this place among those that read before this instance does.
     Reader(usize),
     /// The one that last told of news.
@@ -85,17 +85,17 @@
 
 /// A question on its way to the links.
 #[derive(Debug)]
-pub struct Question {
+pub struct FreshnessQuery {
     /// Whom it goes to.
-    pub whom: Whom,
+    pub whom: QueryTarget,
     /// Up to where this instance knows the endpoints.
     pub endpoints_at: Position,
     /// Takes answers; dropped where there is nobody to ask.
-    pub answers: Sender<Heard>,
+    pub answers: Sender<ReceivedReply>,
 }
 
 /// What asking came to.
-enum Asked<T> {
+enum QueryOutcome<T> {
     /// There is nobody to ask.
     Nobody,
     /// No answer was good enough in time.
@@ -157,9 +157,9 @@
     /// Guards against a circle: where the instance that reads for others is cut off and lives on what
     /// they say, and they on what it says, nobody reads, and a change is in force too late. Who is cut
     /// off vouches for nothing, so that the next one reads.
-    fn vouch(&self) -> Option<Vouch> {
+    fn freshness(&self) -> Option<Freshness> {
         let known = self.known.filter(|_| !self.is_lost)?;
-        Some(Vouch { position: known.position, age: known.as_of.age() })
+        Some(Freshness { position: known.position, age: known.as_of.age() })
     }
 
     /// A peer has read up to there: whoever has read less, or can't read, asks at once.
@@ -196,26 +196,26 @@
 
 /// Shared by the followers of the log and the links.
 #[derive(Debug)]
-pub struct Vouching {
+pub struct FreshnessTracker {
     readings: Mutex<Readings>,
-    questions: Sender<Question>,
+    questions: Sender<FreshnessQuery>,
     /// There are news to tell to peers.
     telling: Signal,
     /// Instances that retry a lost source together.
     sharers: AtomicUsize,
 }
 
-impl Vouching {
+impl FreshnessTracker {
     /// Knows nothing yet. The receiver is for the links: questions to send.
-    pub fn new() -> (Vouching, Receiver<Question>) {
+    pub fn new() -> (FreshnessTracker, Receiver<FreshnessQuery>) {
         let (questions, asked) = bounded(QUESTIONS);
-        let vouching = Vouching {
+        let tracker = FreshnessTracker {
             readings: Mutex::default(),
             questions,
             telling: Signal::default(),
             sharers: AtomicUsize::new(1),
         };
-        (vouching, asked)
+        (tracker, asked)
     }
 
     /// The configuration is known up to `position`, and was complete at `as_of`.
@@ -269,9 +269,10 @@
 
     /// What this instance has of a source, written for a peer; none where it can't vouch for it, or has no
     /// more than the peer, which has read up to `after`.
-    pub fn content(&self, source: Source, after: Position) -> Option<(Vouch, Bytes)> {
+    pub fn content(&self, source: Source, after: Position) -> Option<(Freshness, Bytes)> {
         let mut readings = lock(&self.readings);
-        let vouch = readings.of(source).vouch().filter(|vouch| vouch.position > after)?;
+        let freshness =
+            readings.of(source).freshness().filter(|freshness| freshness.position > after)?;
         let content = match source {
             Source::Configuration => readings.published.clone()?,
             Source::Endpoints => {
@@ -280,7 +281,7 @@
                 snapshot::encode(&*entries)
             }
         };
-        Some((vouch, content))
+        Some((freshness, content))
     }
 
     /// Whether this instance reaches a source. Peers are told of a return, as they may wait for it.
@@ -302,14 +303,14 @@
     }
 
     /// What a peer hears that knows the endpoints up to `endpoints_at`.
-    pub fn answer(&self, endpoints_at: Position) -> Answer {
+    pub fn answer(&self, endpoints_at: Position) -> FreshnessReply {
         let readings = lock(&self.readings);
         let since = readings.changes.iter().filter(|(position, _)| *position > endpoints_at);
         let changes: Vec<_> = since.map(|(_, change)| change.clone()).collect();
         let is_complete = endpoints_at >= readings.changes_from && changes.len() <= CHANGES_TOLD;
-        Answer {
-            configuration: readings.configuration.vouch(),
-            endpoints: readings.endpoints.vouch(),
+        FreshnessReply {
+            configuration: readings.configuration.freshness(),
+            endpoints: readings.endpoints.freshness(),
             changes: is_complete.then_some(changes),
         }
     }
@@ -340,50 +341,58 @@
 
     /// Asks the peers that read before this instance does, one after the other, and gives what `accept`
     /// makes of the first good answer; none where it is this instance's turn to read.
-    pub async fn ask_readers<T>(&self, accept: impl Fn(Heard) -> Option<T>) -> Option<T> {
+    pub async fn ask_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
         for place in 0..ASKED {
-            match self.ask(Whom::Reader(place), &accept).await {
-                Asked::Nobody => return None,
-                Asked::Silence => {}
-                Asked::Accepted(accepted) => return Some(accepted),
+            match self.ask(QueryTarget::Reader(place), &accept).await {
+                QueryOutcome::Nobody => return None,
+                QueryOutcome::Silence => {}
+                QueryOutcome::Accepted(accepted) => return Some(accepted),
             }
         }
         None
     }
 
     /// The same with other peers, all at once.
-    pub async fn ask_any<T>(&self, whom: Whom, accept: impl Fn(Heard) -> Option<T>) -> Option<T> {
+    pub async fn ask_any<T>(
+        &self,
+        whom: QueryTarget,
+        accept: impl Fn(ReceivedReply) -> Option<T>,
+    ) -> Option<T> {
         match self.ask(whom, &accept).await {
-            Asked::Accepted(accepted) => Some(accepted),
-            Asked::Nobody | Asked::Silence => None,
+            QueryOutcome::Accepted(accepted) => Some(accepted),
+            QueryOutcome::Nobody | QueryOutcome::Silence => None,
         }
     }
 
-    async fn ask<T>(&self, whom: Whom, accept: &impl Fn(Heard) -> Option<T>) -> Asked<T> {
+    async fn ask<T>(
+        &self,
+        whom: QueryTarget,
+        accept: &impl Fn(ReceivedReply) -> Option<T>,
+    ) -> QueryOutcome<T> {
         let (answers, heard) = bounded(QUESTIONS);
         let (_, endpoints_at) = self.positions();
-        if self.questions.send(Question { whom, endpoints_at, answers }).await.is_err() {
-            return Asked::Nobody;
+        if self.questions.send(FreshnessQuery { whom, endpoints_at, answers }).await.is_err() {
+            return QueryOutcome::Nobody;
         }
         let mut anybody = false;
         let first_good = async {
             while let Ok(heard) = heard.recv().await {
                 anybody = true;
                 if let Some(accepted) = accept(heard) {
-                    return Some(Asked::Accepted(accepted));
+                    return Some(QueryOutcome::Accepted(accepted));
                 }
             }
             None
         };
         let late = async {
             Timer::after(PATIENCE).await;
-            Some(Asked::Silence)
+            Some(QueryOutcome::Silence)
         };
         match first_good.or(late).await {
             Some(asked) => asked,
             // The links let go of the question: at once where there is nobody to ask.
-            None if anybody => Asked::Silence,
-            None => Asked::Nobody,
+            None if anybody => QueryOutcome::Silence,
+            None => QueryOutcome::Nobody,
         }
     }
 }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -16,7 +16,7 @@
     entry::{Entry, Readiness},
     filter::{Dispatch, Identify, Parts, Receive, ReservationIds, Start},
     follow,
-    freshness::Vouching,
+    freshness::FreshnessTracker,
     links::{self, LinkParts, Links},
     metrics::{Metrics, MetricsError, MetricsPage},
     net, serve,
@@ -113,8 +113,8 @@
         let me = PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
         let (listed_tx, listed) = bounded(1);
         let urgent = Signal::default();
-        let (vouching, questions) = Vouching::new();
-        let vouching = Arc::new(vouching);
+        let (tracker, questions) = FreshnessTracker::new();
+        let tracker = Arc::new(tracker);
         let links = Links::new(LinkParts {
             me: me.clone(),
             incarnation,
@@ -124,7 +124,7 @@
             instances: instances.clone(),
             listed,
             here: settings.data_centre.clone(),
-            vouching: vouching.clone(),
+            tracker: tracker.clone(),
             questions,
             urgent: urgent.clone(),
         });
@@ -171,14 +171,14 @@
         spawn.spawn(serve::serve(callers, Arc::new(entry), executor.clone())).detach();
         spawn.spawn(serve::serve(ready, Arc::new(readiness), executor.clone())).detach();
         spawn.spawn(links.run()).detach();
-        spawn.spawn(snapshot::serve(peers, vouching.clone(), executor.clone())).detach();
+        spawn.spawn(snapshot::serve(peers, tracker.clone(), executor.clone())).detach();
         let snapshots = SnapshotClient::new(executor);
         spawn.spawn(links::follow_directory(sources.peers, me, listed_tx)).detach();
         let followed = follow::ConfigurationFollower::new(
             sources.configuration,
             configuration,
             groups.clone(),
-            vouching.clone(),
+            tracker.clone(),
             snapshots.clone(),
         );
         spawn.spawn(followed.run()).detach();
@@ -187,7 +187,7 @@
             groups,
             clock,
             bounds.leave,
-            vouching,
+            tracker,
             snapshots,
         );
         spawn.spawn(followed.run()).detach();
--- a/crates/router/src/links/message.rs
+++ b/crates/router/src/links/message.rs
@@ -6,7 +6,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::freshness::Answer;
+use crate::freshness::FreshnessReply;
 
 /// One datagram. Its sender is known by its address and life, so that most datagrams hold no name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     /// How fresh is what the receiver knows, and what has changed of the endpoints since a position?
     Question { nonce: u64, endpoints_at: Position },
     /// What the receiver asked.
-    Answer { nonce: u64, answer: Answer },
+    Answer { nonce: u64, answer: FreshnessReply },
     /// The sender has read up to there. Nothing is believed of it; whoever has read less looks.
     News { configuration: Position, endpoints: Position },
 }
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::{
     clock::Clock,
-    freshness::{Question, Vouching},
+    freshness::{FreshnessQuery, FreshnessTracker},
     lock, names,
     signal::Signal,
     source::{PeerDirectory, PeerEntry},
@@ -108,8 +108,8 @@
     greetings_left: u32,
     greeted: Time,
     here: DataCentre,
-    vouching: Arc<Vouching>,
-    questions: Receiver<Question>,
+    tracker: Arc<FreshnessTracker>,
+    questions: Receiver<FreshnessQuery>,
     pending: IndexMap<u64, Pending>,
     /// The peer that last told of news.
     informant: Option<InstanceId>,
@@ -121,7 +121,7 @@
 enum Wake {
     Due,
     Urgent,
-    Asked(Question),
+    Asked(FreshnessQuery),
     News,
     Listed(Vec<PeerEntry>),
     Heard(Datagram, SocketAddr),
@@ -146,9 +146,9 @@
     /// Where this instance stands.
     pub here: DataCentre,
     /// What it has read.
-    pub vouching: Arc<Vouching>,
+    pub tracker: Arc<FreshnessTracker>,
     /// Its questions to peers.
-    pub questions: Receiver<Question>,
+    pub questions: Receiver<FreshnessQuery>,
     /// Raised for a word that can't wait.
     pub urgent: Signal,
 }
@@ -173,7 +173,7 @@
             greetings_left: 0,
             greeted: Time::ZERO,
             here: parts.here,
-            vouching: parts.vouching,
+            tracker: parts.tracker,
             questions: parts.questions,
             pending: IndexMap::new(),
             informant: None,
@@ -230,7 +230,7 @@
         };
         let asked = async { Wake::Asked(next_of(&self.questions).await) };
         let news = async {
-            self.vouching.telling().await;
+            self.tracker.telling().await;
             Wake::News
         };
         urgent.or(heard).or(asked).or(news).or(listed).or(due).await
@@ -303,7 +303,7 @@
     }
 
     async fn tell_news(&mut self) {
-        let (configuration, endpoints) = self.vouching.positions();
+        let (configuration, endpoints) = self.tracker.positions();
         self.send_all(Body::News { configuration, endpoints }).await;
     }
 
@@ -378,13 +378,13 @@
                 }
             }
             Body::Question { nonce, endpoints_at } => {
-                let answer = self.vouching.answer(endpoints_at);
+                let answer = self.tracker.answer(endpoints_at);
                 self.send(Body::Answer { nonce, answer }, &[from]).await;
             }
             Body::Answer { nonce, answer } => self.answered(nonce, answer, from),
             Body::News { configuration, endpoints } => {
                 self.informant = Some(instance);
-                self.vouching.hear_news(configuration, endpoints);
+                self.tracker.hear_news(configuration, endpoints);
             }
         }
     }
@@ -434,7 +434,7 @@
     fn count(&self) {
         let live = self.live();
         self.instances.store(live.len() + 1, Ordering::Relaxed);
-        self.vouching.set_sharers(sharers(&self.me.instance, &self.here, &live));
+        self.tracker.set_sharers(sharers(&self.me.instance, &self.here, &live));
     }
 }
 
--- a/crates/router/src/links/questions.rs
+++ b/crates/router/src/links/questions.rs
@@ -8,7 +8,7 @@
 use super::{Body, Links};
 use crate::{
     clock::BootTime,
-    freshness::{Answer, Heard, Question, Whom},
+    freshness::{FreshnessQuery, FreshnessReply, QueryTarget, ReceivedReply},
 };
 
 /// How long an answer to a question may come.
@@ -22,7 +22,7 @@
 pub(super) struct Pending {
     sent: Time,
     asked: BootTime,
-    answers: Sender<Heard>,
+    answers: Sender<ReceivedReply>,
     /// Answers that may still come.
     expected: usize,
 }
@@ -36,8 +36,8 @@
 
 impl Links {
     /// Passes a question on; where there is nobody to ask, it is let go of at once.
-    pub(super) async fn ask(&mut self, question: Question) {
-        let Question { whom, endpoints_at, answers } = question;
+    pub(super) async fn ask(&mut self, question: FreshnessQuery) {
+        let FreshnessQuery { whom, endpoints_at, answers } = question;
         let addresses = self.whom(whom);
         if addresses.is_empty() {
             return;
@@ -49,18 +49,20 @@
         self.send(Body::Question { nonce, endpoints_at }, &addresses).await;
     }
 
-    fn whom(&self, whom: Whom) -> Vec<SocketAddr> {
+    fn whom(&self, whom: QueryTarget) -> Vec<SocketAddr> {
         let address = |instance: &InstanceId| {
             let peer = self.peers.get(instance).filter(|peer| peer.is_live);
             peer.map(|peer| peer.address)
         };
         match whom {
-            Whom::Reader(place) => {
+            QueryTarget::Reader(place) => {
                 let readers = readers(&self.me.instance, &self.here, &self.live());
                 readers.get(place).and_then(address).into_iter().collect()
             }
-            Whom::Informant => self.informant.as_ref().and_then(address).into_iter().collect(),
-            Whom::Anybody => {
+            QueryTarget::Informant => {
+                self.informant.as_ref().and_then(address).into_iter().collect()
+            }
+            QueryTarget::Anybody => {
                 let mut addresses: Vec<_> =
                     self.peers.values().filter(|p| p.is_live).map(|p| p.address).collect();
                 fastrand::shuffle(&mut addresses);
@@ -71,9 +73,9 @@
         }
     }
 
-    pub(super) fn answered(&mut self, nonce: u64, answer: Answer, from: SocketAddr) {
+    pub(super) fn answered(&mut self, nonce: u64, answer: FreshnessReply, from: SocketAddr) {
         let Some(pending) = self.pending.get_mut(&nonce) else { return };
-        let heard = Heard { from, asked: pending.asked, answer };
+        let heard = ReceivedReply { from, asked: pending.asked, answer };
         pending.expected = pending.expected.saturating_sub(1);
         // Whoever has a good answer waits for no other.
         let is_over = pending.answers.try_send(heard).is_err() || pending.expected == 0;
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -12,7 +12,7 @@
 };
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::{filter::AnswerBody, net, signal::Once, state::Lifecycle};
+use crate::{filter::AnswerBody, net, signal::OneShot, state::Lifecycle};
 
 /// Pause after a failed accept. The usual cause is that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -72,7 +72,7 @@
 async fn connection<S: Service>(stream: TcpStream, service: Arc<S>) {
     net::tune(&stream);
     let rules = service.rules();
-    let asked = Once::default();
+    let asked = OneShot::default();
     let answer = service_fn(|req| {
         asked.reach();
         let service = service.clone();
--- a/crates/router/src/signal.rs
+++ b/crates/router/src/signal.rs
@@ -51,20 +51,20 @@
 
 /// Something that happens once, for which any number of tasks wait.
 #[derive(Debug)]
-pub struct Once {
+pub struct OneShot {
     // Nothing is ever sent; closing the channel wakes all.
     tx: Sender<()>,
     rx: Receiver<()>,
 }
 
-impl Default for Once {
+impl Default for OneShot {
     fn default() -> Self {
         let (tx, rx) = bounded(1);
-        Once { tx, rx }
+        OneShot { tx, rx }
     }
 }
 
-impl Once {
+impl OneShot {
     /// It has happened.
     pub fn reach(&self) {
         self.tx.close();
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -16,7 +16,7 @@
     body::Incoming, client::conn::http2 as client, server::conn::http2 as server,
     service::service_fn,
 };
-use policy::freshness::{Position, Vouch};
+use policy::freshness::{Freshness, Position};
 use serde::{Deserialize, Serialize};
 use smol::{
     Executor, Timer,
@@ -27,7 +27,7 @@
 
 use crate::{
     clock::BootTime,
-    freshness::{Source, Vouching},
+    freshness::{FreshnessTracker, Source},
     net, serve,
 };
 
@@ -55,7 +55,7 @@
 /// The answer on the wire.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
-    vouch: Vouch,
+    freshness: Freshness,
     /// Of the content, by XXH3.
     digest: u64,
     content: Bytes,
@@ -128,13 +128,13 @@
             Err(TransferError::Late)
         };
         let body = self.exchange(address, &Query { source, after, max_bytes }).or(late).await?;
-        let Snapshot { vouch, digest, content } = decode(&body)?;
+        let Snapshot { freshness, digest, content } = decode(&body)?;
         if xxh3_64(&content) != digest {
             return Err(TransferError::Malformed("the digest differs".to_owned()));
         }
-        // The vouch was made after the question, so that a suspended peer makes nothing look fresh.
-        let as_of = BootTime::now().before(vouch.age_after(asked.age()));
-        Ok(Transfer { position: vouch.position, as_of, content })
+        // The freshness was stated after the question, so that a suspended peer makes nothing look fresh.
+        let as_of = BootTime::now().before(freshness.age_after(asked.age()));
+        Ok(Transfer { position: freshness.position, as_of, content })
     }
 
     async fn exchange(&self, address: SocketAddr, query: &Query) -> Result<Bytes, TransferError> {
@@ -159,20 +159,24 @@
 /// Gives peers what this instance has read, until it is dropped.
 pub async fn serve(
     listener: TcpListener,
-    vouching: Arc<Vouching>,
+    tracker: Arc<FreshnessTracker>,
     executor: Arc<Executor<'static>>,
 ) {
     loop {
         let stream = serve::accept(&listener).await;
-        executor.spawn(connection(stream, vouching.clone(), executor.clone())).detach();
+        executor.spawn(connection(stream, tracker.clone(), executor.clone())).detach();
     }
 }
 
-async fn connection(stream: TcpStream, vouching: Arc<Vouching>, executor: Arc<Executor<'static>>) {
+async fn connection(
+    stream: TcpStream,
+    tracker: Arc<FreshnessTracker>,
+    executor: Arc<Executor<'static>>,
+) {
     net::tune(&stream);
     let answer = service_fn(|req| {
-        let vouching = vouching.clone();
-        async move { Ok::<_, Infallible>(answer(req, &vouching).await) }
+        let tracker = tracker.clone();
+        async move { Ok::<_, Infallible>(answer(req, &tracker).await) }
     });
     let served = server::Builder::new(SmolExecutor::new(executor))
         .serve_connection(FuturesIo::new(stream), answer)
@@ -182,11 +186,11 @@
     }
 }
 
-async fn answer(req: Request<Incoming>, vouching: &Vouching) -> Response<Full<Bytes>> {
+async fn answer(req: Request<Incoming>, tracker: &FreshnessTracker) -> Response<Full<Bytes>> {
     let body = Limited::new(req.into_body(), MAX_REQUEST).collect().await.ok();
     let query = body.and_then(|body| decode(&body.to_bytes()).ok());
     let (status, body) = match query {
-        Some(query) => snapshot(&query, vouching),
+        Some(query) => snapshot(&query, tracker),
         None => (StatusCode::BAD_REQUEST, Bytes::new()),
     };
     let mut resp = Response::new(Full::new(body));
@@ -194,15 +198,15 @@
     resp
 }
 
-fn snapshot(query: &Query, vouching: &Vouching) -> (StatusCode, Bytes) {
-    let Some((vouch, content)) = vouching.content(query.source, query.after) else {
+fn snapshot(query: &Query, tracker: &FreshnessTracker) -> (StatusCode, Bytes) {
+    let Some((freshness, content)) = tracker.content(query.source, query.after) else {
         return (StatusCode::NOT_FOUND, Bytes::new());
     };
     if content.len() > query.max_bytes {
         return (StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
     }
     let digest = xxh3_64(&content);
-    (StatusCode::OK, encode(&Snapshot { vouch, digest, content }))
+    (StatusCode::OK, encode(&Snapshot { freshness, digest, content }))
 }
 
 /// Writes one of this module's types, or what a snapshot holds.
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -17,7 +17,7 @@
     routes::RouteTable,
 };
 
-use crate::{clock::BootTime, lock, signal::Once};
+use crate::{clock::BootTime, lock, signal::OneShot};
 
 /// How far the instance is on its way to a stop. It only moves on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
     open: AtomicUsize,
     /// When whatever is still under way is cut.
     ends: OnceLock<Instant>,
-    closing: Once,
+    closing: OneShot,
 }
 
 impl Default for Lifecycle {
@@ -47,7 +47,7 @@
             stage: AtomicU8::new(0),
             open: AtomicUsize::new(0),
             ends: OnceLock::new(),
-            closing: Once::default(),
+            closing: OneShot::default(),
         }
     }
 }
@@ -114,7 +114,7 @@
     table: RwLock<Arc<RouteTable>>,
     as_of: Mutex<Option<BootTime>>,
     /// A table is in force, and its age is known.
-    known: Once,
+    known: OneShot,
 }
 
 impl Configuration {
@@ -214,7 +214,7 @@
     placement: PlacementRules,
     groups: RwLock<IndexMap<EndpointGroup, Arc<Group>>>,
     /// Endpoints were read.
-    filled: Once,
+    filled: OneShot,
 }
 
 impl Groups {
