--- a/crates/policy/src/trefoilhall/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -22,12 +22,12 @@
 use std::time::Duration;
 
 use crate::{
-    Decision, FailCause, Failure, Fingerprint, RequestId, Time, Tokens, quarantine::Standing,
-    retry::backoff,
+    Decision, FailCause, Failure, Fingerprint, RequestId, Time, Tokens,
+    quarantine::QuarantineState, retry::backoff,
 };
 
 use super::{
-    Trefoilhall,
+    AdaptiveScheduler,
     endpoint::Endpoint,
     request::{Basis, Due, Entry, State, Tried},
 };
@@ -42,7 +42,7 @@
 /// How long one that couldn't be reached or died isn't asked again, until something better is
 /// known of it.
 const GONE_FOR: Duration = Duration::from_millis(500);
-impl Trefoilhall {
+impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
         &mut self,
         request: RequestId,
@@ -142,7 +142,10 @@
         if entry.may_have_run && !entry.req.repeatable {
             return Some(cause);
         }
-        if matches!(self.quarantine.standing(entry.req.fingerprint, now), Standing::Refused(_)) {
+        if matches!(
+            self.quarantine.standing(entry.req.fingerprint, now),
+            QuarantineState::Refused(_)
+        ) {
             return Some(FailCause::Quarantined);
         }
         if entry.failures >= MAX_FAILURES || entry.attempts >= MAX_ATTEMPTS {
--- a/crates/policy/src/trefoilhall/overview.rs
+++ b/crates/policy/src/adaptive/overview.rs
@@ -14,16 +14,16 @@
 //! in between is bounded by it.
 
 use super::{
-    ASSESS_EVERY, DEMAND_HALF_LIFE, Trefoilhall, class,
+    ASSESS_EVERY, AdaptiveScheduler, DEMAND_HALF_LIFE, class,
     endpoint::ByBand,
     longs::Demand,
     pace::{self, long_claim},
     request::Entry,
     seconds,
 };
-use crate::{BANDS, EndpointId, Time, health::Standing};
+use crate::{BANDS, EndpointId, Time, health::HealthState};
 
-impl Trefoilhall {
+impl AdaptiveScheduler {
     /// Looks at the whole fleet: what is typical, what stands on the engines, and which of them
     /// are open to long prompts.
     pub(super) fn look_at_fleet(&mut self, now: Time) {
@@ -72,7 +72,7 @@
         }
         let others: f64 = self.peers.demand.iter().sum();
         let busy = others / self.fleet.total_rate.max(1.0);
-        self.unheard = self.peers.age(now).as_secs_f64().min(1.0) * busy.min(1.0);
+        self.unreported_work = self.peers.age(now).as_secs_f64().min(1.0) * busy.min(1.0);
     }
 
     /// Sets how fast short prompts may start here, by what long ones claim.
@@ -111,8 +111,8 @@
         }
         for endpoint in self.fleet.endpoints.values_mut() {
             endpoint.caution = match self.health.standing(&endpoint.id, now) {
-                Standing::Usable(caution) => caution,
-                Standing::Out => f64::INFINITY,
+                HealthState::Usable(caution) => caution,
+                HealthState::Out => f64::INFINITY,
             };
         }
     }
@@ -121,7 +121,7 @@
     /// probes all the time, and an endpoint that answers probes may still fail its calls.
     pub(super) fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time) {
         self.probes.extend(self.health.due_probes(now));
-        let is_out = self.health.standing(endpoint, now) == Standing::Out;
+        let is_out = self.health.standing(endpoint, now) == HealthState::Out;
         let due = self.probes.iter().position(|probe| probe == endpoint);
         if let Some(index) = due {
             self.probes.swap_remove(index);
