--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -84,7 +84,7 @@
 fn read_placement(fields: &mut Fields<'_>, findings: &mut Findings) -> PlacementRules {
     let read: Option<PlacementRules> = fields.optional("placement", "rules of placement", findings);
     let rules = read.unwrap_or_default();
-    if let Some(name) = rules.wrong() {
+    if let Some(name) = rules.invalid_field() {
         let path = fields.path(&format!("placement.{name}"));
         findings.push(fields.place_of("placement"), &path, "expected a larger number");
     }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -5,7 +5,7 @@
 use daemon::settings::Settings;
 use policy::{
     config::{Findings, SourceFile, tree},
-    placement::{Choice, PlacementRules},
+    placement::{PlacementRules, PlacementStrategy},
 };
 
 fn read(placement: &str) -> Result<PlacementRules, String> {
@@ -33,8 +33,11 @@
 #[test]
 fn one_figure_changes_no_other() {
     let rules = read(r#", "placement": {"choice": "round_robin", "apart": 0}"#).unwrap();
-    let expected =
-        PlacementRules { choice: Choice::RoundRobin, apart: 0.0, ..PlacementRules::default() };
+    let expected = PlacementRules {
+        choice: PlacementStrategy::RoundRobin,
+        apart: 0.0,
+        ..PlacementRules::default()
+    };
     assert_eq!(rules, expected);
 }
 
--- a/crates/emulator/src/placer.rs
+++ b/crates/emulator/src/placer.rs
@@ -126,7 +126,7 @@
     /// Whether a held request may be sent as placed.
     pub fn stands(&self, job: JobId, now: Time) -> bool {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.stands(job, now),
+            Placer::Arranged { scheduler, .. } => scheduler.is_still_valid(job, now),
             Placer::Naive(_) => true,
         }
     }
@@ -134,28 +134,28 @@
     /// A connection took so long to be made.
     pub fn connected(&mut self, engine: &EndpointId, took: Duration) {
         if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.connected(engine, took);
+            scheduler.record_connect_time(engine, took);
         }
     }
 
     /// The first event came.
     pub fn began(&mut self, job: JobId, now: Time) {
         if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.began(job, now);
+            scheduler.record_first_event(job, now);
         }
     }
 
     /// There was a pause.
     pub fn paused(&mut self, job: JobId, pause: Duration, now: Time) {
         if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.paused(job, pause, now);
+            scheduler.record_pause(job, pause, now);
         }
     }
 
     /// A request is over.
     pub fn ended(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.ended(job, failed, now),
+            Placer::Arranged { scheduler, .. } => scheduler.finish(job, failed, now),
             Placer::Naive(naive) => naive.ended(job),
         }
     }
@@ -163,7 +163,7 @@
     /// An engine was named as the one that a run broke on.
     pub fn at_fault(&mut self, engine: &EndpointId, now: Time) {
         if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.at_fault(engine, now);
+            scheduler.record_helper_refusal(engine, now);
         }
     }
 
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -250,14 +250,14 @@
         }
         let tried = progress.tried.iter().filter_map(|engine| engine_id(*engine));
         let ask = PlacementRequest {
-            prompt: call.prompt,
-            output: u64::from(call.events * self.spec.engine.stride),
+            prompt_tokens: call.prompt,
+            max_output_tokens: u64::from(call.events * self.spec.engine.stride),
             goal_ms: (kind.goal_ms - spent).max(0.0),
-            pause_ms: kind.pause_ms,
-            left_ms: kind.deadline_ms - spent,
+            max_pause_ms: kind.pause_ms,
+            remaining_ms: kind.deadline_ms - spent,
             priority: 1,
             fingerprint: Fingerprint(index as u128),
-            is_beside: false,
+            is_hedge: false,
             tried: tried.map(|endpoint| (endpoint, Incarnation(1))).collect(),
         };
         let now = self.time();
--- a/crates/policy/examples/arrange_cost.rs
+++ b/crates/policy/examples/arrange_cost.rs
@@ -43,12 +43,12 @@
     for index in 0..(WRITERS * engines + PLACED) as u64 {
         let now = Time(1_000_000 + index * step.max(1));
         if let Ok(placed) = site.place(&ask(5_000, index), now) {
-            site.began(placed.job, now);
+            site.record_first_event(placed.job, now);
             written.push_back(placed.job);
         }
         if written.len() > WRITERS * engines {
             let over = written.pop_front().unwrap();
-            site.ended(over, None, now);
+            site.finish(over, None, now);
         }
         if index < (WRITERS * engines) as u64 {
             continue;
@@ -57,7 +57,7 @@
         let placed = site.place(&ask(prompt, u64::MAX - index), now);
         took.push(began.elapsed().as_secs_f64() * 1e6);
         if let Ok(placed) = placed {
-            site.ended(placed.job, None, now);
+            site.finish(placed.job, None, now);
         }
     }
     took.sort_by(f64::total_cmp);
--- a/crates/policy/src/placement/ask.rs
+++ b/crates/policy/src/placement/ask.rs
@@ -13,21 +13,21 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRequest {
     /// Tokens of its prompt; zero for a call to a plain service.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens that its answer may have.
-    pub output: u64,
+    pub max_output_tokens: u64,
     /// Milliseconds left until a first byte is late.
     pub goal_ms: f64,
     /// Milliseconds that a pause within the answer may take.
-    pub pause_ms: f64,
+    pub max_pause_ms: f64,
     /// Milliseconds after which nobody waits for it any more.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
     /// Rank; zero is the most urgent.
     pub priority: u8,
     /// Names the same request when it is sent again.
     pub fingerprint: Fingerprint,
     /// An earlier attempt is still under way.
-    pub is_beside: bool,
+    pub is_hedge: bool,
     /// Lives of endpoints that have had it already.
     pub tried: Vec<(EndpointId, Incarnation)>,
 }
@@ -67,7 +67,7 @@
     /// The engine.
     pub endpoint: EndpointId,
     /// Tokens of its memory that the prompt needs, to be reserved before it is sent.
-    pub reserve: Option<u64>,
+    pub reserve_tokens: Option<u64>,
 }
 
 /// Why a request finds no place.
@@ -104,7 +104,7 @@
     /// What its being late costs, relative to others.
     pub weight: f64,
     /// The pause that it bears, in milliseconds.
-    pub pause_ms: f64,
+    pub max_pause_ms: f64,
     /// Names the same request when it is sent again.
     pub fingerprint: Fingerprint,
     /// When it was placed.
@@ -150,6 +150,6 @@
 
     /// Tokens of memory that it reserves on a helper.
     pub(super) fn reserved_at(&self, endpoint: &EndpointId) -> Option<u64> {
-        self.helpers.iter().find(|helper| helper.endpoint == *endpoint)?.reserve
+        self.helpers.iter().find(|helper| helper.endpoint == *endpoint)?.reserve_tokens
     }
 }
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -7,7 +7,7 @@
 use crate::{Time, health, quarantine::QuarantineState, routes::EngineRules};
 
 use super::{
-    Choice, GroupScheduler, Helper, JobId, Placement, PlacementRequest, PlacementRules,
+    GroupScheduler, Helper, JobId, Placement, PlacementRequest, PlacementRules, PlacementStrategy,
     ask::Job,
     reading::{Part, PartKey, Pass, Read},
     rules::LONG_RANK,
@@ -71,14 +71,14 @@
         placement: &PlacementRules,
         is_overloaded: bool,
     ) -> f64 {
-        if !ask.tried.is_empty() && !ask.is_beside {
-            return self.predicted_ms - ask.left_ms;
+        if !ask.tried.is_empty() && !ask.is_hedge {
+            return self.predicted_ms - ask.remaining_ms;
         }
         let part = placement.bound(self.rank);
         let part = if is_overloaded { part.min(1.0) } else { part };
         let idle_bound = placement.idle_factor * self.idle_ms + placement.idle_slack_ms;
-        let bound = if ask.is_beside { idle_bound } else { idle_bound.max(part * ask.goal_ms) };
-        self.predicted_ms - bound.min(ask.left_ms)
+        let bound = if ask.is_hedge { idle_bound } else { idle_bound.max(part * ask.goal_ms) };
+        self.predicted_ms - bound.min(ask.remaining_ms)
     }
 
     /// Whether others would lose more by it than it is worth. What goes on after a failure has been
@@ -96,18 +96,18 @@
         spread: usize,
         now: Time,
     ) -> Option<Chosen> {
-        if self.placement.choice != Choice::Weighed {
+        if self.placement.choice != PlacementStrategy::Weighed {
             return self.choose_naively(ask, now);
         }
-        let read_ms = rules.read_ms(ask.prompt);
+        let read_ms = rules.read_ms(ask.prompt_tokens);
         let short_ms = self.short_ms();
         let base = Chosen {
             part_ms: read_ms,
-            idle_ms: read_ms / self.usable().min(rules.max_helpers + 1).max(1) as f64,
+            idle_ms: read_ms / self.usable_endpoints().min(rules.max_helpers + 1).max(1) as f64,
             weight: self.placement.weight(read_ms),
             apart: self.apart(now),
             slot_wait_ms: self.slot_wait_ms(rules, ask),
-            memory: ask.prompt + ask.output,
+            memory: ask.prompt_tokens + ask.max_output_tokens,
             rank: self.placement.rank(read_ms, short_ms),
             ..Chosen::default()
         };
@@ -129,13 +129,16 @@
         let next = usize::try_from(self.next_job).unwrap_or_default() % self.servers.len().max(1);
         let turn = |index: usize| (index + self.servers.len() - next) % self.servers.len();
         let running = |server: &Server| match self.placement.choice {
-            Choice::LeastOutstanding => server.running(),
-            Choice::RoundRobin | Choice::Weighed => 0,
+            PlacementStrategy::LeastOutstanding => server.running(),
+            PlacementStrategy::RoundRobin | PlacementStrategy::Weighed => 0,
         };
         let least =
             self.candidates(ask, now).min_by_key(|(index, server)| (running(server), turn(*index)));
         let (index, _) = least?;
-        Some(Chosen { memory: ask.prompt + ask.output, ..Chosen::unweighed(index, ask) })
+        Some(Chosen {
+            memory: ask.prompt_tokens + ask.max_output_tokens,
+            ..Chosen::unweighed(index, ask)
+        })
     }
 
     /// An engine for a short prompt: the least costly one, or the one that comes after `spread` others,
@@ -157,7 +160,7 @@
             let predicted = self.first_ms(rules, base, server, &outlook);
             let alone = self.alone(base.apart, server);
             let own = placement.lateness(predicted, ask.goal_ms)
-                + placement.miss(outlook.pause_ms, ask.pause_ms);
+                + placement.miss(outlook.pause_ms, ask.max_pause_ms);
             let harm = outlook.harm + self.delay_cost(std::iter::once(&outlook));
             let total = self.caution(server, now) * (base.weight * (own + alone) + harm);
             places.push((total, index, predicted));
@@ -170,7 +173,7 @@
 
     /// What an engine that nobody writes on costs a short prompt now.
     fn apart(&self, now: Time) -> f64 {
-        let engines = self.usable().max(1) as f64;
+        let engines = self.usable_endpoints().max(1) as f64;
         let long_share =
             (self.long_share.rate(now) / 1000.0 / engines).max(self.placement.least_long_share);
         self.placement.apart * long_share.min(1.0)
@@ -196,7 +199,7 @@
         ask: &'a PlacementRequest,
         now: Time,
     ) -> impl Iterator<Item = (usize, &'a Server)> {
-        let usable = self.usable();
+        let usable = self.usable_endpoints();
         let is_suspect = self.quarantine.standing(ask.fingerprint, now) != QuarantineState::Clear;
         self.servers.values().enumerate().filter(move |(_, server)| {
             let member = &server.member;
@@ -242,7 +245,7 @@
     /// From the time for which an answer holds its slot; before any was seen, as if the answer were as
     /// long as it may be.
     fn slot_wait_ms(&self, rules: &EngineRules, ask: &PlacementRequest) -> f64 {
-        let passes = ask.output.div_ceil(u64::from(rules.stride.max(1))) as f64;
+        let passes = ask.max_output_tokens.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let longest_ms = || passes * rules.pass_ms(rules.slots, rules.usual_context);
         let held_ms = self.slots.held_ms().unwrap_or_else(longest_ms);
         self.placement.slot_waits * held_ms / f64::from(rules.slots.max(1))
@@ -288,7 +291,10 @@
         let helpers: Vec<Helper> = ids[1..]
             .iter()
             .zip(reserve)
-            .map(|(endpoint, reserve)| Helper { endpoint: endpoint.clone(), reserve })
+            .map(|(endpoint, reserve)| Helper {
+                endpoint: endpoint.clone(),
+                reserve_tokens: reserve,
+            })
             .collect();
         let incarnations =
             chosen.servers.iter().map(|index| self.servers[*index].member.incarnation).collect();
@@ -300,10 +306,10 @@
             incarnations,
             helpers: helpers.clone(),
             part_ms: chosen.part_ms,
-            part_tokens: ask.prompt as f64 / chosen.servers.len() as f64,
+            part_tokens: ask.prompt_tokens as f64 / chosen.servers.len() as f64,
             memory: chosen.memory,
             weight: chosen.weight,
-            pause_ms: ask.pause_ms,
+            max_pause_ms: ask.max_pause_ms,
             fingerprint: ask.fingerprint,
             placed: now,
             goal_ms: ask.goal_ms,
@@ -350,7 +356,7 @@
         key: TRIED,
         arrives: placed + chosen.hold_ms + way_ms,
         ms: chosen.part_ms,
-        tokens: ask.prompt as f64 / parts as f64,
+        tokens: ask.prompt_tokens as f64 / parts as f64,
         overtakes: parts > 1,
         is_head: false,
         due: placed + ask.goal_ms,
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -43,7 +43,7 @@
 pub use ask::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
 pub use decoding::DecodingLoad;
 pub use reading::PartKey;
-pub use rules::{Choice, PlacementRules};
+pub use rules::{PlacementRules, PlacementStrategy};
 pub use updates::{EndpointLoad, EndpointUpdate, PartUpdate, update_interval};
 
 use crate::{
@@ -168,13 +168,13 @@
     }
 
     /// Endpoints that may get work.
-    pub fn usable(&self) -> usize {
+    pub fn usable_endpoints(&self) -> usize {
         self.servers.values().filter(|server| !server.member.leaving).count()
     }
 
     /// How long a request usually takes to its end, with room for a busy engine. Those who write beside it
     /// are taken to be like it, but no longer than usual: questions stand among questions.
-    pub fn usual_time(&self, prompt: u64, output: u64) -> Duration {
+    pub fn typical_duration(&self, prompt: u64, output: u64) -> Duration {
         let Some(rules) = &self.rules else { return Duration::ZERO };
         let passes = output.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let context = rules.usual_context.min(prompt + output / 2);
@@ -197,7 +197,7 @@
         if let QuarantineState::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
             return Err(PlacementRefusal::Quarantined(left));
         }
-        self.pauses.note(whole_ms(ask.pause_ms), now);
+        self.pauses.note(whole_ms(ask.max_pause_ms), now);
         let spread = self.spread(now);
         if let Some(rules) = &self.rules {
             // Word of a first event goes with the teller's next one.
@@ -205,7 +205,7 @@
             for server in self.servers.values_mut() {
                 server.follow(rules, told_after, now);
             }
-            if rules.read_ms(ask.prompt) > self.short_ms() {
+            if rules.read_ms(ask.prompt_tokens) > self.short_ms() {
                 overdue::assess(&mut self.servers, self.placement.overdue_ms, told_after, now);
             }
         }
@@ -237,7 +237,7 @@
     }
 
     /// A connection to an endpoint took so long to be made.
-    pub fn connected(&mut self, endpoint: &EndpointId, took: Duration) {
+    pub fn record_connect_time(&mut self, endpoint: &EndpointId, took: Duration) {
         let ms = took.as_secs_f64() * 1000.0;
         self.herd.round_trip(ms);
         if let Some(server) = self.servers.get_mut(endpoint) {
@@ -246,7 +246,7 @@
     }
 
     /// The first byte of an answer came.
-    pub fn began(&mut self, job: JobId, now: Time) {
+    pub fn record_first_event(&mut self, job: JobId, now: Time) {
         let Some(known) = self.jobs.get_mut(&job) else { return };
         if known.began.is_some() {
             return;
@@ -271,7 +271,7 @@
     }
 
     /// A pause between two events of an answer.
-    pub fn paused(&mut self, job: JobId, pause: Duration, now: Time) {
+    pub fn record_pause(&mut self, job: JobId, pause: Duration, now: Time) {
         let Some(known) = self.jobs.get(&job) else { return };
         let Some(rules) = &self.rules else { return };
         if let Some(server) = self.servers.get_mut(&known.endpoint) {
@@ -281,7 +281,7 @@
     }
 
     /// A request ended on its endpoint, whole or not.
-    pub fn ended(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
+    pub fn finish(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
         let Some(known) = self.jobs.swap_remove(&job) else { return };
         for endpoint in known.endpoints() {
             if let Some(server) = self.servers.get_mut(endpoint) {
@@ -318,7 +318,7 @@
     }
 
     /// A request was refused for the sake of an endpoint that was to read a part of it.
-    pub fn at_fault(&mut self, endpoint: &EndpointId, now: Time) {
+    pub fn record_helper_refusal(&mut self, endpoint: &EndpointId, now: Time) {
         if let Some(server) = self.servers.get_mut(endpoint) {
             server.refused_to_help(now);
             server.untold_fault = true;
@@ -326,7 +326,7 @@
     }
 
     /// An endpoint's life ended while requests ran there; all that began to run are suspects.
-    pub fn died(&mut self, endpoint: &EndpointId, now: Time) {
+    pub fn record_death(&mut self, endpoint: &EndpointId, now: Time) {
         let ran = self.jobs.values().filter(|job| job.endpoint == *endpoint && job.is_sent);
         let present: Vec<Fingerprint> = ran.map(|job| job.fingerprint).collect();
         if !present.is_empty() {
@@ -341,7 +341,7 @@
     /// Guards against two instances that choose the same idle engines before each hears of the other:
     /// one of the prompts would wait for the other's parts, which it wasn't foretold. Both see the same
     /// two keys, so exactly one of them looks for another place.
-    pub fn stands(&self, job: JobId, now: Time) -> bool {
+    pub fn is_still_valid(&self, job: JobId, now: Time) -> bool {
         let Some(known) = self.jobs.get(&job) else { return false };
         known.endpoints().zip(&known.incarnations).all(|(endpoint, life)| {
             let server = self.servers.get(endpoint);
@@ -364,7 +364,7 @@
     }
 
     /// A request was handed to its endpoint.
-    pub fn sent(&mut self, job: JobId) {
+    pub fn mark_sent(&mut self, job: JobId) {
         if let Some(known) = self.jobs.get_mut(&job) {
             known.is_sent = true;
         }
@@ -399,7 +399,7 @@
     }
 
     /// Another instance is gone, and what it had under way with it.
-    pub fn forget(&mut self, peer: &InstanceId) {
+    pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.peers.swap_remove(peer);
         for server in self.servers.values_mut() {
             server.forget(peer);
--- a/crates/policy/src/placement/rules.rs
+++ b/crates/policy/src/placement/rules.rs
@@ -5,7 +5,7 @@
 /// How an engine is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Choice {
+pub enum PlacementStrategy {
     /// By what callers lose.
     #[default]
     Weighed,
@@ -21,7 +21,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementRules {
     /// How an engine is chosen; the other figures are for [`Choice::Weighed`].
-    pub choice: Choice,
+    pub choice: PlacementStrategy,
     /// Milliseconds of reading that weigh one.
     pub unit_ms: f64,
     /// How weight grows with a prompt's reading time: less than in proportion, as a long prompt is one
@@ -99,7 +99,7 @@
 impl Default for PlacementRules {
     fn default() -> PlacementRules {
         PlacementRules {
-            choice: Choice::Weighed,
+            choice: PlacementStrategy::Weighed,
             unit_ms: 20.0,
             weight_power: 0.57,
             ramp_from: 0.75,
@@ -137,7 +137,7 @@
 
 impl PlacementRules {
     /// The name of a figure that makes no sense, if there is one.
-    pub fn wrong(&self) -> Option<&'static str> {
+    pub fn invalid_field(&self) -> Option<&'static str> {
         let positive = [
             ("unit_ms", self.unit_ms),
             ("idle_factor", self.idle_factor),
--- a/crates/policy/src/placement/server.rs
+++ b/crates/policy/src/placement/server.rs
@@ -298,7 +298,7 @@
         if is_head {
             own.running = own.running.saturating_add(1);
             own.memory += job.memory;
-            own.writers.add(job.pause_ms, job.weight);
+            own.writers.add(job.max_pause_ms, job.weight);
         }
         self.set_own(own);
     }
@@ -314,7 +314,7 @@
         if is_head {
             own.running = own.running.saturating_sub(1);
             own.memory = own.memory.saturating_sub(job.memory);
-            own.writers.remove(job.pause_ms, job.weight);
+            own.writers.remove(job.max_pause_ms, job.weight);
             if own.running == 0 {
                 own.writers = DecodingLoad::default();
             }
--- a/crates/policy/src/placement/split.rs
+++ b/crates/policy/src/placement/split.rs
@@ -149,7 +149,7 @@
 
     /// Whether it writes where others write: all but those who bear the longest pauses.
     fn gathers(&self, ask: &PlacementRequest) -> bool {
-        self.placement.gathers && self.pauses.is_below_longest(whole_ms(ask.pause_ms))
+        self.placement.gathers && self.pauses.is_below_longest(whole_ms(ask.max_pause_ms))
     }
 
     /// The cheapest engine to write on, and the cheapest others to read.
@@ -179,7 +179,7 @@
     ) -> Option<(f64, Chosen)> {
         let Parts { candidates, head } = parts;
         let head =
-            head.or_else(|| self.best_head(rules, &candidates, tried.memory, ask.pause_ms))?;
+            head.or_else(|| self.best_head(rules, &candidates, tried.memory, ask.max_pause_ms))?;
         let MemoryShares { at_head, reserve } =
             self.memory(rules, &candidates, head, tried.memory)?;
         let outlooks = || candidates.iter().map(|c| &c.outlook);
@@ -192,7 +192,7 @@
             false => 0.0,
         };
         let own = self.placement.lateness(predicted_ms, ask.goal_ms)
-            + self.placement.miss(candidates[head].outlook.pause_ms, ask.pause_ms);
+            + self.placement.miss(candidates[head].outlook.pause_ms, ask.max_pause_ms);
         let risk = candidates.iter().map(|c| self.servers[c.index].risk).sum();
         let broken = self.broken_cost(candidates.len(), risk);
         let total = tried.weight * (own + alone + broken) + harm;
--- a/crates/policy/tests/arrange.rs
+++ b/crates/policy/tests/arrange.rs
@@ -12,8 +12,8 @@
 use policy::{
     EndpointId, FailCause, Incarnation, InstanceId, Time,
     placement::{
-        Choice, EndpointUpdate, GroupScheduler, JobId, Member, Placement, PlacementRefusal,
-        PlacementRequest, PlacementRules,
+        EndpointUpdate, GroupScheduler, JobId, Member, Placement, PlacementRefusal,
+        PlacementRequest, PlacementRules, PlacementStrategy,
     },
 };
 
@@ -54,7 +54,7 @@
     for i in 0..60 {
         let now = at(4_000 + i * 25);
         let placement = place(&mut scheduler, QUESTION, now);
-        scheduler.began(placement.job, now + Duration::from_millis(50));
+        scheduler.record_first_event(placement.job, now + Duration::from_millis(50));
         *counts.entry(placement.endpoint).or_default() += 1;
     }
     assert!(counts.len() <= 12, "{counts:?}");
@@ -70,7 +70,7 @@
     for i in 0..40 {
         let now = at(i * 25);
         let placement = place(&mut scheduler, QUESTION, now);
-        scheduler.began(placement.job, now + Duration::from_millis(40));
+        scheduler.record_first_event(placement.job, now + Duration::from_millis(40));
         writing.push(placement.endpoint);
     }
     let placement = place(&mut scheduler, DOSSIER, at(1_100));
@@ -103,10 +103,10 @@
         let now = at(i * 100);
         if i % 4 == 0 {
             let dossier = place(&mut scheduler, DOSSIER, now);
-            scheduler.ended(dossier.job, None, now + Duration::from_millis(50));
+            scheduler.finish(dossier.job, None, now + Duration::from_millis(50));
         }
         let placement = place(&mut scheduler, 28_000, now);
-        scheduler.began(placement.job, now + Duration::from_millis(60));
+        scheduler.record_first_event(placement.job, now + Duration::from_millis(60));
         heads.insert(placement.endpoint);
     }
     assert!(heads.len() <= 5, "{heads:?}");
@@ -119,12 +119,12 @@
     let mut scheduler = scheduler(20);
     for i in 0..24 {
         let dossier = place(&mut scheduler, DOSSIER, at(i * 100));
-        scheduler.ended(dossier.job, None, at(i * 100 + 50));
+        scheduler.finish(dossier.job, None, at(i * 100 + 50));
     }
     for i in 0..60 {
         let placement = place(&mut scheduler, QUESTION, at(2_500 + i * 10));
         assert!(placement.predicted_ms < 300.0, "question {i}: {placement:?}");
-        scheduler.began(placement.job, at(2_505 + i * 10));
+        scheduler.record_first_event(placement.job, at(2_505 + i * 10));
     }
 }
 
@@ -153,12 +153,12 @@
         let placement = place(&mut scheduler, QUESTION, now);
         let is_slow = placement.endpoint == id(0);
         let pause = Duration::from_millis(if is_slow { 250 } else { 50 });
-        scheduler.began(placement.job, now + pause);
+        scheduler.record_first_event(placement.job, now + pause);
         for _ in 0..8 {
-            scheduler.paused(placement.job, pause, now + pause);
+            scheduler.record_pause(placement.job, pause, now + pause);
         }
         *counts.entry(placement.endpoint).or_default() += 1;
-        scheduler.ended(placement.job, None, now + 3 * pause);
+        scheduler.finish(placement.job, None, now + 3 * pause);
     }
     let slow = counts.get(&id(0)).copied().unwrap_or(0);
     assert!(slow < 25, "{counts:?}");
@@ -175,10 +175,10 @@
         let placement = place(&mut scheduler, QUESTION, now);
         if placement.endpoint == id(0) {
             failures += 1;
-            scheduler.ended(placement.job, Some(FailCause::Broken), now);
+            scheduler.finish(placement.job, Some(FailCause::Broken), now);
         } else {
-            scheduler.began(placement.job, now);
-            scheduler.ended(placement.job, None, now + Duration::from_millis(200));
+            scheduler.record_first_event(placement.job, now);
+            scheduler.finish(placement.job, None, now + Duration::from_millis(200));
         }
     }
     assert!(failures <= 40, "{failures}");
@@ -217,8 +217,8 @@
     scheduler.take_updates(true);
     for (i, job) in jobs.into_iter().enumerate() {
         let failed = (i % 2 == 0).then_some(FailCause::Deadline);
-        scheduler.ended(job, failed, at(200));
-        scheduler.ended(job, failed, at(200));
+        scheduler.finish(job, failed, at(200));
+        scheduler.finish(job, failed, at(200));
     }
     let told = scheduler.take_updates(true);
     assert!(told.iter().all(|word| word.level.running == 0 && word.level.memory == 0), "{told:?}");
@@ -232,12 +232,12 @@
 fn the_longest_prompts_reserve_what_is_missing() {
     let mut scheduler = scheduler(16);
     let placement = place(&mut scheduler, 900_000, Time::ZERO);
-    let reserved: u64 = placement.helpers.iter().filter_map(|helper| helper.reserve).sum();
+    let reserved: u64 = placement.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum();
     assert!(reserved >= 900_000 + 1_500 - 450_000, "{placement:?}");
-    assert!(placement.helpers.iter().filter(|helper| helper.reserve.is_some()).count() <= 2);
+    assert!(placement.helpers.iter().filter(|helper| helper.reserve_tokens.is_some()).count() <= 2);
     let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
     assert_eq!(level, 901_500);
-    scheduler.ended(placement.job, None, at(9_000));
+    scheduler.finish(placement.job, None, at(9_000));
     let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
     assert_eq!(level, 0);
 }
@@ -249,7 +249,7 @@
     let mut two = scheduler(2);
     assert_eq!(two.place(&ask(1_000_000), Time::ZERO), Err(PlacementRefusal::NoEndpoint));
     let late =
-        scheduler(2).place(&PlacementRequest { left_ms: 2_000.0, ..ask(600_000) }, Time::ZERO);
+        scheduler(2).place(&PlacementRequest { remaining_ms: 2_000.0, ..ask(600_000) }, Time::ZERO);
     assert!(matches!(late, Err(PlacementRefusal::TooLate(_))), "{late:?}");
 }
 
@@ -267,10 +267,10 @@
         let later = answers.split_off(&now);
         for (answered, jobs) in std::mem::replace(&mut answers, later) {
             for job in jobs {
-                scheduler.ended(job, None, answered);
+                scheduler.finish(job, None, answered);
             }
         }
-        match scheduler.place(&PlacementRequest { left_ms: 15_000.0, ..ask(DOSSIER) }, now) {
+        match scheduler.place(&PlacementRequest { remaining_ms: 15_000.0, ..ask(DOSSIER) }, now) {
             Ok(placement) => {
                 assert!(placement.predicted_ms <= 3_000.0, "{placement:?}");
                 let answered = now + Duration::from_secs_f64(placement.predicted_ms / 1000.0);
@@ -296,7 +296,7 @@
     let peer = InstanceId::new("entry-1").unwrap();
     let first = place(&mut one, DOSSIER, Time::ZERO);
     two.apply_updates(&peer, &one.take_updates(false), Time::ZERO);
-    one.ended(first.job, Some(FailCause::Deadline), at(2));
+    one.finish(first.job, Some(FailCause::Deadline), at(2));
     two.apply_updates(&peer, &one.take_updates(true), at(2));
     let after = place(&mut two, DOSSIER, at(3)).predicted_ms;
     let alone = place(&mut scheduler(4), DOSSIER, at(3)).predicted_ms;
@@ -307,7 +307,7 @@
     let others = (0..engines).map(id).filter(|other| other != endpoint);
     let tried = others.map(|other| (other, Incarnation(1))).collect();
     let placement = scheduler.place(&PlacementRequest { tried, ..ask(QUESTION) }, now).unwrap();
-    scheduler.ended(placement.job, Some(FailCause::Broken), now);
+    scheduler.finish(placement.job, Some(FailCause::Broken), now);
 }
 
 /// Twenty instances serve a site, and an engine begins to reset whatever it gets. Each instance
@@ -324,7 +324,7 @@
     for i in 0..40 {
         let placement = place(&mut here, QUESTION, at(200 + i * 20));
         assert_ne!(placement.endpoint, id(2));
-        here.ended(placement.job, None, at(210 + i * 20));
+        here.finish(placement.job, None, at(210 + i * 20));
     }
 }
 
@@ -336,7 +336,7 @@
     let peer = InstanceId::new("entry-9").unwrap();
     for i in 0..40 {
         let placement = place(&mut other, QUESTION, at(i * 10));
-        other.ended(placement.job, Some(FailCause::Broken), at(i * 10));
+        other.finish(placement.job, Some(FailCause::Broken), at(i * 10));
         here.apply_updates(&peer, &other.take_updates(true), at(i * 10));
     }
     for wanted in 0..4 {
@@ -356,14 +356,14 @@
     let mut writing = Vec::new();
     for i in 0..120 {
         let placement = place(&mut scheduler, QUESTION, at(i * 12));
-        scheduler.began(placement.job, at(i * 12 + 10));
+        scheduler.record_first_event(placement.job, at(i * 12 + 10));
         writing.push(placement.job);
     }
     let dossier = PlacementRequest { goal_ms: 6_000.0, ..ask(DOSSIER) };
     let refused = scheduler.place(&dossier, at(1_500));
     assert!(matches!(refused, Err(PlacementRefusal::Crowded(_))), "{refused:?}");
     for job in writing {
-        scheduler.ended(job, None, at(1_510));
+        scheduler.finish(job, None, at(1_510));
     }
     assert!(scheduler.place(&dossier, at(1_700)).is_ok());
 }
@@ -379,7 +379,7 @@
     let (words, others) = (one.take_updates(false), two.take_updates(false));
     one.apply_updates(&InstanceId::new("entry-2").unwrap(), &others, at(4));
     two.apply_updates(&InstanceId::new("entry-1").unwrap(), &words, at(4));
-    let stand = [one.stands(first.job, at(8)), two.stands(second.job, at(9))];
+    let stand = [one.is_still_valid(first.job, at(8)), two.is_still_valid(second.job, at(9))];
     assert_eq!(stand.iter().filter(|stands| **stands).count(), 1, "{stand:?}");
 }
 
@@ -391,10 +391,10 @@
     place(&mut scheduler, DOSSIER, at(0));
     let held = place(&mut scheduler, DOSSIER, at(20));
     assert!(held.hold > Duration::from_millis(200), "{held:?}");
-    assert!(scheduler.stands(held.job, at(30)));
+    assert!(scheduler.is_still_valid(held.job, at(30)));
     let members = (0..4).map(|i| member(i, id(i) == held.endpoint)).collect();
     scheduler.set_members(members, at(40));
-    assert!(!scheduler.stands(held.job, at(50)));
+    assert!(!scheduler.is_still_valid(held.job, at(50)));
 }
 
 /// An engine dies in the middle of a dossier's answer, long past the goal for its first event, while
@@ -404,7 +404,7 @@
     let mut scheduler = scheduler(8);
     while scheduler.place(&ask(DOSSIER), at(0)).is_ok() {}
     let tried = vec![(id(0), Incarnation(1))];
-    let going_on = PlacementRequest { tried, goal_ms: 0.0, left_ms: 9_000.0, ..ask(DOSSIER) };
+    let going_on = PlacementRequest { tried, goal_ms: 0.0, remaining_ms: 9_000.0, ..ask(DOSSIER) };
     let placed = scheduler.place(&going_on, at(1));
     assert!(placed.is_ok(), "{placed:?}");
 }
@@ -436,13 +436,13 @@
 fn a_long_pass_goes_where_it_is_borne() {
     let mut scheduler = scheduler(2);
     let dossier = place(&mut scheduler, DOSSIER, at(0));
-    scheduler.ended(dossier.job, None, at(0));
+    scheduler.finish(dossier.job, None, at(0));
     for (engine, pause_ms) in [(0, 90.0), (1, 250.0)] {
         let other = vec![(id(1 - engine), Incarnation(1))];
-        let writer = PlacementRequest { pause_ms, tried: other, ..ask(QUESTION) };
+        let writer = PlacementRequest { max_pause_ms: pause_ms, tried: other, ..ask(QUESTION) };
         let placed = scheduler.place(&writer, at(0)).unwrap();
         assert_eq!(placed.endpoint, id(engine));
-        scheduler.began(placed.job, at(40));
+        scheduler.record_first_event(placed.job, at(40));
     }
     let placed = place(&mut scheduler, 17_000, at(200));
     assert_eq!(placed.endpoint, id(1), "{placed:?}");
@@ -456,7 +456,7 @@
     let read_ms = engine().read_ms(prompt);
     for (pause_ms, is_split) in [(read_ms * 3.0, false), (read_ms, true)] {
         let mut scheduler = scheduler(8);
-        let ask = PlacementRequest { pause_ms, ..ask(prompt) };
+        let ask = PlacementRequest { max_pause_ms: pause_ms, ..ask(prompt) };
         let placed = scheduler.place(&ask, at(0)).unwrap();
         assert_eq!(!placed.helpers.is_empty(), is_split, "{pause_ms} ms: {placed:?}");
     }
@@ -477,10 +477,10 @@
     for now in (0..20_000).step_by(usize::try_from(every_ms).unwrap()) {
         running.retain_mut(|(begins, ends, job)| {
             if let Some(begun) = begins.take_if(|begins| *begins <= now) {
-                scheduler.began(*job, at(begun));
+                scheduler.record_first_event(*job, at(begun));
             }
             if *ends <= now {
-                scheduler.ended(*job, None, at(*ends));
+                scheduler.finish(*job, None, at(*ends));
             }
             *ends > now
         });
@@ -517,7 +517,7 @@
                 counts[index] += 1;
                 // All but the first engine answer at once.
                 if index > 0 {
-                    scheduler.ended(placed.job, None, at(i));
+                    scheduler.finish(placed.job, None, at(i));
                 }
             }
             assert_eq!(counts, $counts);
@@ -526,15 +526,15 @@
 }
 
 baselines! {
-    round_robin_takes_turns: Choice::RoundRobin => [2, 2, 2];
-    least_outstanding_avoids_the_busy: Choice::LeastOutstanding => [1, 3, 2];
+    round_robin_takes_turns: PlacementStrategy::RoundRobin => [2, 2, 2];
+    least_outstanding_avoids_the_busy: PlacementStrategy::LeastOutstanding => [1, 3, 2];
 }
 
 #[test]
 fn rules_that_make_no_sense_are_named() {
     let default = PlacementRules::default();
-    assert_eq!(default.wrong(), None);
-    assert_eq!(PlacementRules { unit_ms: 0.0, ..default }.wrong(), Some("unit_ms"));
-    assert_eq!(PlacementRules { apart: -1.0, ..default }.wrong(), Some("apart"));
-    assert_eq!(PlacementRules { ramp_to: 0.5, ..default }.wrong(), Some("ramp_to"));
+    assert_eq!(default.invalid_field(), None);
+    assert_eq!(PlacementRules { unit_ms: 0.0, ..default }.invalid_field(), Some("unit_ms"));
+    assert_eq!(PlacementRules { apart: -1.0, ..default }.invalid_field(), Some("apart"));
+    assert_eq!(PlacementRules { ramp_to: 0.5, ..default }.invalid_field(), Some("ramp_to"));
 }
--- a/crates/policy/tests/arranging/mod.rs
+++ b/crates/policy/tests/arranging/mod.rs
@@ -43,14 +43,14 @@
         _ => (3_000.0, 800.0),
     };
     PlacementRequest {
-        prompt,
-        output: 1_500,
+        prompt_tokens: prompt,
+        max_output_tokens: 1_500,
         goal_ms,
-        pause_ms,
-        left_ms: 60_000.0,
+        max_pause_ms: pause_ms,
+        remaining_ms: 60_000.0,
         priority: 1,
         fingerprint: Fingerprint(u128::from(prompt)),
-        is_beside: false,
+        is_hedge: false,
         tried: Vec::new(),
     }
 }
--- a/crates/policy/tests/helpers.rs
+++ b/crates/policy/tests/helpers.rs
@@ -24,9 +24,9 @@
     let fingerprint = Fingerprint(u128::from(index));
     let goal_ms = 6_000.0;
     PlacementRequest {
-        output: 1_000,
+        max_output_tokens: 1_000,
         goal_ms,
-        left_ms: 10_000.0,
+        remaining_ms: 10_000.0,
         fingerprint,
         ..arranging::ask(60_000)
     }
@@ -101,7 +101,7 @@
     for index in 0..200 {
         let Ok(placement) = one.place(&summary(index), Time(index)) else { continue };
         if placement.hold.as_millis() >= 20 {
-            one.ended(placement.job, None, Time(index));
+            one.finish(placement.job, None, Time(index));
             break;
         }
         for helper in placement.helpers {
@@ -121,9 +121,9 @@
     let late = Time::from_millis(foretold_ms + late_ms);
     let takes_full = |two: &mut GroupScheduler| {
         // A prompt that all engines are needed for.
-        let dossier = PlacementRequest { prompt: 300_000, goal_ms: 9_000.0, ..summary(900) };
+        let dossier = PlacementRequest { prompt_tokens: 300_000, goal_ms: 9_000.0, ..summary(900) };
         let placement = two.place(&dossier, late).unwrap();
-        two.ended(placement.job, None, late);
+        two.finish(placement.job, None, late);
         let helps = |endpoint| placement.helpers.iter().any(|h| h.endpoint == endpoint);
         // Where it runs alone, nobody helps.
         !placement.helpers.is_empty() && (placement.endpoint == full || helps(full.clone()))
@@ -132,12 +132,12 @@
     match freed {
         Freed::Begun => {
             for job in jobs {
-                one.began(job, late);
-                one.ended(job, None, late);
+                one.record_first_event(job, late);
+                one.finish(job, None, late);
             }
             two.apply_updates(&name, &one.take_updates(true), late);
         }
-        Freed::Forgotten => two.forget(&name),
+        Freed::Forgotten => two.remove_peer(&name),
     }
     assert!(takes_full(&mut two), "{full} is free again");
 }
--- a/crates/policy/tests/herd.rs
+++ b/crates/policy/tests/herd.rs
@@ -31,7 +31,7 @@
     let rules = PlacementRules::default();
     let mut scheduler = arranging::scheduler(ENGINES, engine(), rules, index as u64);
     for index in 0..ENGINES {
-        scheduler.connected(&arranging::id(index), Duration::from_micros(WORD_US));
+        scheduler.record_connect_time(&arranging::id(index), Duration::from_micros(WORD_US));
     }
     scheduler
 }
@@ -40,7 +40,7 @@
     let fingerprint = Fingerprint(u128::from(index));
     PlacementRequest {
         goal_ms: GOAL_MS,
-        left_ms: 10_000.0,
+        remaining_ms: 10_000.0,
         fingerprint,
         ..arranging::ask(QUESTION)
     }
--- a/crates/policy/tests/stalls.rs
+++ b/crates/policy/tests/stalls.rs
@@ -60,13 +60,13 @@
             let instance = &mut self.instances[from];
             match event {
                 Event::Begins => {
-                    instance.began(job, time);
+                    instance.record_first_event(job, time);
                     self.at(at + WRITING, from, job, Event::Ends);
                 }
-                Event::Ends => instance.ended(job, None, time),
+                Event::Ends => instance.finish(job, None, time),
                 Event::Refused(fault) => {
-                    instance.at_fault(&fault, time);
-                    instance.ended(job, Some(FailCause::Rejected), time);
+                    instance.record_helper_refusal(&fault, time);
+                    instance.finish(job, Some(FailCause::Rejected), time);
                     refused.push((from, job));
                     self.tell(from, false, time);
                 }
@@ -105,7 +105,7 @@
 /// A question that only one of two engines may run.
 fn question_for(engine: usize, index: u64) -> PlacementRequest {
     let tried = vec![(arranging::id(1 - engine), Incarnation(1))];
-    PlacementRequest { tried, is_beside: true, ..ask(5_000, index) }
+    PlacementRequest { tried, is_hedge: true, ..ask(5_000, index) }
 }
 
 /// Guards against an engine that died without a word: it looks idle, as what was sent there counts as
@@ -130,7 +130,7 @@
     };
     assert_eq!(place(&mut two, 10).endpoint, arranging::id(1));
     // Its first event comes after all.
-    one.began(unanswered.job, Time::from_millis(now));
+    one.record_first_event(unanswered.job, Time::from_millis(now));
     two.apply_updates(&peer, &one.take_updates(true), Time::from_millis(now));
     assert_eq!(place(&mut two, 11).endpoint, arranging::id(0));
 }
@@ -189,12 +189,12 @@
     let other = arranging::id(1);
     let helps = |scheduler: &mut GroupScheduler, now: Time| {
         let placed = scheduler.place(&ask(210_000, 1), now).unwrap();
-        scheduler.ended(placed.job, None, now);
+        scheduler.finish(placed.job, None, now);
         let mut all = placed.helpers.iter().map(|helper| &helper.endpoint);
         placed.endpoint == other || all.any(|helper| *helper == other)
     };
     assert!(helps(&mut scheduler, Time::from_millis(1)));
-    scheduler.at_fault(&other, Time::from_millis(2));
+    scheduler.record_helper_refusal(&other, Time::from_millis(2));
     assert!(!helps(&mut scheduler, Time::from_millis(3)));
     let later = Time::from_millis(3) + Duration::from_secs(1);
     assert!(helps(&mut scheduler, later));
@@ -283,17 +283,17 @@
     /// Guards against engines that are avoided because word of a first event takes its time.
     dossiers_share_engines_before_word_is_due: 100, |_, _| {}, (8..);
     /// Guards against engines that are avoided although they answered, if late.
-    dossiers_share_engines_that_read: 1_000, |pair, now| pair.one.began(pair.first.job, now), (8..);
+    dossiers_share_engines_that_read: 1_000, |pair, now| pair.one.record_first_event(pair.first.job, now), (8..);
     /// Guards against engines that are avoided although they have read a later dossier.
     dossiers_share_engines_that_read_a_later_one: 1_000, |pair, now| {
         let soon = Time::from_millis(10);
         let later = pair.one.place(&ask(210_000, 3), soon).unwrap();
         pair.tell(soon);
-        pair.one.began(later.job, now);
+        pair.one.record_first_event(later.job, now);
     }, (8..);
     /// Guards against engines that are avoided after another one was named.
     dossiers_share_engines_once_one_is_named: 1_000, |pair, now| {
-        pair.one.at_fault(&arranging::id(0), now);
-        pair.one.ended(pair.first.job, Some(FailCause::Rejected), now);
+        pair.one.record_helper_refusal(&arranging::id(0), now);
+        pair.one.finish(pair.first.job, Some(FailCause::Rejected), now);
     }, (8..);
 }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -75,8 +75,11 @@
     fn is_ready(&self) -> bool {
         let known = self.configuration.age().is_some_and(|age| age <= READY_FOR);
         let serving = self.lifecycle.stage() == Stage::Serving;
-        let has_endpoints =
-            self.groups.all().iter().any(|group| crate::lock(&group.scheduler).usable() > 0);
+        let has_endpoints = self
+            .groups
+            .all()
+            .iter()
+            .any(|group| crate::lock(&group.scheduler).usable_endpoints() > 0);
         known && serving && has_endpoints && self.configuration.table().version.0 > 0
     }
 }
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -164,7 +164,7 @@
     /// Another endpoint answered first although it was asked later.
     pub(super) fn outrun(&self, job: JobId) {
         let now = self.parts.clock.now();
-        lock(&self.group.scheduler).ended(job, Some(FailCause::Silent), now);
+        lock(&self.group.scheduler).finish(job, Some(FailCause::Silent), now);
     }
 
     /// The next place for it, if one more attempt is allowed.
@@ -208,7 +208,7 @@
                 log::info!(
                     id = self.id(),
                     route = self.received.route.name.as_str(),
-                    prompt = ask.prompt,
+                    prompt = ask.prompt_tokens,
                     endpoint = placement.endpoint.as_str(),
                     helpers = names(&placement.helpers).as_str(),
                     predicted_ms = placement.predicted_ms as u64,
@@ -216,7 +216,7 @@
                     attempt = ask.tried.len() + 1;
                     "placed"
                 );
-                if ask.prompt > 0 {
+                if ask.prompt_tokens > 0 {
                     self.parts.urgent.raise();
                 }
                 Ok(placement)
@@ -224,12 +224,12 @@
             Err(PlacementRefusal::NoEndpoint) => Err(self.give_up(Reason::NoEndpoint)),
             Err(PlacementRefusal::Quarantined(_)) => Err(self.give_up(Reason::Quarantined)),
             Err(PlacementRefusal::TooLate(by)) => {
-                log::info!(id = self.id(), prompt = ask.prompt, late_ms = by.as_millis() as u64;
+                log::info!(id = self.id(), prompt = ask.prompt_tokens, late_ms = by.as_millis() as u64;
                     "too_late");
                 Err(self.come_back(Reason::TooLate, by))
             }
             Err(PlacementRefusal::Crowded(after)) => {
-                log::info!(id = self.id(), prompt = ask.prompt; "crowded");
+                log::info!(id = self.id(), prompt = ask.prompt_tokens; "crowded");
                 Err(self.come_back(Reason::Crowded, after))
             }
         }
@@ -243,14 +243,14 @@
         let goal = received.route.time_to_bound(now.since(received.arrived), since_event);
         let rank = received.owner.as_ref().and_then(|owner| owner.priority);
         PlacementRequest {
-            prompt,
-            output,
-            left_ms: self.left().as_secs_f64() * 1000.0,
+            prompt_tokens: prompt,
+            max_output_tokens: output,
+            remaining_ms: self.left().as_secs_f64() * 1000.0,
             goal_ms: goal.as_secs_f64() * 1000.0,
-            pause_ms: received.route.pause_goal.as_secs_f64() * 1000.0,
+            max_pause_ms: received.route.pause_goal.as_secs_f64() * 1000.0,
             priority: rank.unwrap_or(received.route.priority),
             fingerprint: received.fingerprint,
-            is_beside: beside == Beside::Another,
+            is_hedge: beside == Beside::Another,
             tried: progress.tried.clone(),
         }
     }
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -90,8 +90,8 @@
         let seen = lock(&self.0.answer_times).bound(route);
         let scheduler = lock(&group.scheduler);
         match seen {
-            Some(writing) => scheduler.usual_time(prompt, 0) + writing,
-            None => scheduler.usual_time(prompt, output),
+            Some(writing) => scheduler.typical_duration(prompt, 0) + writing,
+            None => scheduler.typical_duration(prompt, output),
         }
     }
 }
--- a/crates/router/src/filter/run.rs
+++ b/crates/router/src/filter/run.rs
@@ -60,12 +60,12 @@
 
     /// The first byte came.
     pub(super) fn began(&self) {
-        lock(&self.group.scheduler).began(self.job, self.clock.now());
+        lock(&self.group.scheduler).record_first_event(self.job, self.clock.now());
     }
 
     /// There was a pause between two events.
     pub(super) fn paused(&self, pause: Duration) {
-        lock(&self.group.scheduler).paused(self.job, pause, self.clock.now());
+        lock(&self.group.scheduler).record_pause(self.job, pause, self.clock.now());
     }
 
     /// The run ended.
@@ -75,7 +75,7 @@
 
     fn tell(&mut self, failed: Option<FailCause>) {
         if !std::mem::replace(&mut self.ended, true) {
-            lock(&self.group.scheduler).ended(self.job, failed, self.clock.now());
+            lock(&self.group.scheduler).finish(self.job, failed, self.clock.now());
         }
     }
 }
--- a/crates/router/src/filter/send.rs
+++ b/crates/router/src/filter/send.rs
@@ -65,8 +65,8 @@
         let group = self.group.clone();
         let sending = |took| {
             let mut scheduler = lock(&group.scheduler);
-            scheduler.connected(&placement.endpoint, took);
-            scheduler.sent(placement.job);
+            scheduler.record_connect_time(&placement.endpoint, took);
+            scheduler.mark_sent(placement.job);
         };
         match attempt::send(&self.parts.executor, address, req, self.left(), sending).await {
             Ok(upstream) => self.judge(Live { upstream, run }).await,
@@ -75,7 +75,7 @@
                 log::info!(id = self.id(), endpoint = run.endpoint.as_str(), is_refused;
                     "not_sent");
                 if is_refused {
-                    lock(&self.group.scheduler).died(&run.endpoint, self.parts.clock.now());
+                    lock(&self.group.scheduler).record_death(&run.endpoint, self.parts.clock.now());
                 }
                 run.end(Some(FailCause::NotSent));
                 None
@@ -94,7 +94,8 @@
             return true;
         }
         Timer::after(placement.hold).await;
-        let stands = lock(&self.group.scheduler).stands(placement.job, self.parts.clock.now());
+        let stands =
+            lock(&self.group.scheduler).is_still_valid(placement.job, self.parts.clock.now());
         if !stands {
             log::info!(id = self.id(), endpoint = placement.endpoint.as_str(); "placed_anew");
         }
@@ -104,7 +105,7 @@
     fn helpers(&self, placement: &Placement) -> Vec<HelperFacts> {
         let helpers = placement.helpers.iter().filter_map(|helper| {
             let address = self.group.address(&helper.endpoint)?;
-            let reservation = helper.reserve.map(|_| self.parts.reservation_ids.next());
+            let reservation = helper.reserve_tokens.map(|_| self.parts.reservation_ids.next());
             Some(HelperFacts { address, reservation })
         });
         helpers.collect()
@@ -113,7 +114,7 @@
     /// What has to be reserved before the prompt is sent.
     fn wishes(&self, placement: &Placement, helpers: &[HelperFacts]) -> Vec<Wish> {
         let reserving = placement.helpers.iter().filter_map(|helper| {
-            let tokens = helper.reserve?;
+            let tokens = helper.reserve_tokens?;
             let address = self.group.address(&helper.endpoint)?;
             let facts = helpers.iter().find(|facts| facts.address == address)?;
             let id = facts.reservation.clone()?;
@@ -202,7 +203,7 @@
         lock(&self.progress).doubtful -= 1;
         let fault = facts.at_fault.and_then(|address| self.group.at(address));
         if let Some(fault) = fault.filter(|fault| *fault != run.endpoint) {
-            lock(&self.group.scheduler).at_fault(&fault, self.parts.clock.now());
+            lock(&self.group.scheduler).record_helper_refusal(&fault, self.parts.clock.now());
             self.parts.urgent.raise();
         }
         run.end(Some(FailCause::Rejected));
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -422,7 +422,7 @@
 
     fn forget(&self, instance: &InstanceId) {
         for group in self.groups.all() {
-            lock(&group.scheduler).forget(instance);
+            lock(&group.scheduler).remove_peer(instance);
         }
     }
 
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -172,7 +172,7 @@
         .with_description("endpoints that may get work, by group")
         .with_callback(move |gauge| {
             for group in groups.all() {
-                let usable = crate::lock(&group.scheduler).usable() as u64;
+                let usable = crate::lock(&group.scheduler).usable_endpoints() as u64;
                 gauge.observe(usable, &[KeyValue::new("group", group.name.as_str().to_owned())]);
             }
         })
