--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -7,9 +7,9 @@
 
 use crate::{
     dialect::Dialect,
-    filter::{AnswerBody, Handler},
+    filter::{Handler, ResponseBody},
     metrics::Metrics,
-    serve::{ConnectionRules, Service},
+    serve::{ConnectionLimits, Service},
     state::{Configuration, Groups, Lifecycle, Stage},
 };
 
@@ -18,7 +18,7 @@
 const READY_FOR: Duration = Duration::from_millis(3_700);
 
 /// Answers callers.
-pub(crate) struct Entry<D, H> {
+pub(crate) struct CallerService<D, H> {
     pub(crate) chain: H,
     pub(crate) dialect: Arc<D>,
     pub(crate) configuration: Arc<Configuration>,
@@ -26,9 +26,9 @@
     pub(crate) metrics: Arc<Metrics>,
 }
 
-impl<D: Dialect, H: Handler<Request<Incoming>>> Service for Entry<D, H> {
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
-        let open = self.lifecycle.begin();
+impl<D: Dialect, H: Handler<Request<Incoming>>> Service for CallerService<D, H> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
+        let open = self.lifecycle.count_request();
         let request_id = self.dialect.request_id(req.headers());
         let mut resp = match self.chain.handle(req).await {
             Ok(resp) => resp,
@@ -50,11 +50,11 @@
         resp.map(|body| body.counted(open))
     }
 
-    fn rules(&self) -> ConnectionRules {
+    fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.configuration.table().limits;
-        ConnectionRules {
-            head_bytes: limits.head_bytes,
-            idle: limits.idle_timeout.max(limits.head_timeout),
+        ConnectionLimits {
+            max_head_bytes: limits.head_bytes,
+            idle_timeout: limits.idle_timeout.max(limits.head_timeout),
         }
     }
 
@@ -64,14 +64,14 @@
 }
 
 /// Answers the balancer.
-pub(crate) struct Readiness {
+pub(crate) struct ReadinessService {
     pub(crate) path: &'static str,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) groups: Arc<Groups>,
     pub(crate) lifecycle: Arc<Lifecycle>,
 }
 
-impl Readiness {
+impl ReadinessService {
     fn is_ready(&self) -> bool {
         let known = self.configuration.age().is_some_and(|age| age <= READY_FOR);
         let serving = self.lifecycle.stage() == Stage::Serving;
@@ -84,9 +84,9 @@
     }
 }
 
-impl Service for Readiness {
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
-        let mut resp = Response::new(AnswerBody::whole(bytes::Bytes::new()));
+impl Service for ReadinessService {
+    async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
+        let mut resp = Response::new(ResponseBody::whole(bytes::Bytes::new()));
         *resp.status_mut() = match req.method() == Method::GET && req.uri().path() == self.path {
             false => StatusCode::NOT_FOUND,
             true if self.is_ready() => StatusCode::OK,
@@ -95,8 +95,8 @@
         resp
     }
 
-    fn rules(&self) -> ConnectionRules {
-        ConnectionRules { head_bytes: 0, idle: Duration::from_secs(15) }
+    fn connection_limits(&self) -> ConnectionLimits {
+        ConnectionLimits { max_head_bytes: 0, idle_timeout: Duration::from_secs(15) }
     }
 
     fn lifecycle(&self) -> &Arc<Lifecycle> {
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -21,24 +21,24 @@
 
 /// An event is longer than [`MAX_EVENT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
 /// Collects bytes until an event is whole.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventParser {
     buf: BytesMut,
     searched: usize,
 }
 
-impl Events {
+impl EventParser {
     /// Adds bytes.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] where an event has no end.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
+    /// [`EventTooLong`] where an event has no end.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         if self.buf.len() + bytes.len() > MAX_EVENT {
-            return Err(TooLong);
+            return Err(EventTooLong);
         }
         self.buf.extend_from_slice(bytes);
         Ok(())
--- a/crates/router/src/filter/body.rs
+++ b/crates/router/src/filter/body.rs
@@ -11,7 +11,7 @@
 use http_body::{Body, Frame, SizeHint};
 use smol::{Task, channel::Receiver};
 
-use crate::state::Open;
+use crate::state::InFlightGuard;
 
 /// The answer broke off; the caller's connection is cut, so that it can't take it for whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,9 +27,9 @@
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it is here.
-    Whole(Option<Bytes>, Option<Open>),
+    Whole(Option<Bytes>, Option<InFlightGuard>),
     /// It comes event by event.
     Events(EventBody),
 }
@@ -40,25 +40,27 @@
 pub struct EventBody {
     pub(super) events: Pin<Box<Receiver<Result<Bytes, BrokenOff>>>>,
     pub(super) _feeder: Task<()>,
-    pub(super) _open: Option<Open>,
+    pub(super) _open: Option<InFlightGuard>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is here.
-    pub fn whole(bytes: Bytes) -> AnswerBody {
-        AnswerBody::Whole(Some(bytes), None)
+    pub fn whole(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Whole(Some(bytes), None)
     }
 
     /// The body, counted as under way until it is sent.
-    pub fn counted(self, open: Open) -> AnswerBody {
+    pub fn counted(self, open: InFlightGuard) -> ResponseBody {
         match self {
-            AnswerBody::Whole(bytes, _) => AnswerBody::Whole(bytes, Some(open)),
-            AnswerBody::Events(body) => AnswerBody::Events(EventBody { _open: Some(open), ..body }),
+            ResponseBody::Whole(bytes, _) => ResponseBody::Whole(bytes, Some(open)),
+            ResponseBody::Events(body) => {
+                ResponseBody::Events(EventBody { _open: Some(open), ..body })
+            }
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BrokenOff;
 
@@ -67,23 +69,23 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         match &mut *self {
-            AnswerBody::Whole(bytes, _) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            AnswerBody::Events(body) => {
+            ResponseBody::Whole(bytes, _) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Events(body) => {
                 body.events.as_mut().poll_next(cx).map(|next| next.map(|e| e.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None, _))
+        matches!(self, ResponseBody::Whole(None, _))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes, _) => {
+            ResponseBody::Whole(bytes, _) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Events(_) => SizeHint::default(),
+            ResponseBody::Events(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -12,8 +12,8 @@
 };
 
 use super::{
-    AnswerBody, Received, Refusal,
-    dispatch::{Parts, ROOM_SOON},
+    Received, Refusal, ResponseBody,
+    dispatch::{DispatchContext, ROOM_SOON},
     hedge,
     refusal::Reason,
     run::{Live, Run},
@@ -37,7 +37,7 @@
 /// One request on its way to an answer. Two attempts of what is idempotent may be under way at
 /// once, so what they change stands under a lock.
 pub(super) struct Call<D> {
-    pub(super) parts: Arc<Parts<D>>,
+    pub(super) parts: Arc<DispatchContext<D>>,
     pub(super) received: Received,
     pub(super) group: Arc<Group>,
     pub(super) progress: Mutex<Progress>,
@@ -77,13 +77,17 @@
     /// The longest wait between two events of its answer.
     pub(super) longest_pause: Duration,
     /// The last answer of an endpoint that was a failure of its own.
-    pub(super) failure: Option<Response<AnswerBody>>,
+    pub(super) failure: Option<Response<ResponseBody>>,
 }
 
 impl<D: Dialect> Call<D> {
-    pub(super) fn new(parts: Arc<Parts<D>>, received: Received, group: Arc<Group>) -> Self {
-        let last_event = received.caller.last_event;
-        group.first_attempt(parts.clock.now());
+    pub(super) fn new(
+        parts: Arc<DispatchContext<D>>,
+        received: Received,
+        group: Arc<Group>,
+    ) -> Self {
+        let last_event = received.caller.last_event_id;
+        group.record_first_attempt(parts.clock.now());
         let progress = Mutex::new(Progress { last_event, ..Progress::default() });
         Call { parts, received, group, progress }
     }
@@ -109,7 +113,7 @@
     }
 
     /// An answer that is passed on once it is whole, so that what breaks off can be asked again.
-    pub(super) async fn whole(self) -> Result<Response<AnswerBody>, Refusal> {
+    pub(super) async fn whole(self) -> Result<Response<ResponseBody>, Refusal> {
         let answered = hedge::first(&self, Beside::Nothing, async |call, live: Live<D>| {
             let head = live.upstream.head.clone();
             match live.upstream.collect(call.left()).await {
@@ -138,18 +142,18 @@
         &self,
         head: &http::response::Parts,
         body: bytes::Bytes,
-    ) -> Response<AnswerBody> {
-        self.answer_with(head, AnswerBody::whole(body))
+    ) -> Response<ResponseBody> {
+        self.answer_with(head, ResponseBody::whole(body))
     }
 
     pub(super) fn answer_with(
         &self,
         head: &http::response::Parts,
-        body: AnswerBody,
-    ) -> Response<AnswerBody> {
+        body: ResponseBody,
+    ) -> Response<ResponseBody> {
         let mut resp = Response::new(body);
         *resp.status_mut() = head.status;
-        *resp.headers_mut() = self.parts.dialect.pass_on(&head.headers);
+        *resp.headers_mut() = self.parts.dialect.response_headers(&head.headers);
         resp
     }
 
@@ -196,7 +200,7 @@
         let instances = self.parts.instances.load(Ordering::Relaxed);
         let now = self.parts.clock.now();
         progress.sent + progress.not_sent == 0
-            || self.group.may_repeat(&self.parts.retry_rules, instances, now)
+            || self.group.may_retry(&self.parts.retry_rules, instances, now)
     }
 
     fn place(&self, beside: Beside) -> Result<Placement, Refusal> {
@@ -278,7 +282,7 @@
     }
 
     /// An endpoint's own failure, where there was one.
-    pub(super) fn take_failure(&self) -> Option<Response<AnswerBody>> {
+    pub(super) fn take_failure(&self) -> Option<Response<ResponseBody>> {
         lock(&self.progress).failure.take()
     }
 
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -9,7 +9,7 @@
 use policy::{answers::AnswerTimes, retry::RetryRules};
 
 use super::{
-    AnswerBody, Handler, Received, Refusal,
+    Handler, Received, Refusal, ResponseBody,
     attempt::Spawner,
     call::{Call, ENDPOINTS_SOON},
     memory::ReservationIds,
@@ -32,7 +32,7 @@
 const PLAIN_GOALS: u32 = 3;
 
 /// What dispatching needs of its instance.
-pub struct Parts<D> {
+pub struct DispatchContext<D> {
     /// The outside system's headers.
     pub dialect: Arc<D>,
     /// The instance's clock.
@@ -58,11 +58,11 @@
 }
 
 /// Sends requests to endpoints.
-pub struct Dispatch<D>(Arc<Parts<D>>);
+pub struct Dispatch<D>(Arc<DispatchContext<D>>);
 
 impl<D> Dispatch<D> {
     /// A dispatcher.
-    pub fn new(parts: Parts<D>) -> Self {
+    pub fn new(parts: DispatchContext<D>) -> Self {
         Dispatch(Arc::new(parts))
     }
 
@@ -73,7 +73,7 @@
     /// that hears at once that it hasn't run goes elsewhere with all its time. What would be done
     /// in time is served, as the other instances may be stopping as well ([`policy::answers`]).
     fn outlasts(&self, received: &Received, group: &Group) -> Result<(), Refusal> {
-        let Some(left) = self.0.lifecycle.time_to_end() else { return Ok(()) };
+        let Some(left) = self.0.lifecycle.time_until_cutoff() else { return Ok(()) };
         let needed = match received.caller.tokens {
             Some(tokens) => self.needed(&received.route.name, tokens, group),
             None => received.route.goal * PLAIN_GOALS,
@@ -97,11 +97,11 @@
 }
 
 impl<D: Dialect> Handler<Received> for Dispatch<D> {
-    async fn handle(&self, received: Received) -> Result<Response<AnswerBody>, Refusal> {
+    async fn handle(&self, received: Received) -> Result<Response<ResponseBody>, Refusal> {
         let draw = fastrand::f64();
         let name = received.route.group(draw).cloned();
         let name = name.ok_or_else(|| Refusal::not_run(Reason::NoEndpoint, ENDPOINTS_SOON))?;
-        let group = self.0.groups.get_or_add(&name);
+        let group = self.0.groups.get_or_create(&name);
         self.outlasts(&received, &group)?;
         let call = Call::new(self.0.clone(), received, group);
         if call.received.route.streams {
--- a/crates/router/src/filter/identify.rs
+++ b/crates/router/src/filter/identify.rs
@@ -9,9 +9,9 @@
     routes::{Owner, Route, RouteTable},
 };
 
-use super::{AnswerBody, Handler, Refusal, refusal::Reason};
+use super::{Handler, Refusal, ResponseBody, refusal::Reason};
 use crate::{
-    dialect::{CallerFacts, Dialect},
+    dialect::{Dialect, RequestMetadata},
     state::Configuration,
 };
 
@@ -33,7 +33,7 @@
     /// The request.
     pub req: Request<Incoming>,
     /// What the caller says of it.
-    pub caller: CallerFacts,
+    pub caller: RequestMetadata,
     /// The configuration it began with.
     pub table: Arc<RouteTable>,
     /// Its route.
@@ -95,7 +95,7 @@
 }
 
 impl<D: Dialect, N: Handler<Identified>> Handler<Request<Incoming>> for Identify<D, N> {
-    async fn handle(&self, req: Request<Incoming>) -> Result<Response<AnswerBody>, Refusal> {
+    async fn handle(&self, req: Request<Incoming>) -> Result<Response<ResponseBody>, Refusal> {
         let (head, body) = req.into_parts();
         let caller = self
             .dialect
@@ -107,7 +107,7 @@
         }
         let route = table.find(&caller.host, head.uri.path()).cloned();
         let route = route.ok_or_else(|| self.absent(Reason::NoRoute, StatusCode::NOT_FOUND))?;
-        let owner = self.owner(&table, &route, caller.key.as_deref())?;
+        let owner = self.owner(&table, &route, caller.api_key.as_deref())?;
         let req = Request::from_parts(head, body);
         self.next.handle(Identified { req, caller, table, route, owner }).await
     }
--- a/crates/router/src/filter/memory.rs
+++ b/crates/router/src/filter/memory.rs
@@ -25,7 +25,7 @@
 
 use super::attempt::{self, Spawner};
 use crate::{
-    dialect::{Dialect, Order},
+    dialect::{Dialect, ReservationRequest},
     net,
 };
 
@@ -159,7 +159,11 @@
 }
 
 /// Gives an order; none where no answer came.
-async fn give(executor: &Spawner, address: SocketAddr, order: Order) -> Option<StatusCode> {
+async fn give(
+    executor: &Spawner,
+    address: SocketAddr,
+    order: ReservationRequest,
+) -> Option<StatusCode> {
     let mut req = Request::new(Full::new(order.body));
     *req.method_mut() = Method::POST;
     *req.uri_mut() = Uri::from_static(order.path);
--- a/crates/router/src/filter/mod.rs
+++ b/crates/router/src/filter/mod.rs
@@ -23,13 +23,13 @@
 
 use http::Response;
 
-pub use body::AnswerBody;
-pub use dispatch::{Dispatch, Parts};
+pub use body::ResponseBody;
+pub use dispatch::{Dispatch, DispatchContext};
 pub use identify::{Identified, Identify};
 pub use memory::ReservationIds;
 pub use receive::{Receive, Received};
 pub use refusal::Refusal;
-pub use start::Start;
+pub use start::StartupGate;
 
 /// One stage of the path of a request.
 pub trait Handler<In>: Send + Sync + 'static {
@@ -37,5 +37,5 @@
     fn handle(
         &self,
         input: In,
-    ) -> impl Future<Output = Result<Response<AnswerBody>, Refusal>> + Send;
+    ) -> impl Future<Output = Result<Response<ResponseBody>, Refusal>> + Send;
 }
--- a/crates/router/src/filter/receive.rs
+++ b/crates/router/src/filter/receive.rs
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{AnswerBody, Handler, Identified, Refusal, refusal::Reason};
-use crate::{clock::Clock, dialect::CallerFacts};
+use super::{Handler, Identified, Refusal, ResponseBody, refusal::Reason};
+use crate::{clock::Clock, dialect::RequestMetadata};
 
 /// How long a caller that states no deadline is waited for.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(60);
@@ -30,7 +30,7 @@
     /// Its body.
     pub body: Bytes,
     /// What the caller says of it.
-    pub caller: CallerFacts,
+    pub caller: RequestMetadata,
     /// Its route.
     pub route: Arc<Route>,
     /// Whose it is.
@@ -57,11 +57,11 @@
 }
 
 impl<N: Handler<Received>> Handler<Identified> for Receive<N> {
-    async fn handle(&self, input: Identified) -> Result<Response<AnswerBody>, Refusal> {
+    async fn handle(&self, input: Identified) -> Result<Response<ResponseBody>, Refusal> {
         let arrived = self.clock.now();
         let Identified { req, caller, table, route, owner } = input;
-        let patience = caller.patience.unwrap_or(DEFAULT_PATIENCE);
-        let deadline = arrived + patience.min(route.timeout);
+        let timeout = caller.timeout.unwrap_or(DEFAULT_PATIENCE);
+        let deadline = arrived + timeout.min(route.timeout);
         let (head, body) = req.into_parts();
         let read = async {
             match Limited::new(body, table.limits.body_bytes).collect().await {
--- a/crates/router/src/filter/refusal.rs
+++ b/crates/router/src/filter/refusal.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use super::AnswerBody;
+use super::ResponseBody;
 
 /// Why an instance answers itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,9 +101,9 @@
     }
 
     /// The answer.
-    pub fn response(self) -> Response<AnswerBody> {
+    pub fn response(self) -> Response<ResponseBody> {
         let text = format!("{{\"error\":\"{}\"}}", self.reason);
-        let mut resp = Response::new(AnswerBody::whole(Bytes::from(text)));
+        let mut resp = Response::new(ResponseBody::whole(Bytes::from(text)));
         *resp.status_mut() = self.status;
         let headers = resp.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/router/src/filter/relay.rs
+++ b/crates/router/src/filter/relay.rs
@@ -20,7 +20,7 @@
 };
 
 use super::{
-    AnswerBody, Refusal,
+    Refusal, ResponseBody,
     body::{BrokenOff, EventBody},
     call::{Beside, Call, FINISHED},
     hedge::{self, First, race},
@@ -28,7 +28,7 @@
 };
 use crate::{
     dialect::Dialect,
-    events::{Event, Events},
+    events::{Event, EventParser},
 };
 
 /// Events that wait for a slow caller. Beyond them its endpoint is held up as well, which is the
@@ -53,7 +53,7 @@
 /// A stream whose first event has come.
 struct Flow<D: Dialect> {
     live: Live<D>,
-    events: Events,
+    events: EventParser,
     next: Next,
 }
 
@@ -74,7 +74,7 @@
 type EventSender = Sender<Result<Bytes, BrokenOff>>;
 
 /// Answers with a stream of events.
-pub(super) async fn stream<D: Dialect>(call: Call<D>) -> Result<Response<AnswerBody>, Refusal> {
+pub(super) async fn stream<D: Dialect>(call: Call<D>) -> Result<Response<ResponseBody>, Refusal> {
     let flow = match hedge::first(&call, Beside::Nothing, open).await {
         Ok(Opened::Flow(flow)) => *flow,
         Ok(Opened::Whole(head, body)) => {
@@ -86,10 +86,10 @@
     call.note_began();
     let (tx, rx) = bounded(WAITING_EVENTS);
     let executor = call.parts.executor.clone();
-    let resp = call.answer_with(&flow.live.upstream.head, AnswerBody::whole(Bytes::new()));
+    let resp = call.answer_with(&flow.live.upstream.head, ResponseBody::whole(Bytes::new()));
     let feeder = executor.spawn(feed(call, flow, tx));
     let body = EventBody { events: Box::pin(rx), _feeder: feeder, _open: None };
-    Ok(resp.map(|_| AnswerBody::Events(body)))
+    Ok(resp.map(|_| ResponseBody::Events(body)))
 }
 
 /// Waits for the first event of an answer.
@@ -107,7 +107,7 @@
             }
         };
     }
-    let mut events = Events::default();
+    let mut events = EventParser::default();
     let late = async {
         Timer::after(call.left()).await;
         Next::Failed(FailCause::Deadline)
@@ -195,7 +195,7 @@
 async fn wait<D: Dialect>(
     call: &Call<D>,
     live: Live<D>,
-    events: Events,
+    events: EventParser,
     silence: Duration,
     tx: &EventSender,
 ) -> Result<Flow<D>, Ended> {
@@ -218,7 +218,7 @@
 async fn wait_or_change<D: Dialect>(
     call: &Call<D>,
     mut live: Live<D>,
-    mut events: Events,
+    mut events: EventParser,
     silence: Duration,
     tx: &EventSender,
 ) -> Waited<D> {
@@ -275,7 +275,7 @@
 }
 
 /// The next whole event, or the end.
-async fn next_event<D: Dialect>(live: &mut Live<D>, events: &mut Events) -> Next {
+async fn next_event<D: Dialect>(live: &mut Live<D>, events: &mut EventParser) -> Next {
     loop {
         if let Some(event) = events.next_event() {
             return Next::Event(event);
--- a/crates/router/src/filter/send.rs
+++ b/crates/router/src/filter/send.rs
@@ -13,12 +13,12 @@
 use super::{
     attempt::{self, AttemptError},
     call::Call,
-    dispatch::Parts,
+    dispatch::DispatchContext,
     memory::{Reservations, Wish},
     run::{Live, Run, is_promise},
 };
 use crate::{
-    dialect::{AnswerFacts, AttemptFacts, Dialect, HelperFacts},
+    dialect::{AttemptMetadata, Dialect, HelperEngine, ResponseMetadata},
     lock,
 };
 
@@ -44,7 +44,7 @@
         };
         let helpers = self.helpers(&placement);
         let wishes = self.wishes(&placement, &helpers);
-        let Parts { dialect, executor, .. } = &*self.parts;
+        let DispatchContext { dialect, executor, .. } = &*self.parts;
         match Reservations::take(dialect, executor, address, wishes).await {
             Ok(memory) => run.hold(memory),
             Err(endpoint) => {
@@ -102,17 +102,17 @@
         stands
     }
 
-    fn helpers(&self, placement: &Placement) -> Vec<HelperFacts> {
+    fn helpers(&self, placement: &Placement) -> Vec<HelperEngine> {
         let helpers = placement.helpers.iter().filter_map(|helper| {
             let address = self.group.address(&helper.endpoint)?;
             let reservation = helper.reserve_tokens.map(|_| self.parts.reservation_ids.next());
-            Some(HelperFacts { address, reservation })
+            Some(HelperEngine { address, reservation })
         });
         helpers.collect()
     }
 
     /// What has to be reserved before the prompt is sent.
-    fn wishes(&self, placement: &Placement, helpers: &[HelperFacts]) -> Vec<Wish> {
+    fn wishes(&self, placement: &Placement, helpers: &[HelperEngine]) -> Vec<Wish> {
         let reserving = placement.helpers.iter().filter_map(|helper| {
             let tokens = helper.reserve_tokens?;
             let address = self.group.address(&helper.endpoint)?;
@@ -126,11 +126,11 @@
     fn request(
         &self,
         placement: &Placement,
-        helpers: &[HelperFacts],
+        helpers: &[HelperEngine],
     ) -> http::Request<http_body_util::Full<bytes::Bytes>> {
         let received = &self.received;
-        let facts = AttemptFacts {
-            left: self.left(),
+        let facts = AttemptMetadata {
+            time_left: self.left(),
             endpoint: &placement.endpoint,
             workspace: received.owner.as_ref().map(|owner| &owner.workspace),
             priority: received.caller.tokens.map(|_| placement.priority),
@@ -164,7 +164,7 @@
 
     /// Whether an answer may be the caller's.
     async fn judge(&self, live: Live<D>) -> Option<Live<D>> {
-        let facts = self.parts.dialect.read_answer(&live.upstream.head);
+        let facts = self.parts.dialect.read_response(&live.upstream.head);
         let status = live.upstream.head.status;
         if !self.is_ours(&facts) {
             self.failed(live.into_run(), FailCause::BadAnswer);
@@ -174,7 +174,7 @@
             self.not_run(live.into_run(), &facts, status);
             return None;
         }
-        if status.is_success() && !facts.is_vouched {
+        if status.is_success() && !facts.is_sealed {
             self.failed(live.into_run(), FailCause::BadAnswer);
             return None;
         }
@@ -185,14 +185,14 @@
         Some(live)
     }
 
-    fn is_ours(&self, facts: &AnswerFacts) -> bool {
+    fn is_ours(&self, facts: &ResponseMetadata) -> bool {
         match (&facts.request_id, &self.received.caller.request_id) {
             (Some(answered), Some(asked)) => answered == asked,
             _ => true,
         }
     }
 
-    fn not_run(&self, run: Run<D>, facts: &AnswerFacts, status: StatusCode) {
+    fn not_run(&self, run: Run<D>, facts: &ResponseMetadata, status: StatusCode) {
         log::info!(id = self.id(), endpoint = run.endpoint.as_str(), status = status.as_u16(),
             at_fault:? = facts.at_fault; "not_run");
         if status == StatusCode::MISDIRECTED_REQUEST {
@@ -201,7 +201,7 @@
             return run.end(Some(FailCause::NotSent));
         }
         lock(&self.progress).doubtful -= 1;
-        let fault = facts.at_fault.and_then(|address| self.group.at(address));
+        let fault = facts.at_fault.and_then(|address| self.group.endpoint_at(address));
         if let Some(fault) = fault.filter(|fault| *fault != run.endpoint) {
             lock(&self.group.scheduler).record_helper_refusal(&fault, self.parts.clock.now());
             self.parts.urgent.raise();
--- a/crates/router/src/filter/start.rs
+++ b/crates/router/src/filter/start.rs
@@ -19,7 +19,7 @@
 use hyper::body::Incoming;
 use smol::Timer;
 
-use super::{AnswerBody, Handler, Refusal};
+use super::{Handler, Refusal, ResponseBody};
 use crate::state::{Configuration, Groups};
 
 /// How long after its start an instance has requests wait. Two round trips to the source and one to
@@ -27,23 +27,23 @@
 const PATIENCE: Duration = Duration::from_millis(400);
 
 /// Passes requests on once the first configuration and endpoints are known.
-pub struct Start<N> {
+pub struct StartupGate<N> {
     configuration: Arc<Configuration>,
     groups: Arc<Groups>,
     over_at: Instant,
     next: N,
 }
 
-impl<N> Start<N> {
+impl<N> StartupGate<N> {
     /// Passes on to `next`; the start is now.
     pub fn new(configuration: Arc<Configuration>, groups: Arc<Groups>, next: N) -> Self {
-        Start { configuration, groups, over_at: Instant::now() + PATIENCE, next }
+        StartupGate { configuration, groups, over_at: Instant::now() + PATIENCE, next }
     }
 
     async fn has_learned(&self) {
         let known = async {
-            self.configuration.known().await;
-            self.groups.filled().await;
+            self.configuration.wait_until_known().await;
+            self.groups.wait_for_endpoints().await;
         };
         let over = async {
             Timer::at(self.over_at).await;
@@ -52,8 +52,8 @@
     }
 }
 
-impl<N: Handler<Request<Incoming>>> Handler<Request<Incoming>> for Start<N> {
-    async fn handle(&self, req: Request<Incoming>) -> Result<Response<AnswerBody>, Refusal> {
+impl<N: Handler<Request<Incoming>>> Handler<Request<Incoming>> for StartupGate<N> {
+    async fn handle(&self, req: Request<Incoming>) -> Result<Response<ResponseBody>, Refusal> {
         self.has_learned().await;
         self.next.handle(req).await
     }
--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -138,8 +138,8 @@
         match self.source.read().await {
             Ok(reading) => {
                 self.contact.answered();
-                let bytes = reading.news.as_ref().map(|news| news.bytes.clone());
-                let is_news = reading.news.is_some_and(|news| self.put(news.table));
+                let bytes = reading.update.as_ref().map(|news| news.bytes.clone());
+                let is_news = reading.update.is_some_and(|news| self.put(news.table));
                 self.contact.log_read(reading.position, is_news);
                 self.configuration.confirm(reading.as_of);
                 self.tracker.know_configuration(reading.position, reading.as_of, bytes);
@@ -158,11 +158,11 @@
 
     fn put(&self, table: RouteTable) -> bool {
         let version = table.version;
-        let is_news = self.configuration.put(table);
+        let is_news = self.configuration.replace_if_newer(table);
         if is_news {
             log::info!(version = version.0; "config_in_force");
             for (name, rules) in &self.configuration.table().groups {
-                let group = self.groups.get_or_add(name);
+                let group = self.groups.get_or_create(name);
                 lock(&group.scheduler).set_rules(rules.engine.clone());
             }
         }
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -190,7 +190,7 @@
         match self.source.read().await {
             Ok(reading) => {
                 self.contact.answered();
-                let changes = match reading.news {
+                let changes = match reading.update {
                     Some(entries) => self.replace(entries),
                     None => Vec::new(),
                 };
@@ -231,7 +231,7 @@
         if self.roster.read(&self.found, self.clock.now()) {
             update(&self.groups, self.roster.entries(), self.clock);
         }
-        self.groups.fill();
+        self.groups.mark_endpoints_read();
     }
 }
 
@@ -270,7 +270,7 @@
         by_group.entry(group.name.clone()).or_default();
     }
     for (name, entries) in by_group {
-        update_group(&groups.get_or_add(&name), &entries, clock);
+        update_group(&groups.get_or_create(&name), &entries, clock);
     }
 }
 
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -13,8 +13,8 @@
     Settings,
     clock::{self, Clock},
     dialect::Dialect,
-    entry::{Entry, Readiness},
-    filter::{Dispatch, Identify, Parts, Receive, ReservationIds, Start},
+    entry::{CallerService, ReadinessService},
+    filter::{Dispatch, DispatchContext, Identify, Receive, ReservationIds, StartupGate},
     follow,
     freshness::FreshnessTracker,
     links::{self, LinkParts, Links},
@@ -129,7 +129,7 @@
             urgent: urgent.clone(),
         });
         let bounds = settings.bounds;
-        let dispatch = Dispatch::new(Parts {
+        let dispatch = Dispatch::new(DispatchContext {
             dialect: dialect.clone(),
             clock,
             groups: groups.clone(),
@@ -148,15 +148,15 @@
             bounds.revoke,
             Receive::new(clock, dispatch),
         );
-        let chain = Start::new(configuration.clone(), groups.clone(), identify);
-        let entry = Entry {
+        let chain = StartupGate::new(configuration.clone(), groups.clone(), identify);
+        let entry = CallerService {
             chain,
             dialect: dialect.clone(),
             configuration: configuration.clone(),
             lifecycle: lifecycle.clone(),
             metrics: metrics.clone(),
         };
-        let readiness = Readiness {
+        let readiness = ReadinessService {
             path: dialect.ready_path(),
             configuration: configuration.clone(),
             groups: groups.clone(),
@@ -206,17 +206,17 @@
     /// are closed, and only what lasts beyond the time for a stop is cut.
     pub async fn close(self) {
         let end = std::time::Instant::now() + self.stop_within.saturating_sub(STOP_MARGIN);
-        self.lifecycle.leave(end);
-        log::info!(open = self.lifecycle.open(); "leaving");
+        self.lifecycle.begin_stop(end);
+        log::info!(open = self.lifecycle.in_flight(); "leaving");
         Timer::after(BALANCER_WAIT).await;
         self.lifecycle.enter(Stage::Closing);
-        log::info!(open = self.lifecycle.open(); "closing");
+        log::info!(open = self.lifecycle.in_flight(); "closing");
         Timer::after(IDLE_CLOSE).await;
-        while self.lifecycle.open() > 0 && std::time::Instant::now() < end {
+        while self.lifecycle.in_flight() > 0 && std::time::Instant::now() < end {
             Timer::after(LOOK_PERIOD).await;
         }
         // The last bytes are still on their way to their callers.
         Timer::after(IDLE_CLOSE).await;
-        log::info!(open = self.lifecycle.open(); "stopped");
+        log::info!(open = self.lifecycle.in_flight(); "stopped");
     }
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -17,8 +17,8 @@
 use prometheus::{Registry, TextEncoder};
 
 use crate::{
-    filter::AnswerBody,
-    serve::{ConnectionRules, Service},
+    filter::ResponseBody,
+    serve::{ConnectionLimits, Service},
     state::{Configuration, Groups, Lifecycle},
 };
 
@@ -164,7 +164,7 @@
     let lifecycle = lifecycle.clone();
     let open = meter.u64_observable_gauge("trefoilhall_requests_under_way");
     open.with_description("requests under way")
-        .with_callback(move |gauge| gauge.observe(lifecycle.open() as u64, &[]))
+        .with_callback(move |gauge| gauge.observe(lifecycle.in_flight() as u64, &[]))
         .build();
     let groups = groups.clone();
     let usable = meter.u64_observable_gauge("trefoilhall_endpoints_usable");
@@ -195,17 +195,17 @@
 }
 
 impl Service for MetricsPage {
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
         if req.method() != Method::GET || req.uri().path() != "/metrics" {
-            let mut resp = Response::new(AnswerBody::whole(bytes::Bytes::new()));
+            let mut resp = Response::new(ResponseBody::whole(bytes::Bytes::new()));
             *resp.status_mut() = StatusCode::NOT_FOUND;
             return resp;
         }
-        Response::new(AnswerBody::whole(bytes::Bytes::from(self.metrics.to_text())))
+        Response::new(ResponseBody::whole(bytes::Bytes::from(self.metrics.to_text())))
     }
 
-    fn rules(&self) -> ConnectionRules {
-        ConnectionRules { head_bytes: 0, idle: IDLE }
+    fn connection_limits(&self) -> ConnectionLimits {
+        ConnectionLimits { max_head_bytes: 0, idle_timeout: IDLE }
     }
 
     fn lifecycle(&self) -> &Arc<Lifecycle> {
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -12,7 +12,7 @@
 };
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::{filter::AnswerBody, net, signal::OneShot, state::Lifecycle};
+use crate::{filter::ResponseBody, net, signal::OneShot, state::Lifecycle};
 
 /// Pause after a failed accept. The usual cause is that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -25,20 +25,23 @@
 
 /// How connections are served.
 #[derive(Debug, Clone, Copy)]
-pub struct ConnectionRules {
+pub struct ConnectionLimits {
     /// The most bytes of a head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// How long a connection may stay without a whole head.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Answers requests.
 pub trait Service: Send + Sync + 'static {
     /// Answers one request.
-    fn answer(&self, req: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>> + Send;
+    fn respond(
+        &self,
+        req: Request<Incoming>,
+    ) -> impl Future<Output = Response<ResponseBody>> + Send;
 
     /// How connections are served from now on.
-    fn rules(&self) -> ConnectionRules;
+    fn connection_limits(&self) -> ConnectionLimits;
 
     /// Tells when connections are to be closed.
     fn lifecycle(&self) -> &Arc<Lifecycle>;
@@ -71,21 +74,21 @@
 
 async fn connection<S: Service>(stream: TcpStream, service: Arc<S>) {
     net::tune(&stream);
-    let rules = service.rules();
+    let limits = service.connection_limits();
     let asked = OneShot::default();
-    let answer = service_fn(|req| {
-        asked.reach();
+    let respond = service_fn(|req| {
+        asked.set();
         let service = service.clone();
-        async move { Ok::<_, Infallible>(service.answer(req).await) }
+        async move { Ok::<_, Infallible>(service.respond(req).await) }
     });
     // A caller that hangs up ends the connection's future, and with it whatever works on its
     // request: the library reads on while an answer is made.
     let serving = http1::Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(rules.idle)
-        .max_buf_size(rules.head_bytes.max(LEAST_BUFFER))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.max_head_bytes.max(LEAST_BUFFER))
         .half_close(false)
-        .serve_connection(FuturesIo::new(stream), answer);
+        .serve_connection(FuturesIo::new(stream), respond);
     let mut serving = pin!(serving);
     let patience = async {
         Timer::after(FIRST_REQUEST).await;
@@ -93,9 +96,9 @@
     let lifecycle = service.lifecycle().clone();
     let ended = async { Some((&mut serving).await) };
     let closing = async {
-        lifecycle.closing().await;
+        lifecycle.wait_for_closing().await;
         // A connection without a request would be closed at once, with the first one on its way.
-        asked.reached().or(patience).await;
+        asked.wait().or(patience).await;
         None
     };
     let served = match ended.or(closing).await {
--- a/crates/router/src/signal.rs
+++ b/crates/router/src/signal.rs
@@ -66,12 +66,12 @@
 
 impl OneShot {
     /// It has happened.
-    pub fn reach(&self) {
+    pub fn set(&self) {
         self.tx.close();
     }
 
     /// Waits until it has happened.
-    pub async fn reached(&self) {
+    pub async fn wait(&self) {
         self.rx.recv().await.ok();
     }
 }
--- a/crates/router/src/source.rs
+++ b/crates/router/src/source.rs
@@ -37,9 +37,9 @@
 
 /// What a source had, and since when nothing newer can be missing.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reading<T> {
+pub struct SourceRead<T> {
     /// What is new; none where nothing changed.
-    pub news: Option<T>,
+    pub update: Option<T>,
     /// Whatever was acknowledged before this moment is in it.
     pub as_of: BootTime,
     /// Up to where the source has been read with it.
@@ -48,7 +48,7 @@
 
 /// A configuration as its source published it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Published {
+pub struct PublishedConfig {
     /// What it says.
     pub table: RouteTable,
     /// Its bytes, for peers.
@@ -58,7 +58,9 @@
 /// Where configuration comes from.
 pub trait ConfigSource: Send {
     /// Waits for a short while for something new.
-    fn read(&mut self) -> impl Future<Output = Result<Reading<Published>, SourceError>> + Send;
+    fn read(
+        &mut self,
+    ) -> impl Future<Output = Result<SourceRead<PublishedConfig>, SourceError>> + Send;
 
     /// Takes over the bytes that a peer has read up to `position`, and goes on there.
     ///
@@ -96,7 +98,7 @@
     /// All endpoints that are registered now; no news where none changed.
     fn read(
         &mut self,
-    ) -> impl Future<Output = Result<Reading<Vec<EndpointEntry>>, SourceError>> + Send;
+    ) -> impl Future<Output = Result<SourceRead<Vec<EndpointEntry>>, SourceError>> + Send;
 
     /// Up to where it has been read; none before the first reading.
     fn position(&self) -> Option<Position>;
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -66,43 +66,43 @@
     pub fn enter(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         if stage == Stage::Closing {
-            self.closing.reach();
+            self.closing.set();
         }
     }
 
     /// Begins a stop that cuts whatever is still under way at `end`.
-    pub fn leave(&self, end: Instant) {
+    pub fn begin_stop(&self, end: Instant) {
         self.ends.get_or_init(|| end);
         self.enter(Stage::Leaving);
     }
 
     /// What is left until requests are cut; none while no stop is under way.
-    pub fn time_to_end(&self) -> Option<Duration> {
+    pub fn time_until_cutoff(&self) -> Option<Duration> {
         self.ends.get().map(|end| end.saturating_duration_since(Instant::now()))
     }
 
     /// Waits until connections are to be closed.
-    pub async fn closing(&self) {
-        self.closing.reached().await;
+    pub async fn wait_for_closing(&self) {
+        self.closing.wait().await;
     }
 
     /// Requests under way.
-    pub fn open(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
     /// Counts a request until the result is dropped.
-    pub fn begin(self: &Arc<Self>) -> Open {
+    pub fn count_request(self: &Arc<Self>) -> InFlightGuard {
         self.open.fetch_add(1, Ordering::AcqRel);
-        Open(self.clone())
+        InFlightGuard(self.clone())
     }
 }
 
 /// A request under way.
 #[derive(Debug)]
-pub struct Open(Arc<Lifecycle>);
+pub struct InFlightGuard(Arc<Lifecycle>);
 
-impl Drop for Open {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
     }
@@ -125,7 +125,7 @@
 
     /// Puts a table in force, unless it isn't newer: a late answer must not revert an accepted
     /// change.
-    pub fn put(&self, table: RouteTable) -> bool {
+    pub fn replace_if_newer(&self, table: RouteTable) -> bool {
         let mut known = self.table.write().unwrap_or_else(PoisonError::into_inner);
         if table.version <= known.version {
             return false;
@@ -140,13 +140,13 @@
         *known = (*known).max(Some(as_of));
         drop(known);
         if self.table().version.0 > 0 {
-            self.known.reach();
+            self.known.set();
         }
     }
 
     /// Waits until there is a configuration.
-    pub async fn known(&self) {
-        self.known.reached().await;
+    pub async fn wait_until_known(&self) {
+        self.known.wait().await;
     }
 
     /// How long ago the table was known to be the newest; none where there is none yet.
@@ -191,19 +191,19 @@
     }
 
     /// Who listens at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<EndpointId> {
+    pub fn endpoint_at(&self, address: SocketAddr) -> Option<EndpointId> {
         let addresses = self.addresses.read().unwrap_or_else(PoisonError::into_inner);
         let found = addresses.iter().find(|(_, known)| **known == address);
         found.map(|(endpoint, _)| endpoint.clone())
     }
 
     /// Counts a first attempt.
-    pub fn first_attempt(&self, now: Time) {
+    pub fn record_first_attempt(&self, now: Time) {
         lock(&self.retries).first(now);
     }
 
     /// Counts a repeat if one is allowed.
-    pub fn may_repeat(&self, rules: &RetryRules, instances: usize, now: Time) -> bool {
+    pub fn may_retry(&self, rules: &RetryRules, instances: usize, now: Time) -> bool {
         lock(&self.retries).repeat(rules, instances, now)
     }
 }
@@ -224,13 +224,13 @@
     }
 
     /// Endpoints were read, here or by a peer.
-    pub fn fill(&self) {
-        self.filled.reach();
+    pub fn mark_endpoints_read(&self) {
+        self.filled.set();
     }
 
     /// Waits until endpoints were read.
-    pub async fn filled(&self) {
-        self.filled.reached().await;
+    pub async fn wait_for_endpoints(&self) {
+        self.filled.wait().await;
     }
 
     /// A group, if any endpoint or route ever named it.
@@ -245,7 +245,7 @@
     }
 
     /// A group, made where there is none.
-    pub fn get_or_add(&self, name: &EndpointGroup) -> Arc<Group> {
+    pub fn get_or_create(&self, name: &EndpointGroup) -> Arc<Group> {
         if let Some(group) = self.get(name) {
             return group;
         }
