--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -36,23 +36,23 @@
 use super::{
     AdaptiveScheduler,
     queue::WorkspaceIndex,
-    request::{Basis, Due, Entry, State},
+    request::{AdmissionBasis, RequestEntry, RequestState, RequestTimer},
     seconds, span,
-    workspaces::{HALF_LIFE, SPREAD},
+    workspaces::{MULTI_ENGINE_QUEUE, TRAFFIC_HALF_LIFE_S},
 };
 
 /// Prefill tokens that one decoded token counts as. Decoding runs in batches, but holds a step of
 /// the whole engine; four is between the two.
-const DECODE_WEIGHT: f64 = 4.0;
+const PREFILL_TOKENS_PER_DECODED_TOKEN: f64 = 4.0;
 /// The least and the most that a caller is told to stay away.
-const RETRY_AFTER: std::ops::RangeInclusive<f64> = 0.1..=60.0;
+const RETRY_AFTER_RANGE_S: std::ops::RangeInclusive<f64> = 0.1..=60.0;
 /// Random addition to the time told, so that callers refused together don't come back together.
-const RETRY_SPREAD: f64 = 0.25;
+const RETRY_JITTER_SHARE: f64 = 0.25;
 /// Seconds between two trials against the prediction.
-const TRIAL_EVERY: f64 = 1.0;
+const TRIAL_INTERVAL_S: f64 = 1.0;
 /// The most of an engine that short prompts are taken to use in predictions for long ones. Beyond
 /// it long ones are soon overdue, and `pace` holds short ones back.
-const MOST_SHORT_LOAD: f64 = 0.75;
+const MAX_SHORT_LOAD: f64 = 0.75;
 
 /// Seconds until a first token.
 #[derive(Debug, Clone, Copy)]
@@ -62,12 +62,12 @@
     /// The request's own prefill.
     own: f64,
     /// The wait for its own workspace's turn.
-    own_wait: f64,
+    workspace_wait: f64,
 }
 
 impl Prediction {
     pub(super) fn seconds(self) -> f64 {
-        self.others + self.own + self.own_wait
+        self.others + self.own + self.workspace_wait
     }
 }
 
@@ -82,11 +82,11 @@
         }
     }
 
-    fn check(&mut self, req: &Arc<RequestSpec>, now: Time) -> Result<Entry, Refusal> {
+    fn check(&mut self, req: &Arc<RequestSpec>, now: Time) -> Result<RequestEntry, Refusal> {
         let workspace = self.workspaces.index(&req.workspace);
         let instances = self.peers.instances();
         let state = self.workspaces.get_mut(workspace);
-        if let Some(over) = state.over_limit(instances, seconds(now)) {
+        if let Some(over) = state.seconds_over_limit(instances, seconds(now)) {
             return Err(self.refusal(RefusalReason::OverLimit, over));
         }
         if let QuarantineState::Refused(left) = self.quarantine.standing(req.fingerprint, now) {
@@ -96,22 +96,23 @@
             return Err(self.refusal(RefusalReason::NoEndpoint, 1.0));
         }
         if req.footprint().0 as f64 > self.fleet.total_memory {
-            return Err(self.refusal(RefusalReason::TooLarge, *RETRY_AFTER.end()));
+            return Err(self.refusal(RefusalReason::TooLarge, *RETRY_AFTER_RANGE_S.end()));
         }
         let mut entry = self.entry(req.clone(), workspace);
         let prediction = self.predict(&entry, now);
         entry.predicted = prediction.seconds();
-        entry.own_wait = prediction.own_wait;
-        let turn_margin = self.workspaces.get(workspace).lines[entry.lane].margin.factor();
+        entry.workspace_wait = prediction.workspace_wait;
+        let workspace_wait_margin =
+            self.workspaces.get(workspace).queues[entry.queue_index].margin.factor();
         let promised = (prediction.others + prediction.own)
-            * self.margins[entry.lane].factor(seconds(now))
-            + prediction.own_wait * turn_margin;
+            * self.margins[entry.queue_index].factor(seconds(now))
+            + prediction.workspace_wait * workspace_wait_margin;
         let allowed = entry.bound.since(now).as_secs_f64();
         if promised > allowed {
-            if !self.fleet.learned {
-                entry.basis = Basis::Assumption;
-            } else if self.may_try(now) {
-                entry.basis = Basis::Trial;
+            if !self.fleet.has_measured_speed {
+                entry.basis = AdmissionBasis::Unmeasured;
+            } else if self.may_start_trial(now) {
+                entry.basis = AdmissionBasis::Trial;
                 entry.bound = req.deadline;
             } else {
                 let forecast = self.forecast(&entry, prediction, now);
@@ -123,31 +124,31 @@
         Ok(entry)
     }
 
-    fn entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> Entry {
+    fn entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> RequestEntry {
         let prompt = req.prompt.0 as f64;
-        let band = self.bands.of(prompt, self.fleet.typical_rate);
+        let band = self.band_limits.of(prompt, self.fleet.typical_rate);
         let cached = self.cached_at_holder(&req.prefix);
-        let spreads = req.footprint().0 as f64 > self.fleet.largest_memory;
+        let needs_several = req.footprint().0 as f64 > self.fleet.largest_memory;
         let output = self.decode.expected(req.max_output.0 as f64);
         let bound = self.bound(&req);
-        Entry {
+        RequestEntry {
             workspace,
             band,
-            lane: if spreads { SPREAD } else { band.index() },
+            queue_index: if needs_several { MULTI_ENGINE_QUEUE } else { band.index() },
             uncached: (prompt - cached).max(1.0),
-            cost: prompt + DECODE_WEIGHT * output,
+            cost: prompt + PREFILL_TOKENS_PER_DECODED_TOKEN * output,
             bound,
-            due: bound,
-            state: State::Waiting,
+            expires_at: bound,
+            state: RequestState::Waiting,
             attempts: 0,
             failures: 0,
-            tried: Vec::new(),
-            silent: Vec::new(),
+            excluded: Vec::new(),
+            silent_once: Vec::new(),
             may_have_run: false,
             passed_on: Tokens::ZERO,
             predicted: 0.0,
-            own_wait: 0.0,
-            basis: Basis::Prediction,
+            workspace_wait: 0.0,
+            basis: AdmissionBasis::Prediction,
             req,
         }
     }
@@ -155,7 +156,7 @@
     /// What the last engine that had a prompt with this beginning is expected to have cached of it.
     /// It is on the request's short list, so that the request can go there.
     fn cached_at_holder(&self, prefix: &[u64]) -> f64 {
-        let holder = prefix.first().and_then(|first| self.holders.get(*first));
+        let holder = prefix.first().and_then(|first| self.prefix_holders.get(*first));
         holder.map_or(0.0, |holder| self.cache.expected(holder, prefix).0 as f64)
     }
 
@@ -171,18 +172,18 @@
     }
 
     /// What a prediction rests on.
-    fn forecast(&self, entry: &Entry, prediction: Prediction, now: Time) -> Forecast {
+    fn forecast(&self, entry: &RequestEntry, prediction: Prediction, now: Time) -> Forecast {
         let bands = || 0..=entry.band.index();
-        let here: f64 = bands().map(|band| self.lanes[band].tokens()).sum();
+        let here: f64 = bands().map(|band| self.queues[band].tokens()).sum();
         let peers: f64 = bands().map(|band| self.peers.queued[band]).sum();
         Forecast {
             own_s: prediction.own,
             others_s: prediction.others,
-            turn_s: prediction.own_wait,
-            margin: self.margins[entry.lane].factor(seconds(now)),
+            turn_s: prediction.workspace_wait,
+            margin: self.margins[entry.queue_index].factor(seconds(now)),
             allowed_s: entry.bound.since(now).as_secs_f64(),
             rate: TokenRate(self.fleet.typical_rate),
-            is_measured: self.fleet.learned,
+            is_measured: self.fleet.has_measured_speed,
             in_flight: Tokens(self.inflight[entry.band.index()] as u64),
             queued: Tokens((here + peers) as u64),
             under_way: self.requests.len(),
@@ -190,16 +191,16 @@
         }
     }
 
-    fn insert(&mut self, entry: Entry, now: Time) {
+    fn insert(&mut self, entry: RequestEntry, now: Time) {
         let at = seconds(now);
-        self.bands.observe(entry.prompt());
-        self.demand[entry.band.index()].add(entry.prompt(), at, super::DEMAND_HALF_LIFE);
+        self.band_limits.observe(entry.prompt());
+        self.demand[entry.band.index()].add(entry.prompt(), at, super::DEMAND_HALF_LIFE_S);
         let state = self.workspaces.get_mut(entry.workspace);
         state.admitted(entry.cost, at);
-        state.lines[entry.lane].demand.add(entry.prompt(), at, HALF_LIFE);
+        state.queues[entry.queue_index].demand.add(entry.prompt(), at, TRAFFIC_HALF_LIFE_S);
         let request = entry.req.id;
-        if entry.basis == Basis::Assumption {
-            self.assumed.insert(request);
+        if entry.basis == AdmissionBasis::Unmeasured {
+            self.unmeasured_requests.insert(request);
         }
         self.requests.insert(request, entry);
         self.enqueue(request);
@@ -207,97 +208,104 @@
 
     /// Puts a request into its lane.
     pub(super) fn enqueue(&mut self, request: crate::RequestId) {
-        self.set_due(request);
+        self.set_expiry(request);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        entry.state = State::Waiting;
-        let share = self.workspaces.share(entry.workspace);
-        let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-        self.lanes[entry.lane].push(share, line, entry.waiting(), entry.prompt());
+        entry.state = RequestState::Waiting;
+        let weight = self.workspaces.weight_of(entry.workspace);
+        let workspace_queue =
+            &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+        self.queues[entry.queue_index].push(
+            weight,
+            workspace_queue,
+            entry.waiting(),
+            entry.prompt(),
+        );
         self.waiting += 1;
     }
 
     /// Notes from when on a waiting request could not make its bound even on an idle engine.
-    fn set_due(&mut self, request: crate::RequestId) {
-        let (fastest, is_measured) = (self.fleet.fastest_rate, self.fleet.learned);
+    fn set_expiry(&mut self, request: crate::RequestId) {
+        let (fastest, is_measured) = (self.fleet.fastest_rate, self.fleet.has_measured_speed);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        self.due.remove(&Due { at: entry.due, request });
-        let goes_anyway = entry.basis.goes_anyway(is_measured);
-        let own = if goes_anyway { 0.0 } else { entry.uncached / fastest };
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        let overrides_prediction = entry.basis.overrides_prediction(is_measured);
+        let own = if overrides_prediction { 0.0 } else { entry.uncached / fastest };
         let latest = Time(entry.bound.0.saturating_sub((own * 1e6) as u64));
-        entry.due = latest.min(entry.req.deadline);
-        self.due.insert(Due { at: entry.due, request });
+        entry.expires_at = latest.min(entry.req.deadline);
+        self.expiries.insert(RequestTimer { at: entry.expires_at, request });
     }
 
     /// Looks again at the waiting requests that were admitted on an assumption, once speeds are
     /// measured. Those that can't make their bound hear it at once.
-    pub(super) fn confirm_assumed(&mut self, now: Time) {
-        if !self.fleet.learned || self.assumed.is_empty() {
+    pub(super) fn recheck_unmeasured(&mut self, now: Time) {
+        if !self.fleet.has_measured_speed || self.unmeasured_requests.is_empty() {
             return;
         }
-        for request in std::mem::take(&mut self.assumed) {
+        for request in std::mem::take(&mut self.unmeasured_requests) {
             let Some(entry) = self.requests.get(&request) else { continue };
-            if !matches!(entry.state, State::Waiting) {
+            if !matches!(entry.state, RequestState::Waiting) {
                 continue;
             }
-            self.set_due(request);
-            if self.requests.get(&request).is_some_and(|entry| entry.due <= now) {
+            self.set_expiry(request);
+            if self.requests.get(&request).is_some_and(|entry| entry.expires_at <= now) {
                 self.fail(request, FailCause::TooLate, now);
             }
         }
     }
 
     /// Whether a request admitted on an assumption has to wait: another one is trying the engines.
-    pub(super) fn must_wait_for_trial(&self, entry: &Entry) -> bool {
-        if entry.basis != Basis::Assumption || self.fleet.learned {
+    pub(super) fn must_wait_for_trial(&self, entry: &RequestEntry) -> bool {
+        if entry.basis != AdmissionBasis::Unmeasured || self.fleet.has_measured_speed {
             return false;
         }
-        let tried = self.trying.and_then(|request| self.requests.get(&request));
-        tried.and_then(Entry::attempt).is_some_and(|attempt| attempt.first_token.is_none())
+        let trial = self.unmeasured_trial.and_then(|request| self.requests.get(&request));
+        trial.and_then(RequestEntry::attempt).is_some_and(|attempt| attempt.first_token.is_none())
     }
 
     /// Seconds until the first token of `entry`, if it is admitted now.
-    pub(super) fn predict(&self, entry: &Entry, now: Time) -> Prediction {
+    pub(super) fn predict(&self, entry: &RequestEntry, now: Time) -> Prediction {
         let band = entry.band.index();
         let slowed = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
         let own = entry.uncached / (self.fleet.typical_rate * slowed);
         let capacity = if entry.band.is_long() { self.long_rate * slowed } else { self.short_rate };
         let capacity = capacity.max(1.0);
-        let lower: f64 = (0..band).map(|b| self.lanes[b].tokens() + self.peers.queued[b]).sum();
-        let queued = lower + self.lanes[entry.lane].tokens() + self.peers.queued[band];
+        let lower: f64 = (0..band).map(|b| self.queues[b].tokens() + self.peers.queued[b]).sum();
+        let queued = lower + self.queues[entry.queue_index].tokens() + self.peers.queued[band];
         let wait = (self.inflight[band] + lower) / capacity;
         if queued > 0.0 || entry.needs_several() {
-            let own_wait = self.wait_for_share(entry, capacity, now);
-            return Prediction { others: wait, own, own_wait };
+            let workspace_wait = self.workspace_wait(entry, capacity, now);
+            return Prediction { others: wait, own, workspace_wait };
         }
         // Nobody waits: it goes to the engine that is free first.
-        Prediction { others: wait.min(self.least_wait[band] / slowed), own, own_wait: 0.0 }
+        Prediction { others: wait.min(self.least_wait[band] / slowed), own, workspace_wait: 0.0 }
     }
 
     /// Seconds until its workspace's turn comes in the lane. The workspace can count on its share
     /// of the lane, and on what the others of late left of it if that is more.
-    fn wait_for_share(&self, entry: &Entry, capacity: f64, now: Time) -> f64 {
-        let lane = &self.lanes[entry.lane];
+    fn workspace_wait(&self, entry: &RequestEntry, capacity: f64, now: Time) -> f64 {
+        let queue = &self.queues[entry.queue_index];
         let state = self.workspaces.get(entry.workspace);
-        let line = &state.lines[entry.lane];
+        let workspace_queue = &state.queues[entry.queue_index];
         let peers = state.peers_waiting.min(self.peers.queued[entry.band.index()]);
-        let mine = line.tokens() + peers;
-        let newcomer = if line.tokens() > 0.0 { 0.0 } else { state.weight };
-        let share = capacity * state.weight / (lane.weights() + newcomer);
-        let own = line.demand.rate(seconds(now), HALF_LIFE) + state.peers_served;
+        let mine = workspace_queue.tokens() + peers;
+        let newcomer = if workspace_queue.tokens() > 0.0 { 0.0 } else { state.weight };
+        let share = capacity * state.weight / (queue.weights() + newcomer);
+        let own =
+            workspace_queue.demand.rate(seconds(now), TRAFFIC_HALF_LIFE_S) + state.peers_served;
         let others = (self.total_demand[entry.band.index()] - own).max(0.0);
         mine / share.max(capacity - others).min(capacity)
     }
 
     /// The part of the engines' speed that short prompts use.
     pub(super) fn short_load(&self) -> f64 {
-        (self.total_demand[0] / self.fleet.total_rate.max(1.0)).min(MOST_SHORT_LOAD)
+        (self.total_demand[0] / self.fleet.total_rate.max(1.0)).min(MAX_SHORT_LOAD)
     }
 
     /// Whether a request may be run against the prediction: nothing is under way that it could
     /// delay, and the last such trial is a while ago.
-    fn may_try(&mut self, now: Time) -> bool {
+    fn may_start_trial(&mut self, now: Time) -> bool {
         let idle = self.requests.is_empty();
-        let due = seconds(now) - self.last_trial >= TRIAL_EVERY;
+        let due = seconds(now) - self.last_trial >= TRIAL_INTERVAL_S;
         if idle && due {
             self.last_trial = seconds(now);
         }
@@ -307,14 +315,14 @@
     fn make_room(
         &mut self,
         workspace: WorkspaceIndex,
-        entry: &Entry,
+        entry: &RequestEntry,
         now: Time,
     ) -> Result<(), Refusal> {
         // Failed attempts come back whatever the room, so more than one may have to go.
         while self.waiting >= self.rules.limits.waiting {
-            let over = self.workspaces.furthest_over(entry.prompt(), workspace);
-            let lines = &self.workspaces.get(over).lines;
-            let last = lines.iter().filter_map(|line| line.last()).max();
+            let over = self.workspaces.most_over_share(entry.prompt(), workspace);
+            let queues = &self.workspaces.get(over).queues;
+            let last = queues.iter().filter_map(|workspace_queue| workspace_queue.last()).max();
             match last.filter(|_| over != workspace) {
                 Some(last) => self.fail(last.request, FailCause::Shed, now),
                 None => return Err(self.refusal(RefusalReason::OverShare, entry.predicted)),
@@ -329,16 +337,16 @@
 
     /// What a caller is told for a wait of about `seconds`.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
-        let seconds = seconds.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end());
-        span(seconds * (1.0 + RETRY_SPREAD * self.rng.f64()))
+        let seconds = seconds.clamp(*RETRY_AFTER_RANGE_S.start(), *RETRY_AFTER_RANGE_S.end());
+        span(seconds * (1.0 + RETRY_JITTER_SHARE * self.rng.f64()))
     }
 
     /// What may be said of a request's run when it is given up now.
-    pub(super) fn ran(entry: &Entry) -> RunStatus {
+    pub(super) fn run_status(entry: &RequestEntry) -> RunStatus {
         match &entry.state {
             _ if entry.passed_on.0 > 0 => RunStatus::Yes,
-            State::Running(attempt) if attempt.first_token.is_some() => RunStatus::Yes,
-            State::Running(_) => RunStatus::Unknown,
+            RequestState::Running(attempt) if attempt.first_token.is_some() => RunStatus::Yes,
+            RequestState::Running(_) => RunStatus::Unknown,
             _ if entry.may_have_run => RunStatus::Unknown,
             _ => RunStatus::No,
         }
--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -16,9 +16,9 @@
 
 use super::{
     AdaptiveScheduler,
-    request::{Attempt, Basis, Entry, State},
+    request::{AdmissionBasis, Attempt, RequestEntry, RequestState},
     seconds, span,
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 impl AdaptiveScheduler {
@@ -41,8 +41,8 @@
         if !self.is_running(request, attempt) {
             return;
         }
-        let shard = self.requests.get(&request).and_then(Entry::runs_on);
-        if let Some(endpoint) = shard.and_then(|shard| self.fleet.of(shard)) {
+        let shard = self.requests.get(&request).and_then(RequestEntry::runs_on);
+        if let Some(endpoint) = shard.and_then(|shard| self.fleet.at_shard(shard)) {
             endpoint.progressed(now);
         }
     }
@@ -59,7 +59,7 @@
 
     fn finished(&mut self, request: RequestId, output: Tokens, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let State::Running(attempt) = &entry.state else { return };
+        let RequestState::Running(attempt) = &entry.state else { return };
         self.quarantine.completed(entry.req.fingerprint);
         if let Some(shard) = attempt.shards.first() {
             self.budgets.succeeded(&entry.req.workspace, &shard.endpoint, now);
@@ -73,7 +73,7 @@
 
     fn end_prefill(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        let State::Running(attempt) = &mut entry.state else { return };
+        let RequestState::Running(attempt) = &mut entry.state else { return };
         if attempt.first_token.is_some() {
             return;
         }
@@ -82,12 +82,12 @@
         let is_long = entry.band.is_long();
         self.learn_of_endpoint(request, cached, now);
         let Some(entry) = self.requests.get(&request) else { return };
-        if entry.attempts == 1 && entry.basis == Basis::Prediction {
+        if entry.attempts == 1 && entry.basis == AdmissionBasis::Prediction {
             let actual = seconds(now) - seconds(entry.req.arrived);
             self.learn_margin(request, actual, now);
         }
         if is_long {
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         }
     }
 
@@ -95,24 +95,25 @@
     /// the wait for its own workspace's turn says something of that workspace alone.
     pub(super) fn learn_margin(&mut self, request: RequestId, actual: f64, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let base = entry.predicted - entry.own_wait;
-        if entry.own_wait > base {
-            let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-            line.margin.observe((actual - base) / entry.own_wait);
+        let base = entry.predicted - entry.workspace_wait;
+        if entry.workspace_wait > base {
+            let workspace_queue =
+                &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+            workspace_queue.margin.observe((actual - base) / entry.workspace_wait);
         } else {
-            self.margins[entry.lane].observe(entry.predicted, actual, seconds(now));
+            self.margins[entry.queue_index].observe(entry.predicted, actual, seconds(now));
         }
     }
 
     fn learn_of_endpoint(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let State::Running(attempt) = &entry.state else { return };
+        let RequestState::Running(attempt) = &entry.state else { return };
         let Some(shard) = attempt.shards.first() else { return };
         let typical = self.fleet.typical_rate;
-        let Some(endpoint) = self.fleet.of(shard) else { return };
+        let Some(endpoint) = self.fleet.at_shard(shard) else { return };
         endpoint.prefilled(entry.band, attempt.prefill);
         endpoint.progressed(now);
-        endpoint.note_moment(now);
+        endpoint.record_load(now);
         let done = prefilled(entry, attempt, cached);
         let overtaken = endpoint.short_done - attempt.short_done;
         let is_long = entry.band.is_long();
@@ -120,14 +121,14 @@
         if !is_long {
             endpoint.short_done += done;
         }
-        endpoint.count_done(done, seconds(now));
+        endpoint.record_prefilled(done, seconds(now));
         let taken = now.since(attempt.sent);
-        if entry.lane != SPREAD {
+        if entry.queue_index != MULTI_ENGINE_QUEUE {
             let mut elapsed = taken.as_secs_f64() - 2.0 * endpoint.distance;
-            if attempt.beside_longs {
+            if attempt.beside_long {
                 let rate = endpoint.speed.rate().unwrap_or(typical);
-                self.beside_longs.observe(work / rate, elapsed);
-                elapsed -= self.beside_longs.seconds().min(elapsed / 2.0);
+                self.long_prefill_delay.observe(work / rate, elapsed);
+                elapsed -= self.long_prefill_delay.seconds().min(elapsed / 2.0);
             }
             endpoint.speed.observe(work, elapsed, seconds(now));
             self.health.answered(&shard.endpoint, taken, span(attempt.predicted));
@@ -139,7 +140,7 @@
 }
 
 /// The prompt tokens that the engine had to prefill.
-fn prefilled(entry: &Entry, attempt: &Attempt, cached: Option<Tokens>) -> f64 {
+fn prefilled(entry: &RequestEntry, attempt: &Attempt, cached: Option<Tokens>) -> f64 {
     let cached = cached.unwrap_or(attempt.cached);
     (entry.req.prompt + entry.passed_on - cached).0.max(1) as f64
 }
--- a/crates/policy/src/adaptive/class.rs
+++ b/crates/policy/src/adaptive/band.rs
@@ -23,22 +23,22 @@
 use super::window::Window;
 
 /// How many times the median prompt's prefill is still short.
-const SHORT_SPAN: f64 = 8.0;
+const SHORT_MEDIAN_MULTIPLE: f64 = 8.0;
 /// The least and the most seconds of prefill that are short.
-const SHORT_LIMITS: std::ops::RangeInclusive<f64> = 0.1..=1.0;
+const SHORT_LIMIT_RANGE_S: std::ops::RangeInclusive<f64> = 0.1..=1.0;
 /// Each band's limit over that of the band below.
-const STEP: f64 = 8.0;
+const BAND_LIMIT_RATIO: f64 = 8.0;
 /// The budget of short prefill on one engine, as a share of the short limit.
-const SHORT_BUDGET: f64 = 0.1;
+const SHORT_BUDGET_SHARE: f64 = 0.1;
 /// The budget of a longer band, as a share of its lower limit.
-const LONG_BUDGET: f64 = 0.05;
+const LONG_BUDGET_SHARE: f64 = 0.05;
 
 /// The share of an engine's memory that is planned with. Engines allocate in blocks and round up.
-pub(super) const USABLE: f64 = 0.97;
+pub(super) const USABLE_MEMORY_SHARE: f64 = 0.97;
 
 /// The share of an engine's memory that a prompt over several engines leaves to short ones, where
 /// the engines are large enough together. Short prompts are a hundredth of that or less.
-pub(super) const SHORT_KEEP: f64 = 0.05;
+pub(super) const SHORT_MEMORY_SHARE: f64 = 0.05;
 
 /// A band of prompt lengths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,7 +64,7 @@
     /// The longest band that a prompt of this band waits for on an engine. A long prompt overtakes
     /// there only what is at least two bands longer: overtaking the next band gains its wait at
     /// most, and costs the overtaken one, which may be hardly longer, as much.
-    pub(super) fn served_with(self) -> usize {
+    pub(super) fn longest_band_ahead(self) -> usize {
         if self.is_long() { (self.index() + 1).min(BANDS - 1) } else { 0 }
     }
 
@@ -76,17 +76,17 @@
 
 /// The limits between bands, in seconds of prefill alone.
 #[derive(Debug, Clone)]
-pub(super) struct Bands {
+pub(super) struct BandLimits {
     limits: [f64; BANDS - 1],
-    prompts: Window<MEDIAN_OF>,
+    prompts: Window<MEDIAN_SAMPLES>,
 }
 
 /// Prompts over which the median is taken.
-const MEDIAN_OF: usize = 64;
+const MEDIAN_SAMPLES: usize = 64;
 
-impl Bands {
-    pub(super) fn new() -> Bands {
-        let mut bands = Bands { limits: [0.0; BANDS - 1], prompts: Window::new() };
+impl BandLimits {
+    pub(super) fn new() -> BandLimits {
+        let mut bands = BandLimits { limits: [0.0; BANDS - 1], prompts: Window::new() };
         bands.update(f64::INFINITY);
         bands
     }
@@ -99,8 +99,9 @@
     /// Sets the limits by the median prompt on an engine that prefills `rate` tokens a second.
     pub(super) fn update(&mut self, rate: f64) {
         let median = self.prompts.quantile(0.5).map_or(f64::INFINITY, |prompt| prompt / rate);
-        let short = (SHORT_SPAN * median).clamp(*SHORT_LIMITS.start(), *SHORT_LIMITS.end());
-        self.limits = std::array::from_fn(|step| short * STEP.powi(step as i32));
+        let short = (SHORT_MEDIAN_MULTIPLE * median)
+            .clamp(*SHORT_LIMIT_RANGE_S.start(), *SHORT_LIMIT_RANGE_S.end());
+        self.limits = std::array::from_fn(|step| short * BAND_LIMIT_RATIO.powi(step as i32));
     }
 
     /// The band of `prompt` tokens on an engine that prefills `rate` tokens a second.
@@ -112,8 +113,8 @@
     /// Seconds of prefill that may stand before a newly sent prompt of `band` on its engine.
     pub(super) fn budget(&self, band: Band) -> f64 {
         match band.index() {
-            0 => SHORT_BUDGET * self.limits[0],
-            index => LONG_BUDGET * self.limits[index - 1],
+            0 => SHORT_BUDGET_SHARE * self.limits[0],
+            index => LONG_BUDGET_SHARE * self.limits[index - 1],
         }
     }
 }
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -31,35 +31,35 @@
 
 use super::{
     AdaptiveScheduler,
-    class::Band,
+    band::Band,
     endpoint::Endpoint,
-    request::{Attempt, Basis, Due, Entry, State},
+    request::{AdmissionBasis, Attempt, RequestEntry, RequestState, RequestTimer},
     seconds,
     shortlist::Shortlist,
     span,
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 /// Workspaces whose first request is looked at before a lane counts as blocked. The first may be
 /// barred from the only engine with room, because it failed there or needs more memory.
-const LOOKAHEAD: usize = 4;
+const LOOKAHEAD_WORKSPACES: usize = 4;
 /// An endpoint at this share of the typical speed or above isn't a slow one.
-const ORDINARY: f64 = 0.5;
+const MIN_ORDINARY_SPEED_SHARE: f64 = 0.5;
 
 /// Where a waiting request can go.
-enum Place {
+enum DispatchChoice {
     /// Here, now.
-    At(Chosen),
+    Start(ChosenEndpoint),
     /// Nowhere yet.
-    Later,
+    Wait,
     /// Nowhere in time.
     TooLate,
     /// On several engines only: it is larger than any engine's memory.
-    Spread,
+    NeedsSeveral,
 }
 
 /// The endpoint chosen for a request.
-struct Chosen {
+struct ChosenEndpoint {
     endpoint: EndpointId,
     cached: Tokens,
     /// Seconds until the first token.
@@ -78,28 +78,31 @@
     }
 
     /// Starts or gives up one request of a lane; false where the lane is empty or blocked.
-    fn start_next(&mut self, lane: usize, now: Time) -> bool {
-        let is_short = lane == Band::SHORT.index();
-        if is_short && !self.pace.allows(seconds(now)) {
+    fn start_next(&mut self, queue_index: usize, now: Time) -> bool {
+        let is_short = queue_index == Band::SHORT.index();
+        if is_short && !self.short_limiter.allows(seconds(now)) {
             return false;
         }
-        let turns: Vec<_> = self.lanes[lane].turns().take(LOOKAHEAD).collect();
-        for workspace in turns {
-            let Some(first) = self.workspaces.get(workspace).lines[lane].first() else { continue };
-            match self.place(first.request, now) {
-                Place::At(chosen) => {
+        let workspaces_in_order: Vec<_> =
+            self.queues[queue_index].workspaces_in_order().take(LOOKAHEAD_WORKSPACES).collect();
+        for workspace in workspaces_in_order {
+            let Some(first) = self.workspaces.get(workspace).queues[queue_index].first() else {
+                continue;
+            };
+            match self.choose_endpoint(first.request, now) {
+                DispatchChoice::Start(chosen) => {
                     self.start_on_one(first.request, &chosen, now);
                     return true;
                 }
-                Place::TooLate => {
+                DispatchChoice::TooLate => {
                     self.fail(first.request, FailCause::Deadline, now);
                     return true;
                 }
-                Place::Spread => {
-                    self.spread(first.request);
+                DispatchChoice::NeedsSeveral => {
+                    self.move_to_multi_engine_queue(first.request);
                     return true;
                 }
-                Place::Later => {}
+                DispatchChoice::Wait => {}
             }
         }
         false
@@ -110,37 +113,37 @@
     /// It was admitted before the engines had told their memory, or engines with more have left
     /// since. In the lane of its band it would fit nowhere, and would hold up its workspace's
     /// other requests until its deadline.
-    fn spread(&mut self, request: RequestId) {
-        self.leave_lane(request, false);
+    fn move_to_multi_engine_queue(&mut self, request: RequestId) {
+        self.dequeue(request, false);
         if let Some(entry) = self.requests.get_mut(&request) {
-            entry.lane = SPREAD;
+            entry.queue_index = MULTI_ENGINE_QUEUE;
         }
         self.enqueue(request);
     }
 
-    fn place(&mut self, request: RequestId, now: Time) -> Place {
+    fn choose_endpoint(&mut self, request: RequestId, now: Time) -> DispatchChoice {
         let shortlist = self.shortlist(request, now);
-        let Some(entry) = self.requests.get(&request) else { return Place::Later };
+        let Some(entry) = self.requests.get(&request) else { return DispatchChoice::Wait };
         if self.fleet.usable > 0 && entry.footprint() > self.fleet.largest_memory {
-            return Place::Spread;
+            return DispatchChoice::NeedsSeveral;
         }
         if self.must_wait_for_trial(entry) {
-            return Place::Later;
+            return DispatchChoice::Wait;
         }
-        let ask = self.ask(entry);
+        let selection = self.selection_request(entry);
         let listed = shortlist.indices().filter_map(|index| self.fleet.endpoints.get_index(index));
         let candidates: Vec<Candidate> =
             listed.filter_map(|(_, endpoint)| self.candidate(entry, endpoint, now)).collect();
-        let Some(index) = selection::choose(&candidates, &ask, &mut self.rng) else {
-            return Place::Later;
+        let Some(index) = selection::choose(&candidates, &selection, &mut self.rng) else {
+            return DispatchChoice::Wait;
         };
         let chosen = &candidates[index];
-        let first_token = selection::first_token(chosen, &ask);
-        let goes_anyway = entry.basis.goes_anyway(self.fleet.learned);
-        if !goes_anyway && now + first_token > entry.bound {
-            return self.too_late(entry, &candidates, &ask, now);
+        let first_token = selection::first_token(chosen, &selection);
+        let overrides_prediction = entry.basis.overrides_prediction(self.fleet.has_measured_speed);
+        if !overrides_prediction && now + first_token > entry.bound {
+            return self.too_late(entry, &candidates, &selection, now);
         }
-        Place::At(Chosen {
+        DispatchChoice::Start(ChosenEndpoint {
             endpoint: chosen.endpoint.clone(),
             cached: chosen.cached.min(entry.req.prompt),
             predicted: first_token.as_secs_f64(),
@@ -151,19 +154,19 @@
     /// be the only one with room at this moment; then the request waits for a better one.
     fn too_late(
         &self,
-        entry: &Entry,
+        entry: &RequestEntry,
         candidates: &[Candidate],
-        ask: &SelectionRequest,
+        selection: &SelectionRequest,
         now: Time,
-    ) -> Place {
-        let ordinary = self.fleet.typical_rate * ORDINARY;
+    ) -> DispatchChoice {
+        let ordinary = self.fleet.typical_rate * MIN_ORDINARY_SPEED_SHARE;
         let first_tokens = candidates
             .iter()
             .filter(|candidate| candidate.rate.0 >= ordinary)
-            .map(|candidate| selection::first_token(candidate, ask));
+            .map(|candidate| selection::first_token(candidate, selection));
         match first_tokens.min() {
-            Some(least) if now + least > entry.bound => Place::TooLate,
-            _ => Place::Later,
+            Some(least) if now + least > entry.bound => DispatchChoice::TooLate,
+            _ => DispatchChoice::Wait,
         }
     }
 
@@ -173,11 +176,11 @@
         let mut list = Shortlist::default();
         let Some(entry) = self.requests.get(&request) else { return list };
         let (band, footprint) = (entry.band, entry.footprint());
-        let budget = self.bands.budget(band);
+        let budget = self.band_limits.budget(band);
         let typical = self.fleet.typical_rate;
         let count = self.fleet.endpoints.len().max(1);
         let start = self.rng.usize(..count);
-        let holder = entry.req.prefix.first().and_then(|first| self.holders.get(*first));
+        let holder = entry.req.prefix.first().and_then(|first| self.prefix_holders.get(*first));
         for index in (start..count).chain(0..start) {
             let Some((id, endpoint)) = self.fleet.endpoints.get_index_mut(index) else { continue };
             let rate = endpoint.speed.rate().unwrap_or(typical);
@@ -185,17 +188,17 @@
             if !endpoint.has_room(band, budget * rate, footprint, now) {
                 continue;
             }
-            let wait = endpoint.ahead(band) / rate;
-            let away = if endpoint.is_home { 0.0 } else { self.unreported_work };
-            let longs = endpoint.delayed_by(band).min(1);
+            let wait = endpoint.prefill_ahead(band) / rate;
+            let away = if endpoint.is_preferred { 0.0 } else { self.unreported_work };
+            let long = endpoint.prompts_delayed_by(band).min(1);
             let held = holder == Some(id);
-            let wait = wait + away + f64::from(longs) * budget + 2.0 * endpoint.distance;
+            let wait = wait + away + f64::from(long) * budget + 2.0 * endpoint.distance;
             list.offer(index, if held { f64::NEG_INFINITY } else { wait * endpoint.caution });
         }
         list
     }
 
-    fn ask(&self, entry: &Entry) -> SelectionRequest {
+    fn selection_request(&self, entry: &RequestEntry) -> SelectionRequest {
         SelectionRequest {
             prompt: entry.req.prompt,
             footprint: entry.req.footprint(),
@@ -207,11 +210,11 @@
     }
 
     /// An endpoint with room as a candidate for `entry`, where it may get it.
-    fn candidate(&self, entry: &Entry, endpoint: &Endpoint, now: Time) -> Option<Candidate> {
+    fn candidate(&self, entry: &RequestEntry, endpoint: &Endpoint, now: Time) -> Option<Candidate> {
         let band = entry.band;
         let rate = self.fleet.rate(endpoint);
         let free = endpoint.free(band);
-        if !entry.may_go_to(&endpoint.id, endpoint.incarnation) {
+        if !entry.may_run_on(&endpoint.id, endpoint.incarnation) {
             return None;
         }
         let fingerprint = entry.req.fingerprint;
@@ -219,9 +222,9 @@
             return None;
         }
         let left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
-        let wait = endpoint.ahead(band) / (rate * left)
+        let wait = endpoint.prefill_ahead(band) / (rate * left)
             + endpoint.lateness(seconds(now), rate)
-            + if endpoint.is_home { 0.0 } else { self.unreported_work };
+            + if endpoint.is_preferred { 0.0 } else { self.unreported_work };
         Some(Candidate {
             endpoint: endpoint.id.clone(),
             wait: span(wait),
@@ -230,13 +233,13 @@
             distance: span(endpoint.distance),
             free: Tokens(free.min(1e18) as u64),
             shorts_running: 0,
-            longs_running: endpoint.delayed_by(band),
-            long_open: endpoint.open_to_longs,
+            longs_running: endpoint.prompts_delayed_by(band),
+            long_open: endpoint.open_to_long,
             caution: endpoint.caution,
         })
     }
 
-    fn start_on_one(&mut self, request: RequestId, chosen: &Chosen, now: Time) {
+    fn start_on_one(&mut self, request: RequestId, chosen: &ChosenEndpoint, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let Some(endpoint) = self.fleet.get(&chosen.endpoint) else { return };
         let shard = Shard {
@@ -257,14 +260,14 @@
         predicted: f64,
         now: Time,
     ) {
-        self.leave_lane(request, true);
+        self.dequeue(request, true);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        self.due.remove(&Due { at: entry.due, request });
-        entry.due = entry.req.deadline;
-        self.due.insert(Due { at: entry.due, request });
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        entry.expires_at = entry.req.deadline;
+        self.expiries.insert(RequestTimer { at: entry.expires_at, request });
         entry.attempts += 1;
-        if entry.basis == Basis::Assumption {
-            self.trying = Some(request);
+        if entry.basis == AdmissionBasis::Unmeasured {
+            self.unmeasured_trial = Some(request);
         }
         let band = entry.band;
         let prefill = (entry.req.prompt + entry.passed_on - cached).0.max(1) as f64;
@@ -276,7 +279,7 @@
         let first = shards.first().and_then(|shard| self.fleet.get_mut(&shard.endpoint));
         let Some(endpoint) = first else { return };
         if let Some(first) = entry.req.prefix.first() {
-            self.holders.sent(*first, &endpoint.id);
+            self.prefix_holders.sent(*first, &endpoint.id);
         }
         self.cache.sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
         self.quarantine.started(entry.req.fingerprint, &endpoint.id, now);
@@ -284,16 +287,16 @@
             sent: now,
             predicted,
             cached,
-            ahead: endpoint.modelled_ahead(band),
+            ahead: endpoint.modelled_prefill_ahead(band),
             short_done: endpoint.short_done,
-            beside_longs: !band.is_long() && endpoint.delayed_by(band) > 0,
+            beside_long: !band.is_long() && endpoint.prompts_delayed_by(band) > 0,
             prefill,
             first_token: None,
             shards: shards.clone(),
         };
         endpoint.sent(band, prefill, now);
-        endpoint.note_moment(now);
-        entry.state = State::Running(attempt);
+        endpoint.record_load(now);
+        entry.state = RequestState::Running(attempt);
         self.decisions.push(Decision::Start(Start {
             request,
             attempt: entry.attempts,
@@ -302,52 +305,55 @@
         }));
         if band.is_long() {
             self.long_prefills.insert(request);
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         } else {
-            self.pace.started(prefill);
+            self.short_limiter.started(prefill);
         }
     }
 
     /// Takes a request out of its lane; `served` where that is because it starts.
-    pub(super) fn leave_lane(&mut self, request: RequestId, served: bool) {
+    pub(super) fn dequeue(&mut self, request: RequestId, served: bool) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let share = self.workspaces.share(entry.workspace);
-        let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-        let lane = &mut self.lanes[entry.lane];
-        if !lane.remove(share, line, entry.waiting(), entry.prompt()) {
+        let weight = self.workspaces.weight_of(entry.workspace);
+        let workspace_queue =
+            &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+        let queue = &mut self.queues[entry.queue_index];
+        if !queue.remove(weight, workspace_queue, entry.waiting(), entry.prompt()) {
             return;
         }
         self.waiting -= 1;
         // A further attempt of a request was paid for with the first.
         if served && entry.attempts == 0 {
-            lane.charge(share, line, entry.cost);
+            queue.charge(weight, workspace_queue, entry.cost);
         }
     }
 
     /// Ends the attempt under way, if any: its memory and prefill are free again.
     pub(super) fn release(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
         let entry = self.requests.get_mut(&request)?;
-        if !matches!(entry.state, State::Running(_)) {
+        if !matches!(entry.state, RequestState::Running(_)) {
             return None;
         }
-        let State::Running(attempt) = std::mem::replace(&mut entry.state, State::Waiting) else {
+        let RequestState::Running(attempt) =
+            std::mem::replace(&mut entry.state, RequestState::Waiting)
+        else {
             return None;
         };
         let band = entry.band;
         self.long_prefills.swap_remove(&request);
         for (index, shard) in attempt.shards.iter().enumerate() {
-            let Some(endpoint) = self.fleet.of(shard) else { continue };
+            let Some(endpoint) = self.fleet.at_shard(shard) else { continue };
             endpoint.release(band, shard.tokens.0 as f64);
             if index == 0 && attempt.first_token.is_none() {
                 endpoint.prefilled(band, attempt.prefill);
             }
-            endpoint.note_moment(now);
+            endpoint.record_load(now);
         }
         Some(attempt)
     }
 }
 
 /// Tokens as a whole number, rounded up.
-pub(super) fn whole(tokens: f64) -> Tokens {
+pub(super) fn ceil_tokens(tokens: f64) -> Tokens {
     Tokens(tokens.ceil().max(0.0) as u64)
 }
--- a/crates/policy/src/adaptive/endpoint/told.rs
+++ b/crates/policy/src/adaptive/endpoint/reports.rs
@@ -1,43 +1,46 @@
 //! What reports and digests say of an endpoint; the rule stands in [`super`].
 
-use super::{BUSY_FOR, Busy, ByBand, Endpoint, MOMENTS, Moment, PEER_RATE_FOR, PeerPart, Unknown};
+use super::{
+    BusyPeriod, Endpoint, LoadRecord, MAX_LOAD_RECORDS, MIN_BUSY_S, PEER_RATE_MAX_AGE_S, PeerLoad,
+    PerBand, UnexplainedLoad,
+};
 use crate::{BANDS, InstanceId, LoadReport, Time, report::EndpointShare};
 
 impl Endpoint {
     /// Remembers the own load of this moment for the next report.
-    pub(in crate::adaptive) fn note_moment(&mut self, now: Time) {
-        let left: f64 = self.own.sent.iter().chain(&self.others_left).sum();
-        let moment = Moment { at: now, left, held: self.own.held + self.others_held };
-        if self.moments.len() >= MOMENTS {
-            self.moments.pop_front();
+    pub(in crate::adaptive) fn record_load(&mut self, now: Time) {
+        let remaining: f64 = self.own.sent.iter().chain(&self.others_remaining).sum();
+        let record = LoadRecord { at: now, remaining, held: self.own.held + self.others_held };
+        if self.load_records.len() >= MAX_LOAD_RECORDS {
+            self.load_records.pop_front();
         }
-        self.moments.push_back(moment);
+        self.load_records.push_back(record);
     }
 
     /// Takes note of a report of this life.
-    pub(in crate::adaptive) fn report(&mut self, report: &LoadReport, rate: f64) {
+    pub(in crate::adaptive) fn apply_report(&mut self, report: &LoadReport, rate: f64) {
         if report.incarnation != self.incarnation {
             return;
         }
         self.memory = report.kv_total.0 as f64;
-        self.asks_leave = report.leaving;
-        let then = self.moments.iter().rev().find(|moment| moment.at <= report.taken);
-        let Some(then) = then.or(self.moments.front()) else { return };
-        let held = (report.kv_used.0 as f64 - then.held).max(0.0);
-        let left = (report.waiting_prefill.0 as f64 - then.left).max(0.0);
+        self.is_leaving = report.leaving;
+        let then_known = self.load_records.iter().rev().find(|record| record.at <= report.taken);
+        let Some(then_known) = then_known.or(self.load_records.front()) else { return };
+        let held = (report.kv_used.0 as f64 - then_known.held).max(0.0);
+        let remaining = (report.waiting_prefill.0 as f64 - then_known.remaining).max(0.0);
         // What one report shows may have come and gone between two digests; what two show stays.
-        self.unknown_held = held.min(self.last_unknown.held);
-        let unknown = left.min(self.last_unknown.left);
-        self.last_unknown = Unknown { left, held };
+        self.unexplained_held = held.min(self.last_unexplained.held);
+        let unexplained = remaining.min(self.last_unexplained.remaining);
+        self.last_unexplained = UnexplainedLoad { remaining, held };
         // The report doesn't say whose prompts these are: a tenth of a second of them counts as
         // short, which is what an instance keeps there of short ones; the rest as long.
-        let short = unknown.min(rate * 0.1);
-        self.others_left[0] += short;
-        self.others_left[BANDS - 1] += unknown - short;
+        let short = unexplained.min(rate * 0.1);
+        self.others_remaining[0] += short;
+        self.others_remaining[BANDS - 1] += unexplained - short;
     }
 
     /// Takes note of another instance's part.
-    pub(in crate::adaptive) fn peer(
+    pub(in crate::adaptive) fn apply_peer_load(
         &mut self,
         instance: &InstanceId,
         share: &EndpointShare,
@@ -52,9 +55,9 @@
         let learned = known.filter(|_| more <= 0.0).map_or(now, |part| part.learned);
         self.others_done += more;
         self.peers.retain(|part| part.instance != *instance);
-        self.peers.push(PeerPart {
+        self.peers.push(PeerLoad {
             instance: instance.clone(),
-            left: share.waiting_bands.map(|tokens| tokens.0 as f64),
+            remaining: share.waiting_bands.map(|tokens| tokens.0 as f64),
             held: share.held.0 as f64,
             done,
             rate: share.prefill_rate.0,
@@ -65,37 +68,37 @@
     }
 
     /// Another instance's digest tells of nothing under way here.
-    pub(in crate::adaptive) fn peer_has_none(&mut self, instance: &InstanceId) {
+    pub(in crate::adaptive) fn clear_peer_load(&mut self, instance: &InstanceId) {
         let Some(part) = self.peers.iter_mut().find(|part| part.instance == *instance) else {
             return;
         };
-        part.left = ByBand::default();
+        part.remaining = PerBand::default();
         part.held = 0.0;
         self.sum_peers();
     }
 
     /// Takes note of `tokens` prefilled for this instance. Once the engine has not been idle for
     /// [`BUSY_FOR`], what was prefilled there for all instances is a sample of its speed.
-    pub(in crate::adaptive) fn count_done(&mut self, tokens: f64, now: f64) {
+    pub(in crate::adaptive) fn record_prefilled(&mut self, tokens: f64, now: f64) {
         self.done += tokens;
         let done = self.done + self.others_done;
         let idle = self.own.prefilling.iter().all(|count| *count == 0)
-            && self.others_left.iter().all(|left| *left < 1.0);
+            && self.others_remaining.iter().all(|remaining| *remaining < 1.0);
         if idle {
-            self.busy = None;
+            self.busy_period = None;
             return;
         }
-        let busy = self.busy.get_or_insert(Busy { since: now, done });
-        let lasted = now - busy.since;
-        if lasted >= BUSY_FOR {
-            let work = done - busy.done;
-            self.busy = Some(Busy { since: now, done });
+        let busy_period = self.busy_period.get_or_insert(BusyPeriod { since: now, done });
+        let lasted = now - busy_period.since;
+        if lasted >= MIN_BUSY_S {
+            let work = done - busy_period.done;
+            self.busy_period = Some(BusyPeriod { since: now, done });
             self.speed.observe_throughput(work, lasted, now);
         }
     }
 
     /// Forgets another instance's part.
-    pub(in crate::adaptive) fn peer_gone(&mut self, instance: &InstanceId) {
+    pub(in crate::adaptive) fn remove_peer(&mut self, instance: &InstanceId) {
         let known = self.peers.len();
         self.peers.retain(|part| part.instance != *instance);
         if self.peers.len() < known {
@@ -104,22 +107,22 @@
     }
 
     /// Whether the others have to hear of this instance's part.
-    pub(in crate::adaptive) fn is_told(&self) -> bool {
+    pub(in crate::adaptive) fn has_load_to_report(&self) -> bool {
         self.own.running > 0 || self.done > 0.0
     }
 
     /// This instance's part, for the others.
     pub(in crate::adaptive) fn share(&self) -> EndpointShare {
-        let left = std::array::from_fn(|band| crate::Tokens(self.own_left(band) as u64));
+        let remaining = std::array::from_fn(|band| crate::Tokens(self.own_remaining(band) as u64));
         EndpointShare {
             endpoint: self.id.clone(),
             incarnation: self.incarnation,
-            waiting_prefill: left.iter().copied().sum::<crate::Tokens>(),
-            waiting_bands: left,
+            waiting_prefill: remaining.iter().copied().sum::<crate::Tokens>(),
+            waiting_bands: remaining,
             running: self.own.running,
             held: crate::Tokens(self.own.held as u64),
             prefilled: crate::Tokens(self.done as u64),
-            prefill_rate: crate::TokenRate(self.speed.own().unwrap_or(0.0)),
+            prefill_rate: crate::TokenRate(self.speed.own_rate().unwrap_or(0.0)),
             ejected: false,
         }
     }
@@ -127,17 +130,17 @@
     /// Takes over the highest speed that another instance has learned of late. All measures err low,
     /// and an instance that has little to send there learns little itself.
     pub(in crate::adaptive) fn learn_from_peers(&mut self, now: f64) {
-        let recent = self.peers.iter().filter(|part| now - part.learned <= PEER_RATE_FOR);
+        let recent = self.peers.iter().filter(|part| now - part.learned <= PEER_RATE_MAX_AGE_S);
         let rates = recent.map(|part| part.rate).filter(|rate| *rate > 0.0);
-        self.speed.peers = rates.max_by(f64::total_cmp);
+        self.speed.peer_rate = rates.max_by(f64::total_cmp);
     }
 
     pub(super) fn sum_peers(&mut self) {
-        self.others_left = ByBand::default();
+        self.others_remaining = PerBand::default();
         self.others_held = 0.0;
         for part in &self.peers {
-            for (sum, left) in self.others_left.iter_mut().zip(part.left) {
-                *sum += left;
+            for (sum, remaining) in self.others_remaining.iter_mut().zip(part.remaining) {
+                *sum += remaining;
             }
             self.others_held += part.held;
         }
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -29,7 +29,7 @@
 use super::{
     AdaptiveScheduler,
     endpoint::Endpoint,
-    request::{Basis, Due, Entry, State, Tried},
+    request::{AdmissionBasis, EndpointIncarnation, RequestEntry, RequestState, RequestTimer},
 };
 
 /// Failed attempts after which a request is given up.
@@ -38,10 +38,10 @@
 /// than most deadlines.
 const MAX_ATTEMPTS: u32 = 200;
 /// How long an endpoint that refused for lack of room isn't asked again: a few decode steps.
-const FULL_FOR: Duration = Duration::from_millis(50);
+const FULL_PAUSE: Duration = Duration::from_millis(50);
 /// How long one that couldn't be reached or died isn't asked again, until something better is
 /// known of it.
-const GONE_FOR: Duration = Duration::from_millis(500);
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
 impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
         &mut self,
@@ -55,11 +55,11 @@
             return;
         }
         if cause == FailCause::EndpointDied {
-            self.note_death(request, now);
+            self.record_death(request, now);
         }
         let Some(ended) = self.release(request, now) else { return };
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
-        self.mark_endpoints(&ended.shards, cause, now);
+        self.pause_endpoints(&ended.shards, cause, now);
         if let Some(shard) = ended.shards.first() {
             self.health.failed(&shard.endpoint, cause);
         }
@@ -68,10 +68,13 @@
         entry.may_have_run |= !not_run;
         if cause != FailCause::Rejected {
             entry.failures += u32::from(!not_run);
-            let tried = ended.shards.into_iter().take(1);
-            for shard in tried {
-                let tried = Tried { endpoint: shard.endpoint, incarnation: shard.incarnation };
-                entry.note_tried(tried, cause);
+            let first_shard = ended.shards.into_iter().take(1);
+            for shard in first_shard {
+                let incarnation = EndpointIncarnation {
+                    endpoint: shard.endpoint,
+                    incarnation: shard.incarnation,
+                };
+                entry.exclude(incarnation, cause);
             }
         }
         let fingerprint = entry.req.fingerprint;
@@ -87,9 +90,12 @@
     /// Fails an admitted request towards its caller and forgets it.
     pub(super) fn fail(&mut self, request: RequestId, cause: FailCause, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let ran = Self::ran(entry);
+        let ran = Self::run_status(entry);
         let predicted = self.predict(entry, now).seconds();
-        if cause == FailCause::Deadline && entry.attempts == 0 && entry.basis == Basis::Prediction {
+        if cause == FailCause::Deadline
+            && entry.attempts == 0
+            && entry.basis == AdmissionBasis::Prediction
+        {
             let waited = now.since(entry.req.arrived).as_secs_f64();
             self.learn_margin(request, waited, now);
         }
@@ -101,33 +107,33 @@
 
     /// Drops all that is known of a request.
     pub(super) fn forget(&mut self, request: RequestId, now: Time) {
-        self.leave_lane(request, false);
+        self.dequeue(request, false);
         if self.release(request, now).is_some()
             && let Some(entry) = self.requests.get(&request)
         {
             self.quarantine.stopped(entry.req.fingerprint);
         }
         let Some(entry) = self.requests.swap_remove(&request) else { return };
-        self.assumed.shift_remove(&request);
-        self.due.remove(&Due { at: entry.due, request });
-        if let State::BackingOff(at) = entry.state {
-            self.later.remove(&Due { at, request });
+        self.unmeasured_requests.shift_remove(&request);
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        if let RequestState::BackingOff(at) = entry.state {
+            self.backoffs.remove(&RequestTimer { at, request });
         }
         let state = self.workspaces.get_mut(entry.workspace);
-        state.under_way = state.under_way.saturating_sub(1);
+        state.in_flight = state.in_flight.saturating_sub(1);
     }
 
     /// Puts requests whose backoff is over back into their lanes.
     pub(super) fn end_backoffs(&mut self, now: Time) {
-        while let Some(due) = self.later.first().copied().filter(|due| due.at <= now) {
-            self.later.remove(&due);
-            self.enqueue(due.request);
+        while let Some(timer) = self.backoffs.first().copied().filter(|timer| timer.at <= now) {
+            self.backoffs.remove(&timer);
+            self.enqueue(timer.request);
         }
     }
 
     pub(super) fn is_running(&self, request: RequestId, attempt: u32) -> bool {
         self.requests.get(&request).is_some_and(|entry| {
-            entry.attempts == attempt && matches!(entry.state, State::Running(_))
+            entry.attempts == attempt && matches!(entry.state, RequestState::Running(_))
         })
     }
 
@@ -162,7 +168,7 @@
         if free {
             return None;
         }
-        let endpoint = &entry.tried.last()?.endpoint;
+        let endpoint = &entry.excluded.last()?.endpoint;
         let paid = self.budgets.pay(&entry.req.workspace, endpoint, now);
         (!paid).then_some(FailCause::RetryBudget)
     }
@@ -176,44 +182,45 @@
             entry.bound = Time(entry.req.deadline.0.saturating_sub(needed)).max(entry.bound);
         }
         let at = now + backoff(entry.attempts + 1, &mut self.rng);
-        entry.state = State::BackingOff(at);
-        self.later.insert(Due { at, request });
+        entry.state = RequestState::BackingOff(at);
+        self.backoffs.insert(RequestTimer { at, request });
     }
 
     /// Puts all requests of this instance under suspicion that ran on the life that died, once for
     /// each death, before the first of them is released from it.
-    fn note_death(&mut self, request: RequestId, now: Time) {
-        let Some(life) = self.requests.get(&request).and_then(Entry::runs_on).cloned() else {
+    fn record_death(&mut self, request: RequestId, now: Time) {
+        let Some(shard) = self.requests.get(&request).and_then(RequestEntry::runs_on).cloned()
+        else {
             return;
         };
-        let Some(endpoint) = self.fleet.of(&life) else { return };
-        if std::mem::replace(&mut endpoint.death_noted, true) {
+        let Some(endpoint) = self.fleet.at_shard(&shard) else { return };
+        if std::mem::replace(&mut endpoint.death_recorded, true) {
             return;
         }
-        let there = |entry: &&Entry| {
-            entry.runs_on().is_some_and(|shard| {
-                shard.endpoint == life.endpoint && shard.incarnation == life.incarnation
+        let there = |entry: &&RequestEntry| {
+            entry.runs_on().is_some_and(|other| {
+                other.endpoint == shard.endpoint && other.incarnation == shard.incarnation
             })
         };
         let entries = self.requests.values().filter(there);
         let present: Vec<Fingerprint> = entries.map(|entry| entry.req.fingerprint).collect();
-        self.quarantine.died(&life.endpoint, &present, now);
+        self.quarantine.died(&shard.endpoint, &present, now);
     }
 
-    fn mark_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
+    fn pause_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
         let pause = match cause {
-            FailCause::Rejected => FULL_FOR,
-            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => GONE_FOR,
+            FailCause::Rejected => FULL_PAUSE,
+            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => UNREACHABLE_PAUSE,
             _ => return,
         };
         // Which of several refused isn't known; the backoff covers that case.
         let [shard] = shards else { return };
-        if let Some(endpoint) = self.fleet.of(shard) {
-            endpoint.full_until = endpoint.full_until.max(now + pause);
+        if let Some(endpoint) = self.fleet.at_shard(shard) {
+            endpoint.blocked_until = endpoint.blocked_until.max(now + pause);
         }
     }
 }
 
-fn may_serve(entry: &Entry, endpoint: &Endpoint) -> bool {
-    endpoint.usable() && entry.may_go_to(&endpoint.id, endpoint.incarnation)
+fn may_serve(entry: &RequestEntry, endpoint: &Endpoint) -> bool {
+    endpoint.usable() && entry.may_run_on(&endpoint.id, endpoint.incarnation)
 }
--- a/crates/policy/src/adaptive/fleet.rs
+++ b/crates/policy/src/adaptive/fleet.rs
@@ -7,11 +7,11 @@
     scheduler::EndpointState,
 };
 
-use super::{class::USABLE, endpoint::Endpoint, learn::FIRST_GUESS, seconds};
+use super::{band::USABLE_MEMORY_SHARE, endpoint::Endpoint, learn::INITIAL_PREFILL_RATE, seconds};
 
 /// Seconds between two looks at the whole fleet. Typical speed and memory change slowly, and the
 /// look costs a pass over all endpoints.
-const REFRESH_EVERY: f64 = 0.1;
+const REFRESH_INTERVAL_S: f64 = 0.1;
 
 /// The deployment's endpoints, in the order of their ids: every instance walks them alike.
 #[derive(Debug)]
@@ -30,29 +30,29 @@
     /// How many endpoints are usable.
     pub(super) usable: usize,
     /// Whether any endpoint gave a sample of its speed.
-    pub(super) learned: bool,
-    refreshed: f64,
+    pub(super) has_measured_speed: bool,
+    refreshed_at: f64,
 }
 
 impl Fleet {
     pub(super) fn new() -> Fleet {
         Fleet {
             endpoints: IndexMap::new(),
-            typical_rate: FIRST_GUESS,
-            fastest_rate: FIRST_GUESS,
+            typical_rate: INITIAL_PREFILL_RATE,
+            fastest_rate: INITIAL_PREFILL_RATE,
             total_rate: 0.0,
             largest_memory: f64::INFINITY,
             total_memory: f64::INFINITY,
             usable: 0,
-            learned: false,
-            refreshed: f64::NEG_INFINITY,
+            has_measured_speed: false,
+            refreshed_at: f64::NEG_INFINITY,
         }
     }
 
     /// Takes over a change, or a new endpoint.
-    pub(super) fn change(&mut self, change: &EndpointChange, now: Time) {
+    pub(super) fn apply_change(&mut self, change: &EndpointChange, now: Time) {
         match self.endpoints.get_mut(&change.endpoint) {
-            Some(endpoint) => endpoint.change(change, now),
+            Some(endpoint) => endpoint.apply_change(change, now),
             None if change.state == EndpointState::Dead => {}
             None => {
                 self.endpoints.insert(change.endpoint.clone(), Endpoint::new(change, now));
@@ -71,7 +71,7 @@
             }
         }
         for change in changes {
-            self.change(change, now);
+            self.apply_change(change, now);
         }
         let over = |e: &Endpoint| e.state == EndpointState::Dead && e.own.running == 0;
         let dropped = self.endpoints.extract_if(.., |_, e| over(e)).map(|(id, _)| id).collect();
@@ -89,7 +89,7 @@
 
     /// The endpoint of a shard, where its life is still the one that was sent to. What is known of
     /// a later life has nothing to do with the shard.
-    pub(super) fn of(&mut self, shard: &Shard) -> Option<&mut Endpoint> {
+    pub(super) fn at_shard(&mut self, shard: &Shard) -> Option<&mut Endpoint> {
         self.endpoints
             .get_mut(&shard.endpoint)
             .filter(|e| shard.incarnation == e.incarnation || shard.incarnation.0 == 0)
@@ -100,13 +100,13 @@
         endpoint.speed.rate().unwrap_or(self.typical_rate)
     }
 
-    pub(super) fn report(&mut self, report: &LoadReport, now: Time) {
+    pub(super) fn apply_report(&mut self, report: &LoadReport, now: Time) {
         let typical = self.typical_rate;
         if let Some(endpoint) = self.endpoints.get_mut(&report.endpoint) {
             let rate = endpoint.speed.rate().unwrap_or(typical);
             let first = endpoint.memory <= 0.0;
             endpoint.advance(seconds(now), rate);
-            endpoint.report(report, rate);
+            endpoint.apply_report(report, rate);
             if first {
                 self.refresh(now);
             }
@@ -114,31 +114,31 @@
     }
 
     /// Takes over another instance's parts. Where it tells of none any more, it has none.
-    pub(super) fn peer(&mut self, digest: &LoadDigest, now: Time) {
+    pub(super) fn apply_peer_digest(&mut self, digest: &LoadDigest, now: Time) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.peer_has_none(&digest.instance);
+            endpoint.clear_peer_load(&digest.instance);
         }
         for share in &digest.endpoints {
             if let Some(endpoint) = self.endpoints.get_mut(&share.endpoint) {
-                endpoint.peer(&digest.instance, share, seconds(now));
+                endpoint.apply_peer_load(&digest.instance, share, seconds(now));
             }
         }
     }
 
-    pub(super) fn peer_gone(&mut self, instance: &InstanceId) {
+    pub(super) fn remove_peer(&mut self, instance: &InstanceId) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.peer_gone(instance);
+            endpoint.remove_peer(instance);
         }
     }
 
     /// Whether the last look at the whole fleet is old.
-    pub(super) fn is_due(&self, now: Time) -> bool {
-        seconds(now) - self.refreshed >= REFRESH_EVERY
+    pub(super) fn is_refresh_due(&self, now: Time) -> bool {
+        seconds(now) - self.refreshed_at >= REFRESH_INTERVAL_S
     }
 
     /// Computes what is typical, and models the work done since the last look.
     pub(super) fn refresh(&mut self, now: Time) {
-        self.refreshed = seconds(now);
+        self.refreshed_at = seconds(now);
         for endpoint in self.endpoints.values_mut() {
             endpoint.speed.age(seconds(now));
             endpoint.learn_from_peers(seconds(now));
@@ -146,11 +146,11 @@
         let usable = || self.endpoints.values().filter(|endpoint| endpoint.usable());
         let mut rates: Vec<f64> = usable().filter_map(|e| e.speed.rate()).collect();
         rates.sort_unstable_by(f64::total_cmp);
-        self.learned = !rates.is_empty();
+        self.has_measured_speed = !rates.is_empty();
         if let Some(rate) = rates.get(rates.len() / 2) {
             self.typical_rate = *rate;
         }
-        let memories = || usable().map(|e| bounded(e.memory * USABLE));
+        let memories = || usable().map(|e| or_unlimited(e.memory * USABLE_MEMORY_SHARE));
         self.largest_memory = memories().fold(0.0, f64::max);
         self.total_memory = memories().sum();
         self.usable = usable().count();
@@ -170,6 +170,6 @@
     }
 }
 
-fn bounded(memory: f64) -> f64 {
+fn or_unlimited(memory: f64) -> f64 {
     if memory > 0.0 { memory } else { f64::INFINITY }
 }
--- a/crates/policy/src/adaptive/overview.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -14,60 +14,60 @@
 //! in between is bounded by it.
 
 use super::{
-    ASSESS_EVERY, AdaptiveScheduler, DEMAND_HALF_LIFE, class,
-    endpoint::ByBand,
-    longs::Demand,
-    pace::{self, long_claim},
-    request::Entry,
+    AdaptiveScheduler, DEMAND_HALF_LIFE_S, HEALTH_INTERVAL_S, band,
+    endpoint::PerBand,
+    open_engines::Demand,
+    request::RequestEntry,
     seconds,
+    short_rate_limit::{self, long_claim},
 };
 use crate::{BANDS, EndpointId, Time, health::HealthState};
 
 impl AdaptiveScheduler {
     /// Looks at the whole fleet: what is typical, what stands on the engines, and which of them
     /// are open to long prompts.
-    pub(super) fn look_at_fleet(&mut self, now: Time) {
+    pub(super) fn refresh_fleet(&mut self, now: Time) {
         self.fleet.refresh(now);
-        self.bands.update(self.fleet.typical_rate);
+        self.band_limits.update(self.fleet.typical_rate);
         for band in 0..BANDS {
-            let own = self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE);
+            let own = self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE_S);
             self.total_demand[band] = own + self.peers.demand[band];
         }
         self.assess_health(now);
-        self.open_some(now);
-        self.inflight = ByBand::default();
+        self.update_open_engines(now);
+        self.inflight = PerBand::default();
         self.least_wait = [f64::INFINITY; BANDS];
         self.long_rate = 0.0;
         for endpoint in self.fleet.endpoints.values().filter(|endpoint| endpoint.usable()) {
             let rate = self.fleet.rate(endpoint);
-            let takes_longs = endpoint.open_to_longs && endpoint.has_spare_memory();
+            let takes_longs = endpoint.open_to_long && endpoint.has_spare_memory();
             if takes_longs {
                 self.long_rate += rate;
             }
-            for band in class::Band::all() {
+            for band in band::Band::all() {
                 if band.is_long() && !takes_longs {
                     continue;
                 }
-                let ahead = endpoint.ahead(band);
+                let ahead = endpoint.prefill_ahead(band);
                 self.inflight[band.index()] += ahead;
                 let least = &mut self.least_wait[band.index()];
                 *least = least.min(ahead / rate);
             }
         }
-        self.pace_shorts(now);
-        self.choose_homes(now);
+        self.limit_short_rate(now);
+        self.choose_preferred(now);
     }
 
     /// Shares the endpoints out among the instances, so that each goes first where the others
     /// don't: what is unheard of the others' sends is then expected elsewhere. Those with long
     /// prompts are nobody's, so that short ones go around them.
-    pub(super) fn choose_homes(&mut self, now: Time) {
+    pub(super) fn choose_preferred(&mut self, now: Time) {
         let instances = self.peers.instances();
         let rank = self.peers.rank(&self.instance);
         let mut index = 0;
         for endpoint in self.fleet.endpoints.values_mut().filter(|endpoint| endpoint.usable()) {
-            let has_longs = endpoint.delayed_by(class::Band::SHORT) > 0;
-            endpoint.is_home = !has_longs && index % instances == rank;
+            let has_longs = endpoint.prompts_delayed_by(band::Band::SHORT) > 0;
+            endpoint.is_preferred = !has_longs && index % instances == rank;
             index += usize::from(!has_longs);
         }
         let others: f64 = self.peers.demand.iter().sum();
@@ -76,35 +76,37 @@
     }
 
     /// Sets how fast short prompts may start here, by what long ones claim.
-    pub(super) fn pace_shorts(&mut self, now: Time) {
+    pub(super) fn limit_short_rate(&mut self, now: Time) {
         let total = self.fleet.total_rate.max(1.0);
-        let longs: f64 = self.total_demand[1..].iter().sum();
+        let long: f64 = self.total_demand[1..].iter().sum();
         let weights = &self.rules.weights;
-        let claim = long_claim(longs / total, weights.long_first_token, weights.short_slowdown);
-        let held_back = self.longs_late(now) || self.peers.longs_late;
-        self.short_rate = if held_back { total * (1.0 - claim) } else { total };
-        let own = self.demand[0].rate(seconds(now), DEMAND_HALF_LIFE);
+        let claim = long_claim(long / total, weights.long_first_token, weights.short_slowdown);
+        let is_limited = self.has_late_long_prompt(now) || self.peers.has_late_long_prompt;
+        self.short_rate = if is_limited { total * (1.0 - claim) } else { total };
+        let own = self.demand[0].rate(seconds(now), DEMAND_HALF_LIFE_S);
         let by_traffic = if own > 0.0 { own / self.total_demand[0].max(own) } else { 0.0 };
         let part = 0.5 / self.peers.instances() as f64 + 0.5 * by_traffic;
-        self.pace.set(self.short_rate * part, held_back, seconds(now));
+        self.short_limiter.set(self.short_rate * part, is_limited, seconds(now));
     }
 
     /// Whether a long prompt of this instance is starved: its first token is far overdue.
-    pub(super) fn longs_late(&self, now: Time) -> bool {
+    pub(super) fn has_late_long_prompt(&self, now: Time) -> bool {
         self.long_prefills.iter().any(|request| {
             let entry = self.requests.get(request);
-            let attempt = entry.and_then(Entry::attempt);
+            let attempt = entry.and_then(RequestEntry::attempt);
             attempt.is_some_and(|attempt| {
                 let taken = now.since(attempt.sent).as_secs_f64();
-                taken > attempt.predicted * pace::LATE_TIMES + pace::LATE_AFTER
+                taken
+                    > attempt.predicted * short_rate_limit::LATE_RATIO
+                        + short_rate_limit::LATE_GRACE_S
             })
         })
     }
 
     /// Ejects what has to be ejected, and takes over how cautiously each endpoint may be used.
     pub(super) fn assess_health(&mut self, now: Time) {
-        if seconds(now) - self.assessed >= ASSESS_EVERY {
-            self.assessed = seconds(now);
+        if seconds(now) - self.health_assessed_at >= HEALTH_INTERVAL_S {
+            self.health_assessed_at = seconds(now);
             let load = self.total_demand.iter().sum::<f64>() / self.fleet.typical_rate.max(1.0);
             self.health.assess(load.ceil() as usize, now, &mut self.rng);
             self.quarantine.expire(now);
@@ -133,21 +135,21 @@
 
     /// Opens as many engines to long prompts as the cost says: the last by id, after those whose
     /// memory a prompt over several engines takes.
-    pub(super) fn open_some(&mut self, now: Time) {
+    pub(super) fn update_open_engines(&mut self, now: Time) {
         let typical = self.fleet.typical_rate.max(1.0);
-        let longs: f64 = self.total_demand[1..].iter().sum();
-        let demand = Demand { shorts: self.total_demand[0] / typical, longs: longs / typical };
+        let long: f64 = self.total_demand[1..].iter().sum();
+        let demand = Demand { short: self.total_demand[0] / typical, long: long / typical };
         let usable = self.fleet.usable;
         let open = self.open_engines.update(usable, demand, &self.rules.weights, seconds(now));
         let mut left = open;
         for endpoint in self.fleet.endpoints.values_mut() {
-            endpoint.open_to_longs = false;
+            endpoint.open_to_long = false;
         }
         for spare in [true, false] {
             let endpoints = self.fleet.endpoints.values_mut().rev();
             for endpoint in endpoints.filter(|e| e.usable() && e.has_spare_memory() == spare) {
-                endpoint.open_to_longs = left > 0;
-                left -= usize::from(endpoint.open_to_longs);
+                endpoint.open_to_long = left > 0;
+                left -= usize::from(endpoint.open_to_long);
             }
         }
     }
--- a/crates/policy/src/adaptive/learn.rs
+++ b/crates/policy/src/adaptive/learn.rs
@@ -27,42 +27,42 @@
 use super::window::Window;
 
 /// Samples of speed that are kept for each engine.
-pub(super) const SAMPLES: usize = 24;
+pub(super) const SPEED_SAMPLES: usize = 24;
 /// Which quantile of the samples counts as the speed.
-const QUANTILE: f64 = 0.92;
+const SPEED_QUANTILE: f64 = 0.92;
 /// Seconds after which own samples are old.
-const SAMPLES_FOR: f64 = 10.0;
+const SAMPLE_MAX_AGE_S: f64 = 10.0;
 /// Seconds for which a measured throughput counts: until the next two would have come.
-const THROUGHPUT_FOR: f64 = 15.0;
+const THROUGHPUT_MAX_AGE_S: f64 = 15.0;
 /// Prefill speed before anything was seen, in tokens a second.
-pub(super) const FIRST_GUESS: f64 = 8_000.0;
+pub(super) const INITIAL_PREFILL_RATE: f64 = 8_000.0;
 /// Decode speed of one stream before anything was seen, in tokens a second.
-const DECODE_GUESS: f64 = 30.0;
+const INITIAL_DECODE_RATE: f64 = 30.0;
 /// Ratios of actual to predicted time that are kept.
-const ERRORS: usize = 40;
+const ERROR_SAMPLES: usize = 40;
 /// Which quantile of the ratios the margin covers: one promise in twenty may need the slack that
 /// the bound has over the prediction.
 const ERROR_QUANTILE: f64 = 0.95;
 /// The margin's bounds. Below one would promise more than is predicted; above four nearly nothing
 /// would be admitted, and nothing admitted means nothing learned.
-const MARGIN: std::ops::RangeInclusive<f64> = 0.5..=4.0;
+const MARGIN_RANGE: std::ops::RangeInclusive<f64> = 0.5..=4.0;
 /// Seconds without news after which half of the margin is forgotten: an overload lasts longer, and
 /// so does a caller's patience.
-const MARGIN_HALF_LIFE: f64 = 5.0;
+const MARGIN_HALF_LIFE_S: f64 = 5.0;
 /// Share of the allowed output that is expected before any answer was seen.
-const OUTPUT_GUESS: f64 = 0.5;
+const INITIAL_OUTPUT_SHARE: f64 = 0.5;
 /// Predictions below this many seconds aren't judged: scheduling noise, not a wrong model.
-const SHORTEST_JUDGED: f64 = 0.02;
+const MIN_EVALUATED_S: f64 = 0.02;
 
 /// Prefill speed of one life of one engine.
 #[derive(Debug, Clone)]
-pub(super) struct Speed {
-    samples: Window<SAMPLES>,
-    of_samples: Option<f64>,
+pub(super) struct PrefillSpeed {
+    samples: Window<SPEED_SAMPLES>,
+    sample_rate: Option<f64>,
     throughput: Option<Throughput>,
     /// The highest speed that other instances have learned of late.
-    pub(super) peers: Option<f64>,
-    sampled: f64,
+    pub(super) peer_rate: Option<f64>,
+    last_sample_at: f64,
     is_stale: bool,
 }
 
@@ -72,14 +72,14 @@
     at: f64,
 }
 
-impl Speed {
-    pub(super) fn unknown() -> Speed {
-        Speed {
+impl PrefillSpeed {
+    pub(super) fn unknown() -> PrefillSpeed {
+        PrefillSpeed {
             samples: Window::new(),
-            of_samples: None,
+            sample_rate: None,
             throughput: None,
-            peers: None,
-            sampled: 0.0,
+            peer_rate: None,
+            last_sample_at: 0.0,
             is_stale: true,
         }
     }
@@ -89,10 +89,10 @@
         if tokens < 1.0 || seconds <= 0.0 {
             return;
         }
-        self.sampled = now;
+        self.last_sample_at = now;
         self.is_stale = false;
         self.samples.push(tokens / seconds);
-        self.of_samples = self.samples.quantile(QUANTILE);
+        self.sample_rate = self.samples.quantile(SPEED_QUANTILE);
     }
 
     /// Takes note that all instances together had `tokens` prefilled in `seconds` up to `now`,
@@ -104,8 +104,8 @@
     /// Drops a throughput that is too old to count beside the samples, and notes when the samples
     /// themselves are old.
     pub(super) fn age(&mut self, now: f64) {
-        self.is_stale = now - self.sampled > SAMPLES_FOR;
-        if self.throughput.is_some_and(|throughput| now - throughput.at > THROUGHPUT_FOR) {
+        self.is_stale = now - self.last_sample_at > SAMPLE_MAX_AGE_S;
+        if self.throughput.is_some_and(|throughput| now - throughput.at > THROUGHPUT_MAX_AGE_S) {
             self.throughput = None;
         }
     }
@@ -114,71 +114,71 @@
     /// highest measure counts, as all err low: an instance that learned a speed far too low admits
     /// nothing, and so would never learn better by itself.
     pub(super) fn rate(&self) -> Option<f64> {
-        let peers = self.peers.filter(|_| self.is_stale);
-        self.own().into_iter().chain(peers).max_by(f64::total_cmp)
+        let peers = self.peer_rate.filter(|_| self.is_stale);
+        self.own_rate().into_iter().chain(peers).max_by(f64::total_cmp)
     }
 
     /// Tokens a second as seen here; what is told to others, lest they echo one another.
-    pub(super) fn own(&self) -> Option<f64> {
+    pub(super) fn own_rate(&self) -> Option<f64> {
         let throughput = self.throughput.map(|throughput| throughput.rate);
-        self.of_samples.into_iter().chain(throughput).max_by(f64::total_cmp)
+        self.sample_rate.into_iter().chain(throughput).max_by(f64::total_cmp)
     }
 }
 
 /// How far predictions are off.
 #[derive(Debug, Clone)]
-pub(super) struct Margin {
-    ratios: Window<ERRORS>,
+pub(super) struct PredictionMargin {
+    ratios: Window<ERROR_SAMPLES>,
     factor: f64,
     updated: f64,
 }
 
-impl Margin {
-    pub(super) fn new() -> Margin {
-        Margin { ratios: Window::new(), factor: 1.0, updated: 0.0 }
+impl PredictionMargin {
+    pub(super) fn new() -> PredictionMargin {
+        PredictionMargin { ratios: Window::new(), factor: 1.0, updated: 0.0 }
     }
 
     /// Takes note at `now` of one prediction and what became of it, in seconds.
     pub(super) fn observe(&mut self, predicted: f64, actual: f64, now: f64) {
-        if actual < SHORTEST_JUDGED {
+        if actual < MIN_EVALUATED_S {
             return;
         }
         self.updated = now;
-        self.ratios.push(actual / predicted.max(SHORTEST_JUDGED));
+        self.ratios.push(actual / predicted.max(MIN_EVALUATED_S));
         let quantile = self.ratios.quantile(ERROR_QUANTILE).unwrap_or(1.0);
-        self.factor = quantile.clamp(*MARGIN.start(), *MARGIN.end());
+        self.factor = quantile.clamp(*MARGIN_RANGE.start(), *MARGIN_RANGE.end());
     }
 
     /// What a prediction is multiplied by before it becomes a promise. Without news it returns to
     /// one: a margin that lets nothing in would otherwise never hear that it is wrong.
     pub(super) fn factor(&self, now: f64) -> f64 {
         let age = (now - self.updated).max(0.0);
-        1.0 + (self.factor - 1.0) * (-age / MARGIN_HALF_LIFE).exp2()
+        1.0 + (self.factor - 1.0) * (-age / MARGIN_HALF_LIFE_S).exp2()
     }
 }
 
 /// How far one workspace's waits for its turn are off: a quantile that follows each ratio by a small
 /// step, because a window for each of thousands of workspaces would cost too much memory.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct TurnMargin(f32);
+pub(super) struct QueueWaitMargin(f32);
 
 /// The step of [`TurnMargin`]: a workspace that starts to overrun its share is met by a doubled
 /// margin after about ten waits.
-const TURN_STEP: f64 = 0.1;
+const QUEUE_WAIT_MARGIN_STEP: f64 = 0.1;
 
-impl Default for TurnMargin {
+impl Default for QueueWaitMargin {
     fn default() -> Self {
-        TurnMargin(1.0)
+        QueueWaitMargin(1.0)
     }
 }
 
-impl TurnMargin {
+impl QueueWaitMargin {
     /// Takes note of a ratio of actual to predicted wait.
     pub(super) fn observe(&mut self, ratio: f64) {
         let above = ratio > f64::from(self.0);
         let step = if above { ERROR_QUANTILE } else { ERROR_QUANTILE - 1.0 };
-        let next = f64::from(self.0) + TURN_STEP * step;
-        self.0 = next.clamp(*MARGIN.start(), *MARGIN.end()) as f32;
+        let next = f64::from(self.0) + QUEUE_WAIT_MARGIN_STEP * step;
+        self.0 = next.clamp(*MARGIN_RANGE.start(), *MARGIN_RANGE.end()) as f32;
     }
 
     /// What a wait is multiplied by before it becomes a promise.
@@ -190,14 +190,14 @@
 /// What a short prompt loses on an engine that prefills a long one: the chunk under way isn't
 /// interrupted, and its length is the engine's own affair.
 #[derive(Debug, Clone)]
-pub(super) struct BesideLongs {
-    excess: Window<ERRORS>,
+pub(super) struct LongPrefillDelay {
+    excess: Window<ERROR_SAMPLES>,
     seconds: f64,
 }
 
-impl BesideLongs {
-    pub(super) fn new() -> BesideLongs {
-        BesideLongs { excess: Window::new(), seconds: 0.0 }
+impl LongPrefillDelay {
+    pub(super) fn new() -> LongPrefillDelay {
+        LongPrefillDelay { excess: Window::new(), seconds: 0.0 }
     }
 
     /// Takes note of a first token that took `actual` instead of `expected` seconds.
@@ -214,20 +214,20 @@
 
 /// How long answers take once their first token is out.
 #[derive(Debug, Clone)]
-pub(super) struct Decode {
-    rates: Window<SAMPLES>,
-    shares: Window<ERRORS>,
+pub(super) struct DecodeModel {
+    rates: Window<SPEED_SAMPLES>,
+    shares: Window<ERROR_SAMPLES>,
     rate: f64,
     share: f64,
 }
 
-impl Decode {
-    pub(super) fn new() -> Decode {
-        Decode {
+impl DecodeModel {
+    pub(super) fn new() -> DecodeModel {
+        DecodeModel {
             rates: Window::new(),
             shares: Window::new(),
-            rate: DECODE_GUESS,
-            share: OUTPUT_GUESS,
+            rate: INITIAL_DECODE_RATE,
+            share: INITIAL_OUTPUT_SHARE,
         }
     }
 
@@ -235,10 +235,10 @@
     /// first token.
     pub(super) fn observe(&mut self, output: f64, allowed: f64, seconds: f64) {
         self.shares.push((output / allowed.max(1.0)).min(1.0));
-        self.share = self.shares.quantile(ERROR_QUANTILE).unwrap_or(OUTPUT_GUESS);
+        self.share = self.shares.quantile(ERROR_QUANTILE).unwrap_or(INITIAL_OUTPUT_SHARE);
         if output > 1.0 && seconds > 0.0 {
             self.rates.push(output / seconds);
-            self.rate = self.rates.quantile(0.5).unwrap_or(DECODE_GUESS);
+            self.rate = self.rates.quantile(0.5).unwrap_or(INITIAL_DECODE_RATE);
         }
     }
 
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -7,19 +7,19 @@
 
 mod admit;
 mod answers;
-mod class;
+mod band;
 mod dispatch;
 mod endpoint;
 mod failover;
 mod fleet;
+mod fleet_refresh;
 mod learn;
-mod longs;
-mod overview;
-mod pace;
+mod open_engines;
 mod peers;
 mod queue;
 mod request;
 mod reserve;
+mod short_rate_limit;
 mod shortlist;
 mod window;
 mod workspaces;
@@ -40,38 +40,38 @@
     retry::Budgets,
 };
 
-use class::Bands;
-use endpoint::ByBand;
+use band::BandLimits;
+use endpoint::PerBand;
 use fleet::Fleet;
-use learn::{BesideLongs, Decode, Margin};
-use longs::OpenEngines;
-use pace::ShortPace;
+use learn::{DecodeModel, LongPrefillDelay, PredictionMargin};
+use open_engines::OpenEngines;
 use peers::Peers;
-use queue::Lane;
-use request::{Due, Entry, State};
-use reserve::Plan;
-use shortlist::Holders;
-use window::Decayed;
-use workspaces::{HALF_LIFE, LANES, Workspaces};
+use queue::FairQueue;
+use request::{RequestEntry, RequestState, RequestTimer};
+use reserve::ReservationPlan;
+use short_rate_limit::ShortRateLimiter;
+use shortlist::PrefixHolders;
+use window::DecayedRate;
+use workspaces::{QUEUE_COUNT, TRAFFIC_HALF_LIFE_S, Workspaces};
 
 /// How often what waits is looked at even if nothing happens: modelled progress frees budget
 /// without an event, and a lost event must not strand anybody. A hundredth of a second is a tenth
 /// of the shortest budget.
-const TICK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Half-life in seconds of the measured demand: a few long prompts' worth of time.
-const DEMAND_HALF_LIFE: f64 = 20.0;
+const DEMAND_HALF_LIFE_S: f64 = 20.0;
 /// Weighted tokens a second below which a workspace isn't told to the other instances.
-const LEAST_TOLD: f64 = 1.0;
+const MIN_REPORTED_TOKENS_PER_S: f64 = 1.0;
 /// The most workspaces told in one digest, busiest first, so that digests stay within the
 /// instances' budget for talk among themselves.
-const MOST_TOLD: usize = 64;
+const MAX_REPORTED_WORKSPACES: usize = 64;
 
 /// What a second of a long prompt's first token weighs against a second of a short one's, where a
 /// site weighs both alike. A second more is a small part of the one and many times the other; this
 /// balance is measured in `docs/decisions/long-beside-short.md`.
-const LONG_WEIGHT: f64 = 0.4;
+const LONG_FIRST_TOKEN_FACTOR: f64 = 0.4;
 /// Seconds between two judgements of the endpoints' health.
-const ASSESS_EVERY: f64 = 1.0;
+const HEALTH_INTERVAL_S: f64 = 1.0;
 
 #[derive(Debug, Default)]
 struct Rules {
@@ -89,29 +89,29 @@
     rules: Rules,
     fleet: Fleet,
     workspaces: Workspaces,
-    lanes: [Lane; LANES],
+    queues: [FairQueue; QUEUE_COUNT],
     /// Requests that wait in lanes.
     waiting: usize,
-    requests: IndexMap<RequestId, Entry>,
-    due: BTreeSet<Due>,
-    later: BTreeSet<Due>,
+    requests: IndexMap<RequestId, RequestEntry>,
+    expiries: BTreeSet<RequestTimer>,
+    backoffs: BTreeSet<RequestTimer>,
     decisions: Vec<Decision>,
-    plan: Option<Plan>,
+    plan: Option<ReservationPlan>,
     peers: Peers,
-    margins: [Margin; LANES],
-    decode: Decode,
-    beside_longs: BesideLongs,
-    demand: [Decayed; BANDS],
+    margins: [PredictionMargin; QUEUE_COUNT],
+    decode: DecodeModel,
+    long_prefill_delay: LongPrefillDelay,
+    demand: [DecayedRate; BANDS],
     open_engines: OpenEngines,
-    bands: Bands,
+    band_limits: BandLimits,
     health: Health,
-    assessed: f64,
+    health_assessed_at: f64,
     /// Ejected endpoints whose probe is due.
     probes: Vec<EndpointId>,
     cache: CacheIndex,
-    holders: Holders,
+    prefix_holders: PrefixHolders,
     budgets: Budgets,
-    pace: ShortPace,
+    short_limiter: ShortRateLimiter,
     /// Long prompts of this instance without a first token.
     long_prefills: IndexSet<RequestId>,
     /// Prefill speed that short prompts can count on.
@@ -121,17 +121,17 @@
     quarantine: Quarantine,
     last_trial: f64,
     /// Requests admitted before any speed was measured.
-    assumed: IndexSet<RequestId>,
+    unmeasured_requests: IndexSet<RequestId>,
     /// The last of them that was started.
-    trying: Option<RequestId>,
+    unmeasured_trial: Option<RequestId>,
     /// Prompt tokens a second of all instances, by band.
-    total_demand: ByBand,
+    total_demand: PerBand,
     /// Prefill speed of the engines open to long prompts and with memory for them.
     long_rate: f64,
     /// Prefill on the engines that goes before a prompt of each band, and the least on any one in
     /// seconds.
-    inflight: ByBand,
-    least_wait: ByBand,
+    inflight: PerBand,
+    least_wait: PerBand,
 }
 
 /// Bytes that the scheduler keeps for one of each, without names and without what is queued.
@@ -151,7 +151,7 @@
         Sizes {
             endpoint: endpoint::Endpoint::bytes(),
             workspace: size_of::<workspaces::WorkspaceState>(),
-            request: size_of::<Entry>(),
+            request: size_of::<RequestEntry>(),
         }
     }
 
@@ -165,63 +165,63 @@
             rules: Rules::default(),
             fleet: Fleet::new(),
             workspaces: Workspaces::default(),
-            lanes: Default::default(),
+            queues: Default::default(),
             waiting: 0,
             requests: IndexMap::new(),
-            due: BTreeSet::new(),
-            later: BTreeSet::new(),
+            expiries: BTreeSet::new(),
+            backoffs: BTreeSet::new(),
             decisions: Vec::new(),
             plan: None,
             peers: Peers::default(),
-            margins: std::array::from_fn(|_| Margin::new()),
-            decode: Decode::new(),
-            beside_longs: BesideLongs::new(),
+            margins: std::array::from_fn(|_| PredictionMargin::new()),
+            decode: DecodeModel::new(),
+            long_prefill_delay: LongPrefillDelay::new(),
             demand: Default::default(),
             open_engines: OpenEngines::new(),
-            bands: Bands::new(),
+            band_limits: BandLimits::new(),
             health: Health::new(),
-            assessed: f64::NEG_INFINITY,
+            health_assessed_at: f64::NEG_INFINITY,
             probes: Vec::new(),
             cache: CacheIndex::new(),
-            holders: Holders::default(),
-            pace: ShortPace::default(),
+            prefix_holders: PrefixHolders::default(),
+            short_limiter: ShortRateLimiter::default(),
             long_prefills: IndexSet::new(),
             short_rate: 0.0,
             unreported_work: 0.0,
             budgets: Budgets::new(Limits::default().retry_share),
             quarantine: Quarantine::new(),
             last_trial: f64::NEG_INFINITY,
-            assumed: IndexSet::new(),
-            trying: None,
-            total_demand: ByBand::default(),
+            unmeasured_requests: IndexSet::new(),
+            unmeasured_trial: None,
+            total_demand: PerBand::default(),
             long_rate: 0.0,
-            inflight: ByBand::default(),
-            least_wait: ByBand::default(),
+            inflight: PerBand::default(),
+            least_wait: PerBand::default(),
         }
     }
 
     /// Fails what is past its bound or deadline.
     fn expire(&mut self, now: Time) {
-        while let Some(due) = self.due.first().copied().filter(|due| due.at <= now) {
-            self.due.remove(&due);
-            let Some(entry) = self.requests.get_mut(&due.request) else { continue };
+        while let Some(timer) = self.expiries.first().copied().filter(|timer| timer.at <= now) {
+            self.expiries.remove(&timer);
+            let Some(entry) = self.requests.get_mut(&timer.request) else { continue };
             let past_deadline = entry.req.deadline <= now;
-            if past_deadline || matches!(entry.state, State::Waiting) {
-                self.fail(due.request, FailCause::Deadline, now);
+            if past_deadline || matches!(entry.state, RequestState::Waiting) {
+                self.fail(timer.request, FailCause::Deadline, now);
                 continue;
             }
             // It backs off; its deadline is what counts until it waits again.
-            entry.due = entry.req.deadline;
-            self.due.insert(Due { at: entry.due, ..due });
+            entry.expires_at = entry.req.deadline;
+            self.expiries.insert(RequestTimer { at: entry.expires_at, ..timer });
         }
     }
 
     /// Takes over what another instance told.
-    fn peer_told(&mut self, digest: LoadDigest, now: Time) {
+    fn apply_peer_digest(&mut self, digest: LoadDigest, now: Time) {
         if digest.instance == self.instance || !self.peers.is_new(&digest) {
             return;
         }
-        self.fleet.peer(&digest, now);
+        self.fleet.apply_peer_digest(&digest, now);
         self.quarantine.import(&digest.suspicions, now);
         for endpoint in &digest.suspects_at {
             self.quarantine.heard_running(endpoint, now);
@@ -234,9 +234,9 @@
         if known.is_some_and(|known| change.incarnation > known) {
             self.health.reset(&change.endpoint);
         }
-        self.fleet.change(change, now);
+        self.fleet.apply_change(change, now);
         self.health.configure(self.fleet.endpoints.keys());
-        self.look_at_fleet(now);
+        self.refresh_fleet(now);
     }
 
     fn drop_stale_peers(&mut self, now: Time) {
@@ -246,25 +246,27 @@
     }
 
     fn peer_gone(&mut self, instance: &InstanceId, incarnation: Incarnation) {
-        if self.peers.gone(instance, incarnation, &mut self.workspaces) {
-            self.fleet.peer_gone(instance);
+        if self.peers.remove(instance, incarnation, &mut self.workspaces) {
+            self.fleet.remove_peer(instance);
         }
     }
 
-    fn told_workspaces(&self, now: Time) -> Vec<WorkspaceShare> {
+    fn workspace_shares(&self, now: Time) -> Vec<WorkspaceShare> {
         let share = |state: &workspaces::WorkspaceState| WorkspaceShare {
             workspace: state.name.clone(),
             waiting: Tokens(state.waiting() as u64),
-            served: TokenRate(state.served.rate(seconds(now), HALF_LIFE)),
+            served: TokenRate(state.served.rate(seconds(now), TRAFFIC_HALF_LIFE_S)),
         };
         let mut shares: Vec<WorkspaceShare> = self
             .workspaces
             .iter()
             .map(|(_, state)| share(state))
-            .filter(|share| share.waiting > Tokens::ZERO || share.served.0 >= LEAST_TOLD)
+            .filter(|share| {
+                share.waiting > Tokens::ZERO || share.served.0 >= MIN_REPORTED_TOKENS_PER_S
+            })
             .collect();
         shares.sort_by(|a, b| b.served.0.total_cmp(&a.served.0));
-        shares.truncate(MOST_TOLD);
+        shares.truncate(MAX_REPORTED_WORKSPACES);
         shares
     }
 }
@@ -278,44 +280,45 @@
         now: Time,
     ) {
         let weights = Weights {
-            long_first_token: rules.weights.long_first_token * LONG_WEIGHT,
+            long_first_token: rules.weights.long_first_token * LONG_FIRST_TOKEN_FACTOR,
             ..rules.weights
         };
         self.rules = Rules { weights, limits: rules.limits.clone() };
         self.workspaces.configure(workspaces, seconds(now));
-        for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            let waiting = |state: &workspaces::WorkspaceState| state.lines[lane].first().is_some();
+        for (index, queue) in self.queues.iter_mut().enumerate() {
+            let waiting =
+                |state: &workspaces::WorkspaceState| state.queues[index].first().is_some();
             let all = self.workspaces.iter().filter(|(_, state)| waiting(state));
             queue.set_weights(all.map(|(_, state)| state.weight).sum());
         }
-        for gone in self.fleet.replace(endpoints, now) {
-            self.cache.forget(&gone);
+        for removed in self.fleet.replace(endpoints, now) {
+            self.cache.forget(&removed);
         }
         self.health.configure(self.fleet.endpoints.keys());
         self.budgets.configure(rules.limits.retry_share);
-        self.look_at_fleet(now);
+        self.refresh_fleet(now);
     }
 
     fn offer(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
-        if self.fleet.is_due(now) {
-            self.look_at_fleet(now);
+        if self.fleet.is_refresh_due(now) {
+            self.refresh_fleet(now);
         }
         self.admit(req, now)
     }
 
     fn poll(&mut self, now: Time) -> Vec<Decision> {
-        if self.fleet.is_due(now) {
+        if self.fleet.is_refresh_due(now) {
             self.drop_stale_peers(now);
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         }
-        self.confirm_assumed(now);
+        self.recheck_unmeasured(now);
         self.expire(now);
         self.end_backoffs(now);
-        self.dispatch_spread(now);
-        let spread = self.lanes[workspaces::SPREAD].tokens();
+        self.dispatch_multi_engine(now);
+        let spread = self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens();
         self.dispatch(now);
-        if self.lanes[workspaces::SPREAD].tokens() > spread {
-            self.dispatch_spread(now);
+        if self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens() > spread {
+            self.dispatch_multi_engine(now);
         }
         std::mem::take(&mut self.decisions)
     }
@@ -324,10 +327,10 @@
         if !self.decisions.is_empty() {
             return Some(now);
         }
-        let tick = (self.waiting > 0).then(|| now + TICK);
-        let due = self.due.first().map(|due| due.at);
-        let later = self.later.first().map(|due| due.at);
-        [tick, due, later].into_iter().flatten().min()
+        let poll = (self.waiting > 0).then(|| now + POLL_INTERVAL);
+        let expiry = self.expiries.first().map(|timer| timer.at);
+        let backoff = self.backoffs.first().map(|timer| timer.at);
+        [poll, expiry, backoff].into_iter().flatten().min()
     }
 
     fn observe(&mut self, event: Event, now: Time) {
@@ -340,9 +343,9 @@
             Event::AttemptFailed { request, attempt, cause, passed_on } => {
                 self.attempt_failed(request, attempt, cause, passed_on, now);
             }
-            Event::Load(report) => self.fleet.report(&report, now),
+            Event::Load(report) => self.fleet.apply_report(&report, now),
             Event::Cache(events) => self.cache.apply(&events),
-            Event::Peer(digest) => self.peer_told(digest, now),
+            Event::Peer(digest) => self.apply_peer_digest(digest, now),
             Event::PeerGone { instance, incarnation } => self.peer_gone(&instance, incarnation),
             Event::Endpoint(change) => self.endpoint_changed(&change, now),
             Event::Probe { endpoint, healthy } => self.probed(&endpoint, healthy, now),
@@ -352,9 +355,9 @@
     fn digest(&mut self, now: Time) -> LoadDigest {
         self.sequence += 1;
         self.fleet.advance(now);
-        let shares = self.fleet.endpoints.values().filter(|e| e.is_told());
-        let mut queued = std::array::from_fn(|band| Tokens(self.lanes[band].tokens() as u64));
-        queued[BANDS - 1] += Tokens(self.lanes[workspaces::SPREAD].tokens() as u64);
+        let shares = self.fleet.endpoints.values().filter(|e| e.has_load_to_report());
+        let mut queued = std::array::from_fn(|band| Tokens(self.queues[band].tokens() as u64));
+        queued[BANDS - 1] += Tokens(self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens() as u64);
         let mut suspicions = self.quarantine.export(now);
         suspicions.truncate(LoadDigest::MAX_ENTRIES);
         LoadDigest {
@@ -362,13 +365,13 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             endpoints: shares.map(endpoint::Endpoint::share).collect(),
-            workspaces: self.told_workspaces(now),
+            workspaces: self.workspace_shares(now),
             queued,
             demand: std::array::from_fn(|band| {
-                TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE))
+                TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE_S))
             }),
-            wishes: self.wishes(now),
-            longs_late: self.longs_late(now),
+            wishes: self.pending_reservations(now),
+            longs_late: self.has_late_long_prompt(now),
             suspicions,
             suspects_at: self.quarantine.running().take(LoadDigest::MAX_ENTRIES).cloned().collect(),
         }
--- a/crates/policy/src/adaptive/longs.rs
+++ b/crates/policy/src/adaptive/open_engines.rs
@@ -22,20 +22,20 @@
 use crate::config::Weights;
 
 /// Share by which another number of engines has to lower the cost.
-const WORTH: f64 = 0.1;
+const MIN_COST_REDUCTION: f64 = 0.1;
 /// Seconds for which fewer engines have to be the better choice before one is closed: about the
 /// prefill of one long prompt, so that a gap between two of them closes nothing.
-const CLOSE_AFTER: f64 = 10.0;
+const CLOSE_DELAY_S: f64 = 10.0;
 /// Load to which short prompts fill the engines closed to long ones before they go to the others.
-const FILLED: f64 = 0.8;
+const FULL_LOAD: f64 = 0.8;
 /// Load per engine that the wait is computed with at most, so that costs stay finite.
-const MOST_LOAD: f64 = 0.98;
+const MAX_LOAD: f64 = 0.98;
 
 /// Load in units of one engine's full prefill speed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Demand {
-    pub(super) shorts: f64,
-    pub(super) longs: f64,
+    pub(super) short: f64,
+    pub(super) long: f64,
 }
 
 /// The number of engines that are open to long prompts.
@@ -64,13 +64,14 @@
         self.open = self.open.clamp(1, engines);
         let best = cheapest(engines, demand, weights);
         let present = cost(self.open, engines, demand, weights);
-        let worthwhile = cost(best, engines, demand, weights) < present * (1.0 - WORTH);
+        let worthwhile =
+            cost(best, engines, demand, weights) < present * (1.0 - MIN_COST_REDUCTION);
         if best > self.open && worthwhile {
             self.open = best;
             self.fewer_since = None;
         } else if best < self.open && worthwhile {
             let since = *self.fewer_since.get_or_insert(now);
-            if now - since >= CLOSE_AFTER {
+            if now - since >= CLOSE_DELAY_S {
                 self.open = best;
                 self.fewer_since = None;
             }
@@ -84,10 +85,10 @@
 /// The cost of opening `open` of `engines`.
 pub(super) fn cost(open: usize, engines: usize, demand: Demand, weights: &Weights) -> f64 {
     let closed = (engines - open) as f64;
-    let spilled = (demand.shorts - FILLED * closed).max(0.0) / open as f64;
-    let longs = demand.longs / (1.0 - spilled.min(MOST_LOAD));
-    weights.long_first_token * wait(open, longs)
-        + weights.short_slowdown * harm(open, engines, demand.shorts)
+    let spilled = (demand.short - FULL_LOAD * closed).max(0.0) / open as f64;
+    let long = demand.long / (1.0 - spilled.min(MAX_LOAD));
+    weights.long_first_token * long_wait(open, long)
+        + weights.short_slowdown * short_slowdown(open, engines, demand.short)
 }
 
 fn cheapest(engines: usize, demand: Demand, weights: &Weights) -> usize {
@@ -99,16 +100,16 @@
 }
 
 /// Wait of a long prompt relative to its own prefill, before `open` engines.
-fn wait(open: usize, longs: f64) -> f64 {
+fn long_wait(open: usize, long: f64) -> f64 {
     let servers = open as f64;
-    let load = longs / servers;
-    let overload = (load - MOST_LOAD).max(0.0) * 100.0;
-    let load = load.min(MOST_LOAD);
+    let load = long / servers;
+    let overload = (load - MAX_LOAD).max(0.0) * 100.0;
+    let load = load.min(MAX_LOAD);
     load.powf((2.0 * (servers + 1.0)).sqrt() - 1.0) / (servers * (1.0 - load)) + overload
 }
 
-fn harm(open: usize, engines: usize, shorts: f64) -> f64 {
+fn short_slowdown(open: usize, engines: usize, short: f64) -> f64 {
     let closed = (engines - open) as f64;
-    let filled = if closed > 0.0 { (shorts / closed).min(1.0) } else { shorts.min(1.0) };
+    let filled = if closed > 0.0 { (short / closed).min(1.0) } else { short.min(1.0) };
     filled * open as f64 / engines as f64
 }
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -20,7 +20,7 @@
 
 use crate::{Incarnation, InstanceId, LoadDigest, PendingReservation, Time};
 
-use super::{endpoint::ByBand, workspaces::Workspaces};
+use super::{endpoint::PerBand, workspaces::Workspaces};
 
 /// The age at which a digest no longer counts: many digest intervals, and above membership's lag.
 const STALE_AFTER: Duration = Duration::from_secs(10);
@@ -28,72 +28,77 @@
 /// The other instances' digests.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    views: IndexMap<InstanceId, View>,
-    pub(super) queued: ByBand,
-    pub(super) demand: ByBand,
+    digests: IndexMap<InstanceId, ReceivedDigest>,
+    pub(super) queued: PerBand,
+    pub(super) demand: PerBand,
     /// Whether a long prompt of another instance is starved.
-    pub(super) longs_late: bool,
+    pub(super) has_late_long_prompt: bool,
 }
 
 #[derive(Debug)]
-struct View {
-    received: Time,
+struct ReceivedDigest {
+    at: Time,
     digest: LoadDigest,
 }
 
 /// Another instance's wish for several engines.
 #[derive(Debug)]
-pub(super) struct PeerWish<'a> {
+pub(super) struct PeerReservation<'a> {
     pub(super) instance: &'a InstanceId,
     pub(super) waited: Duration,
-    pub(super) wish: &'a PendingReservation,
+    pub(super) reservation: &'a PendingReservation,
 }
 
 impl Peers {
     /// Instances in all, this one included.
     pub(super) fn instances(&self) -> usize {
-        self.views.len() + 1
+        self.digests.len() + 1
     }
 
     /// How old the oldest view of another instance is.
     pub(super) fn age(&self, now: Time) -> Duration {
-        self.views.values().map(|view| now.since(view.received)).max().unwrap_or_default()
+        self.digests.values().map(|received| now.since(received.at)).max().unwrap_or_default()
     }
 
     /// This instance's place among all in the order of their names.
     pub(super) fn rank(&self, own: &InstanceId) -> usize {
-        self.views.keys().filter(|instance| *instance < own).count()
+        self.digests.keys().filter(|instance| *instance < own).count()
     }
 
     /// Whether `digest` is news.
     pub(super) fn is_new(&self, digest: &LoadDigest) -> bool {
-        self.views.get(&digest.instance).is_none_or(|view| {
-            (digest.incarnation, digest.sequence) > (view.digest.incarnation, view.digest.sequence)
+        self.digests.get(&digest.instance).is_none_or(|received| {
+            (digest.incarnation, digest.sequence)
+                > (received.digest.incarnation, received.digest.sequence)
         })
     }
 
     /// Takes over a digest that is news.
     pub(super) fn accept(&mut self, digest: LoadDigest, workspaces: &mut Workspaces, now: Time) {
         let instance = digest.instance.clone();
-        if let Some(old) = self.views.swap_remove(&instance) {
+        if let Some(old) = self.digests.swap_remove(&instance) {
             count_workspaces(&old.digest, workspaces, -1.0);
         }
         count_workspaces(&digest, workspaces, 1.0);
-        self.views.insert(instance, View { received: now, digest });
+        self.digests.insert(instance, ReceivedDigest { at: now, digest });
         self.sum();
     }
 
     /// Forgets an instance's life; true where it was known.
-    pub(super) fn gone(
+    pub(super) fn remove(
         &mut self,
         instance: &InstanceId,
         incarnation: Incarnation,
         workspaces: &mut Workspaces,
     ) -> bool {
-        if self.views.get(instance).is_none_or(|view| view.digest.incarnation > incarnation) {
+        if self
+            .digests
+            .get(instance)
+            .is_none_or(|received| received.digest.incarnation > incarnation)
+        {
             return false;
         }
-        if let Some(old) = self.views.swap_remove(instance) {
+        if let Some(old) = self.digests.swap_remove(instance) {
             count_workspaces(&old.digest, workspaces, -1.0);
         }
         self.sum();
@@ -102,31 +107,35 @@
 
     /// Instances whose digest is too old to count.
     pub(super) fn stale(&self, now: Time) -> Vec<(InstanceId, Incarnation)> {
-        self.views
+        self.digests
             .iter()
-            .filter(|(_, view)| now.since(view.received) > STALE_AFTER)
-            .map(|(instance, view)| (instance.clone(), view.digest.incarnation))
+            .filter(|(_, received)| now.since(received.at) > STALE_AFTER)
+            .map(|(instance, received)| (instance.clone(), received.digest.incarnation))
             .collect()
     }
 
     /// The wish that each instance has put first.
-    pub(super) fn wishes(&self, now: Time) -> impl Iterator<Item = PeerWish<'_>> {
-        self.views.iter().filter_map(move |(instance, view)| {
-            let wish = view.digest.wishes.first()?;
-            let waited = wish.waited + now.since(view.received);
-            Some(PeerWish { instance, waited, wish })
+    pub(super) fn pending_reservations(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = PeerReservation<'_>> {
+        self.digests.iter().filter_map(move |(instance, received)| {
+            let reservation = received.digest.wishes.first()?;
+            let waited = reservation.waited + now.since(received.at);
+            Some(PeerReservation { instance, waited, reservation })
         })
     }
 
     fn sum(&mut self) {
-        self.queued = ByBand::default();
-        self.demand = ByBand::default();
-        self.longs_late = self.views.values().any(|view| view.digest.longs_late);
-        for view in self.views.values() {
-            for (sum, tokens) in self.queued.iter_mut().zip(view.digest.queued) {
+        self.queued = PerBand::default();
+        self.demand = PerBand::default();
+        self.has_late_long_prompt =
+            self.digests.values().any(|received| received.digest.longs_late);
+        for received in self.digests.values() {
+            for (sum, tokens) in self.queued.iter_mut().zip(received.digest.queued) {
                 *sum += tokens.0 as f64;
             }
-            for (sum, rate) in self.demand.iter_mut().zip(view.digest.demand) {
+            for (sum, rate) in self.demand.iter_mut().zip(received.digest.demand) {
                 *sum += rate.0;
             }
         }
--- a/crates/policy/src/adaptive/queue.rs
+++ b/crates/policy/src/adaptive/queue.rs
@@ -20,10 +20,10 @@
 
 use crate::{RequestId, Time};
 
-use super::{learn::TurnMargin, window::Decayed};
+use super::{learn::QueueWaitMargin, window::DecayedRate};
 
 /// Tags count in thousandths of a weighted token, so that large weights still tell apart.
-const TAG_UNIT: f64 = 1000.0;
+const TAG_UNITS_PER_TOKEN: f64 = 1000.0;
 
 /// A workspace by its place in the table of workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,24 +40,24 @@
 
 /// One workspace's part of one lane.
 #[derive(Debug, Default)]
-pub(super) struct Line {
-    tag: u64,
-    queue: BTreeSet<Waiting>,
+pub(super) struct WorkspaceQueue {
+    start_tag: u64,
+    requests: BTreeSet<Waiting>,
     /// Prompt tokens that wait.
     tokens: f64,
     /// Prompt tokens admitted of late.
-    pub(super) demand: Decayed,
+    pub(super) demand: DecayedRate,
     /// How far predictions of its waits are off.
-    pub(super) margin: TurnMargin,
+    pub(super) margin: QueueWaitMargin,
 }
 
-impl Line {
+impl WorkspaceQueue {
     pub(super) fn first(&self) -> Option<Waiting> {
-        self.queue.first().copied()
+        self.requests.first().copied()
     }
 
     pub(super) fn last(&self) -> Option<Waiting> {
-        self.queue.last().copied()
+        self.requests.last().copied()
     }
 
     pub(super) fn tokens(&self) -> f64 {
@@ -67,30 +67,30 @@
 
 /// All waiting requests of one band.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
-    active: BTreeSet<Turn>,
-    now: u64,
+pub(super) struct FairQueue {
+    active: BTreeSet<QueuedWorkspace>,
+    virtual_time: u64,
     tokens: f64,
     weights: f64,
     len: usize,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    tag: u64,
+struct QueuedWorkspace {
+    start_tag: u64,
     workspace: WorkspaceIndex,
 }
 
 /// What a queue operation needs to know of its workspace.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Share {
+pub(super) struct WorkspaceWeight {
     /// The workspace.
     pub(super) workspace: WorkspaceIndex,
     /// Its weight.
     pub(super) weight: f64,
 }
 
-impl Lane {
+impl FairQueue {
     /// Prompt tokens that wait.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
@@ -107,14 +107,23 @@
     }
 
     /// Puts a request into its workspace's `line`.
-    pub(super) fn push(&mut self, share: Share, line: &mut Line, waiting: Waiting, tokens: f64) {
-        if line.queue.is_empty() {
-            line.tag = line.tag.max(self.now);
-            self.weights += share.weight;
-            self.active.insert(Turn { tag: line.tag, workspace: share.workspace });
+    pub(super) fn push(
+        &mut self,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
+        waiting: Waiting,
+        tokens: f64,
+    ) {
+        if workspace_queue.requests.is_empty() {
+            workspace_queue.start_tag = workspace_queue.start_tag.max(self.virtual_time);
+            self.weights += owner.weight;
+            self.active.insert(QueuedWorkspace {
+                start_tag: workspace_queue.start_tag,
+                workspace: owner.workspace,
+            });
         }
-        if line.queue.insert(waiting) {
-            line.tokens += tokens;
+        if workspace_queue.requests.insert(waiting) {
+            workspace_queue.tokens += tokens;
             self.tokens += tokens;
             self.len += 1;
         }
@@ -123,21 +132,24 @@
     /// Takes a request out, whether because it starts or because it is given up.
     pub(super) fn remove(
         &mut self,
-        share: Share,
-        line: &mut Line,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
         waiting: Waiting,
         tokens: f64,
     ) -> bool {
-        if !line.queue.remove(&waiting) {
+        if !workspace_queue.requests.remove(&waiting) {
             return false;
         }
-        line.tokens = (line.tokens - tokens).max(0.0);
+        workspace_queue.tokens = (workspace_queue.tokens - tokens).max(0.0);
         self.tokens = (self.tokens - tokens).max(0.0);
         self.len -= 1;
-        if line.queue.is_empty() {
-            line.tokens = 0.0;
-            self.weights = (self.weights - share.weight).max(0.0);
-            self.active.remove(&Turn { tag: line.tag, workspace: share.workspace });
+        if workspace_queue.requests.is_empty() {
+            workspace_queue.tokens = 0.0;
+            self.weights = (self.weights - owner.weight).max(0.0);
+            self.active.remove(&QueuedWorkspace {
+                start_tag: workspace_queue.start_tag,
+                workspace: owner.workspace,
+            });
         }
         if self.len == 0 {
             self.tokens = 0.0;
@@ -147,18 +159,24 @@
     }
 
     /// Counts `cost` weighted tokens as served to a workspace.
-    pub(super) fn charge(&mut self, share: Share, line: &mut Line, cost: f64) {
-        let turn = Turn { tag: line.tag, workspace: share.workspace };
-        let waits = self.active.remove(&turn);
-        self.now = self.now.max(line.tag);
-        line.tag += (cost * TAG_UNIT / share.weight.max(0.001)) as u64;
+    pub(super) fn charge(
+        &mut self,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
+        cost: f64,
+    ) {
+        let queued =
+            QueuedWorkspace { start_tag: workspace_queue.start_tag, workspace: owner.workspace };
+        let waits = self.active.remove(&queued);
+        self.virtual_time = self.virtual_time.max(workspace_queue.start_tag);
+        workspace_queue.start_tag += (cost * TAG_UNITS_PER_TOKEN / owner.weight.max(0.001)) as u64;
         if waits {
-            self.active.insert(Turn { tag: line.tag, ..turn });
+            self.active.insert(QueuedWorkspace { start_tag: workspace_queue.start_tag, ..queued });
         }
     }
 
     /// Workspaces with something waiting, lowest tag first.
-    pub(super) fn turns(&self) -> impl Iterator<Item = WorkspaceIndex> + '_ {
-        self.active.iter().map(|turn| turn.workspace)
+    pub(super) fn workspaces_in_order(&self) -> impl Iterator<Item = WorkspaceIndex> + '_ {
+        self.active.iter().map(|queued| queued.workspace)
     }
 }
--- a/crates/policy/src/adaptive/request.rs
+++ b/crates/policy/src/adaptive/request.rs
@@ -5,19 +5,19 @@
 use crate::{EndpointId, FailCause, Incarnation, RequestId, RequestSpec, Shard, Time, Tokens};
 
 use super::{
-    class::Band,
+    band::Band,
     queue::{Waiting, WorkspaceIndex},
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 /// An admitted request that hasn't ended.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct RequestEntry {
     pub(super) req: Arc<RequestSpec>,
     pub(super) workspace: WorkspaceIndex,
     pub(super) band: Band,
     /// The lane it waits in: its band's, or [`SPREAD`].
-    pub(super) lane: usize,
+    pub(super) queue_index: usize,
     /// Prompt tokens that no engine is expected to have cached.
     pub(super) uncached: f64,
     /// Weighted tokens, for shares.
@@ -25,16 +25,16 @@
     /// By when the next first token has to be out.
     pub(super) bound: Time,
     /// When it has to be looked at even if nothing happens.
-    pub(super) due: Time,
-    pub(super) state: State,
+    pub(super) expires_at: Time,
+    pub(super) state: RequestState,
     /// Attempts so far.
     pub(super) attempts: u32,
     /// Attempts that failed in a way that counts against the bound on attempts.
     pub(super) failures: u32,
     /// Where it isn't sent again.
-    pub(super) tried: Vec<Tried>,
+    pub(super) excluded: Vec<EndpointIncarnation>,
     /// Lives that fell silent once on this request; see [`Entry::note_tried`].
-    pub(super) silent: Vec<Tried>,
+    pub(super) silent_once: Vec<EndpointIncarnation>,
     /// Whether an endpoint may have begun to run it.
     pub(super) may_have_run: bool,
     /// Tokens that the caller has.
@@ -42,37 +42,37 @@
     /// Seconds from arrival to first token, as predicted on admission.
     pub(super) predicted: f64,
     /// The part of it that is the wait for its own workspace's turn.
-    pub(super) own_wait: f64,
-    pub(super) basis: Basis,
+    pub(super) workspace_wait: f64,
+    pub(super) basis: AdmissionBasis,
 }
 
 /// What an admission rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Basis {
+pub(super) enum AdmissionBasis {
     /// A prediction that keeps the bound.
     Prediction,
     /// The prediction said no by speeds that nobody has measured. It waits until they are, or is
     /// the one request that tries them.
-    Assumption,
+    Unmeasured,
     /// The prediction said no by measured speeds, which may be wrong.
     Trial,
 }
 
-impl Basis {
+impl AdmissionBasis {
     /// Whether it goes to an engine although the prediction says no; `is_measured` where any
     /// engine's speed is.
-    pub(super) fn goes_anyway(self, is_measured: bool) -> bool {
+    pub(super) fn overrides_prediction(self, is_measured: bool) -> bool {
         match self {
-            Basis::Prediction => false,
-            Basis::Assumption => !is_measured,
-            Basis::Trial => true,
+            AdmissionBasis::Prediction => false,
+            AdmissionBasis::Unmeasured => !is_measured,
+            AdmissionBasis::Trial => true,
         }
     }
 }
 
 /// What an admitted request is doing.
 #[derive(Debug)]
-pub(super) enum State {
+pub(super) enum RequestState {
     /// It waits in its lane.
     Waiting,
     /// It waits out a backoff.
@@ -83,7 +83,7 @@
 
 /// A life of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Tried {
+pub(super) struct EndpointIncarnation {
     pub(super) endpoint: EndpointId,
     pub(super) incarnation: Incarnation,
 }
@@ -102,13 +102,13 @@
     /// The endpoint's count of short tokens done when it was sent.
     pub(super) short_done: f64,
     /// Whether it is a short prompt that was sent to an engine with a long one.
-    pub(super) beside_longs: bool,
+    pub(super) beside_long: bool,
     /// Prompt tokens that have to be prefilled.
     pub(super) prefill: f64,
     pub(super) first_token: Option<Time>,
 }
 
-impl Entry {
+impl RequestEntry {
     pub(super) fn waiting(&self) -> Waiting {
         Waiting { bound: self.bound, request: self.req.id }
     }
@@ -124,8 +124,8 @@
     /// The attempt under way.
     pub(super) fn attempt(&self) -> Option<&Attempt> {
         match &self.state {
-            State::Running(attempt) => Some(attempt),
-            State::Waiting | State::BackingOff(_) => None,
+            RequestState::Running(attempt) => Some(attempt),
+            RequestState::Waiting | RequestState::BackingOff(_) => None,
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn needs_several(&self) -> bool {
-        self.lane == SPREAD
+        self.queue_index == MULTI_ENGINE_QUEUE
     }
 
     /// Takes note of a life that has had this request, so that it doesn't get it again.
@@ -144,22 +144,25 @@
     /// endpoint works and new connections reach it. At a site with one engine the caller would
     /// otherwise lose an answer that the engine still makes. A second silence does count, so a
     /// request can't go round a silent endpoint.
-    pub(super) fn note_tried(&mut self, tried: Tried, cause: FailCause) {
-        if cause == FailCause::Silent && !self.silent.contains(&tried) {
-            self.silent.push(tried);
+    pub(super) fn exclude(&mut self, incarnation: EndpointIncarnation, cause: FailCause) {
+        if cause == FailCause::Silent && !self.silent_once.contains(&incarnation) {
+            self.silent_once.push(incarnation);
         } else {
-            self.tried.push(tried);
+            self.excluded.push(incarnation);
         }
     }
 
-    pub(super) fn may_go_to(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
-        !self.tried.iter().any(|t| t.endpoint == *endpoint && t.incarnation == incarnation)
+    pub(super) fn may_run_on(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
+        !self
+            .excluded
+            .iter()
+            .any(|other| other.endpoint == *endpoint && other.incarnation == incarnation)
     }
 }
 
 /// A request and a time at which something is to be done about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Due {
+pub(super) struct RequestTimer {
     pub(super) at: Time,
     pub(super) request: RequestId,
 }
--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -28,22 +28,22 @@
 
 use super::{
     AdaptiveScheduler,
-    class::{Band, SHORT_KEEP, USABLE},
-    dispatch::whole,
+    band::{Band, SHORT_MEMORY_SHARE, USABLE_MEMORY_SHARE},
+    dispatch::ceil_tokens,
     endpoint::Endpoint,
-    request::Entry,
-    workspaces::SPREAD,
+    request::RequestEntry,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 /// For room beside what is drained for others, a prompt over several engines counts as long.
-const LONGEST: Band = Band(BANDS as u8 - 1);
+const LONGEST_BAND: Band = Band(BANDS as u8 - 1);
 /// How long a choice of engines that isn't free yet is kept. Long enough to drain by long
 /// prompts' answers; short enough to leave an engine that doesn't come free at all.
-const KEEP_PLAN: Duration = Duration::from_secs(30);
+const MAX_PLAN_AGE: Duration = Duration::from_secs(30);
 
 /// The engines chosen for a prompt.
 #[derive(Debug)]
-pub(super) struct Plan {
+pub(super) struct ReservationPlan {
     pub(super) request: RequestId,
     made: Time,
     parts: Vec<PendingReservationPart>,
@@ -51,41 +51,41 @@
 
 impl AdaptiveScheduler {
     /// Starts the first prompt that needs several engines if it has its room, else drains room.
-    pub(super) fn dispatch_spread(&mut self, now: Time) {
+    pub(super) fn dispatch_multi_engine(&mut self, now: Time) {
         self.clear_drains();
-        self.plan_first(now);
+        self.plan_next(now);
         let planned = self.plan.as_ref().and_then(|plan| self.requests.get(&plan.request));
         let must_wait = planned.is_some_and(|entry| self.must_wait_for_trial(entry));
-        let is_first = !must_wait && self.is_first_wish(now);
-        if !is_first {
+        let goes_first = !must_wait && self.has_waited_longest(now);
+        if !goes_first {
             self.drain_for_peer(now);
         }
         if must_wait {
             return;
         }
         let Some(plan) = &self.plan else { return };
-        let fits = plan.parts.iter().all(|part| self.has_room(part, is_first, now));
+        let fits = plan.parts.iter().all(|part| self.has_room(part, goes_first, now));
         if !fits {
-            if is_first {
+            if goes_first {
                 drain(&mut self.fleet, &plan.parts);
             }
             return;
         }
         let Some(plan) = self.plan.take() else { return };
         let shards: Vec<Shard> = plan.parts.iter().filter_map(|part| self.shard(part)).collect();
-        let prompt = self.requests.get(&plan.request).map_or(0.0, Entry::prompt);
+        let prompt = self.requests.get(&plan.request).map_or(0.0, RequestEntry::prompt);
         let predicted = prompt / self.fleet.typical_rate;
         self.start(plan.request, shards, Tokens::ZERO, predicted, now);
     }
 
     /// This instance's wish, for the others.
-    pub(super) fn wishes(&self, now: Time) -> Vec<PendingReservation> {
-        let wish = |plan: &Plan| {
+    pub(super) fn pending_reservations(&self, now: Time) -> Vec<PendingReservation> {
+        let reservation = |plan: &ReservationPlan| {
             let entry = self.requests.get(&plan.request)?;
             let waited = now.since(entry.req.arrived);
             Some(PendingReservation { waited, parts: plan.parts.clone() })
         };
-        self.plan.iter().filter_map(wish).collect()
+        self.plan.iter().filter_map(reservation).collect()
     }
 
     fn clear_drains(&mut self) {
@@ -95,23 +95,25 @@
     }
 
     /// Chooses engines for the lane's first prompt, unless the present choice still holds.
-    fn plan_first(&mut self, now: Time) {
-        let turn = self.lanes[SPREAD].turns().next();
-        let first = turn.and_then(|turn| self.workspaces.get(turn).lines[SPREAD].first());
+    fn plan_next(&mut self, now: Time) {
+        let workspace = self.queues[MULTI_ENGINE_QUEUE].workspaces_in_order().next();
+        let first = workspace.and_then(|workspace| {
+            self.workspaces.get(workspace).queues[MULTI_ENGINE_QUEUE].first()
+        });
         let Some(first) = first else {
             self.plan = None;
             return;
         };
         let holds = self.plan.as_ref().is_some_and(|plan| {
             plan.request == first.request
-                && now.since(plan.made) < KEEP_PLAN
+                && now.since(plan.made) < MAX_PLAN_AGE
                 && plan.parts.iter().all(|part| self.is_usable(&part.endpoint))
         });
         if holds {
             return;
         }
         let parts = self.choose_parts(first.request);
-        self.plan = parts.map(|parts| Plan { request: first.request, made: now, parts });
+        self.plan = parts.map(|parts| ReservationPlan { request: first.request, made: now, parts });
     }
 
     fn is_usable(&self, endpoint: &EndpointId) -> bool {
@@ -127,18 +129,18 @@
             .endpoints
             .values()
             .filter(|e| e.usable() && e.caution.is_finite() && e.memory > 0.0)
-            .filter(|e| entry.may_go_to(&e.id, e.incarnation))
+            .filter(|e| entry.may_run_on(&e.id, e.incarnation))
             .collect();
-        engines.sort_by(|a, b| b.free_for_drain().total_cmp(&a.free_for_drain()));
+        engines.sort_by(|a, b| b.free_while_draining().total_cmp(&a.free_while_draining()));
         let needed = entry.footprint();
-        let chosen = fewest(&engines, needed, USABLE - SHORT_KEEP)
-            .or_else(|| fewest(&engines, needed, USABLE))?;
+        let chosen = fewest_engines(&engines, needed, USABLE_MEMORY_SHARE - SHORT_MEMORY_SHARE)
+            .or_else(|| fewest_engines(&engines, needed, USABLE_MEMORY_SHARE))?;
         let memory: f64 = chosen.iter().map(|endpoint| endpoint.memory).sum();
         let mut parts: Vec<PendingReservationPart> = chosen
             .iter()
             .map(|endpoint| PendingReservationPart {
                 endpoint: endpoint.id.clone(),
-                tokens: whole(needed * endpoint.memory / memory),
+                tokens: ceil_tokens(needed * endpoint.memory / memory),
             })
             .collect();
         parts.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
@@ -146,23 +148,31 @@
     }
 
     /// Whether no other instance's wish has waited longer than this one's.
-    fn is_first_wish(&self, now: Time) -> bool {
-        let Some(own) = self.wishes(now).first().map(|wish| wish.waited) else { return false };
+    fn has_waited_longest(&self, now: Time) -> bool {
+        let Some(own) =
+            self.pending_reservations(now).first().map(|reservation| reservation.waited)
+        else {
+            return false;
+        };
         self.peers
-            .wishes(now)
+            .pending_reservations(now)
             .all(|peer| own > peer.waited || (own == peer.waited && self.instance < *peer.instance))
     }
 
     fn drain_for_peer(&mut self, now: Time) {
-        let first = self.peers.wishes(now).max_by_key(|peer| peer.waited);
-        let Some(parts) = first.map(|peer| peer.wish.parts.clone()) else { return };
+        let first = self.peers.pending_reservations(now).max_by_key(|peer| peer.waited);
+        let Some(parts) = first.map(|peer| peer.reservation.parts.clone()) else { return };
         drain(&mut self.fleet, &parts);
     }
 
-    fn has_room(&self, part: &PendingReservationPart, is_first: bool, now: Time) -> bool {
+    fn has_room(&self, part: &PendingReservationPart, goes_first: bool, now: Time) -> bool {
         self.fleet.get(&part.endpoint).is_some_and(|endpoint| {
-            let free = if is_first { endpoint.free_for_drain() } else { endpoint.free(LONGEST) };
-            endpoint.usable() && endpoint.full_until <= now && free >= part.tokens.0 as f64
+            let free = if goes_first {
+                endpoint.free_while_draining()
+            } else {
+                endpoint.free(LONGEST_BAND)
+            };
+            endpoint.usable() && endpoint.blocked_until <= now && free >= part.tokens.0 as f64
         })
     }
 
@@ -184,7 +194,11 @@
     }
 }
 
-fn fewest<'a>(engines: &[&'a Endpoint], needed: f64, share: f64) -> Option<Vec<&'a Endpoint>> {
+fn fewest_engines<'a>(
+    engines: &[&'a Endpoint],
+    needed: f64,
+    share: f64,
+) -> Option<Vec<&'a Endpoint>> {
     let mut found = 0.0;
     for (index, endpoint) in engines.iter().enumerate() {
         found += endpoint.memory * share;
--- a/crates/policy/src/adaptive/pace.rs
+++ b/crates/policy/src/adaptive/short_rate_limit.rs
@@ -19,49 +19,49 @@
 //! speeds err low; what counts is whether long ones get on.
 
 /// How many times its predicted time a long prompt may take before short ones make room.
-pub(super) const LATE_TIMES: f64 = 1.5;
+pub(super) const LATE_RATIO: f64 = 1.5;
 /// Seconds on top, for the shortest of the long ones.
-pub(super) const LATE_AFTER: f64 = 1.0;
+pub(super) const LATE_GRACE_S: f64 = 1.0;
 
 /// Seconds of the allowed speed that may start at once.
-const BURST: f64 = 0.5;
+const BURST_S: f64 = 0.5;
 
 /// What short prompts may still start.
 #[derive(Debug, Default)]
-pub(super) struct ShortPace {
+pub(super) struct ShortRateLimiter {
     rate: f64,
     level: f64,
     updated: f64,
-    held_back: bool,
+    is_limited: bool,
 }
 
-impl ShortPace {
+impl ShortRateLimiter {
     /// Sets the allowed tokens a second, and whether it is in force.
-    pub(super) fn set(&mut self, rate: f64, held_back: bool, now: f64) {
+    pub(super) fn set(&mut self, rate: f64, is_limited: bool, now: f64) {
         self.refill(now);
-        if self.rate <= 0.0 || !held_back {
-            self.level = rate * BURST;
+        if self.rate <= 0.0 || !is_limited {
+            self.level = rate * BURST_S;
         }
         self.rate = rate;
-        self.held_back = held_back;
+        self.is_limited = is_limited;
     }
 
     /// Whether a short prompt may start.
     pub(super) fn allows(&mut self, now: f64) -> bool {
         self.refill(now);
-        !self.held_back || self.level > 0.0
+        !self.is_limited || self.level > 0.0
     }
 
     /// Counts one that started.
     pub(super) fn started(&mut self, prompt: f64) {
-        if self.held_back {
+        if self.is_limited {
             self.level -= prompt;
         }
     }
 
     fn refill(&mut self, now: f64) {
         let gained = self.rate * (now - self.updated).max(0.0);
-        self.level = (self.level + gained).min(self.rate * BURST);
+        self.level = (self.level + gained).min(self.rate * BURST_S);
         self.updated = now;
     }
 }
--- a/crates/policy/src/adaptive/shortlist.rs
+++ b/crates/policy/src/adaptive/shortlist.rs
@@ -18,9 +18,9 @@
 use crate::EndpointId;
 
 /// Endpoints on the list.
-const LENGTH: usize = 16;
+const SHORTLIST_LENGTH: usize = 16;
 /// Prefixes whose last holder is remembered, at some 50 bytes each.
-const MOST_HOLDERS: usize = 4_096;
+const MAX_PREFIX_HOLDERS: usize = 4_096;
 
 /// The endpoints with the least wait seen so far, by their place in the fleet.
 #[derive(Debug, Default)]
@@ -39,14 +39,14 @@
     /// Takes note of an endpoint.
     pub(super) fn offer(&mut self, index: usize, wait: f64) {
         let listed = Listed { index, wait };
-        if self.entries.len() < LENGTH {
+        if self.entries.len() < SHORTLIST_LENGTH {
             self.entries.push(listed);
         } else if wait < self.entries[self.worst].wait {
             self.entries[self.worst] = listed;
         } else {
             return;
         }
-        if self.entries.len() == LENGTH {
+        if self.entries.len() == SHORTLIST_LENGTH {
             self.find_worst();
         }
     }
@@ -65,20 +65,20 @@
 
 /// Where the prompts that begin alike were last sent.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct PrefixHolders {
     last: IndexMap<u64, EndpointId>,
     next: usize,
 }
 
-impl Holders {
+impl PrefixHolders {
     /// Takes note of a send; the oldest slot makes room.
     pub(super) fn sent(&mut self, first_block: u64, endpoint: &EndpointId) {
         if let Some(last) = self.last.get_mut(&first_block) {
             *last = endpoint.clone();
             return;
         }
-        if self.last.len() >= MOST_HOLDERS {
-            self.next = (self.next + 1) % MOST_HOLDERS;
+        if self.last.len() >= MAX_PREFIX_HOLDERS {
+            self.next = (self.next + 1) % MAX_PREFIX_HOLDERS;
             self.last.swap_remove_index(self.next);
         }
         self.last.insert(first_block, endpoint.clone());
--- a/crates/policy/src/adaptive/window.rs
+++ b/crates/policy/src/adaptive/window.rs
@@ -38,12 +38,12 @@
 
 /// An average that halves the weight of the past every `half_life` seconds, of a count per second.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Decayed {
+pub(super) struct DecayedRate {
     sum: f64,
     updated: f64,
 }
 
-impl Decayed {
+impl DecayedRate {
     /// Adds `amount` at `now` (seconds).
     pub(super) fn add(&mut self, amount: f64, now: f64, half_life: f64) {
         self.sum = self.decayed(now, half_life) + amount;
--- a/crates/policy/src/adaptive/workspaces.rs
+++ b/crates/policy/src/adaptive/workspaces.rs
@@ -19,19 +19,19 @@
 use crate::{BANDS, Workspace, config::WorkspaceTable};
 
 use super::{
-    queue::{Line, Share, WorkspaceIndex},
-    window::Decayed,
+    queue::{WorkspaceIndex, WorkspaceQueue, WorkspaceWeight},
+    window::DecayedRate,
 };
 
 /// Lanes of waiting requests: one a band, and one for prompts that need several engines.
-pub(super) const LANES: usize = BANDS + 1;
+pub(super) const QUEUE_COUNT: usize = BANDS + 1;
 /// The lane of prompts that need several engines.
-pub(super) const SPREAD: usize = BANDS;
+pub(super) const MULTI_ENGINE_QUEUE: usize = BANDS;
 
 /// Seconds of its limit that a workspace may use at once.
-const BURST: f64 = 2.0;
+const BURST_S: f64 = 2.0;
 /// Half-life in seconds of the measured traffic by which limits are split.
-pub(super) const HALF_LIFE: f64 = 5.0;
+pub(super) const TRAFFIC_HALF_LIFE_S: f64 = 5.0;
 
 /// One workspace's state.
 #[derive(Debug)]
@@ -39,15 +39,15 @@
     pub(super) name: Workspace,
     pub(super) weight: f64,
     tokens_per_second: Option<f64>,
-    concurrent: Option<u32>,
-    listed: bool,
+    max_concurrent: Option<u32>,
+    is_listed: bool,
     /// Weighted tokens that may still be admitted.
-    level: f64,
+    bucket_tokens: f64,
     updated: f64,
     /// Admitted and not ended.
-    pub(super) under_way: u32,
-    pub(super) lines: [Line; LANES],
-    pub(super) served: Decayed,
+    pub(super) in_flight: u32,
+    pub(super) queues: [WorkspaceQueue; QUEUE_COUNT],
+    pub(super) served: DecayedRate,
     /// Served and waiting on the other instances.
     pub(super) peers_served: f64,
     pub(super) peers_waiting: f64,
@@ -59,13 +59,13 @@
             name,
             weight: 1.0,
             tokens_per_second: None,
-            concurrent: None,
-            listed: false,
-            level: f64::INFINITY,
+            max_concurrent: None,
+            is_listed: false,
+            bucket_tokens: f64::INFINITY,
             updated: 0.0,
-            under_way: 0,
-            lines: Default::default(),
-            served: Decayed::default(),
+            in_flight: 0,
+            queues: Default::default(),
+            served: DecayedRate::default(),
             peers_served: 0.0,
             peers_waiting: 0.0,
         }
@@ -73,36 +73,37 @@
 
     /// Prompt tokens that wait here, in all lanes.
     pub(super) fn waiting(&self) -> f64 {
-        self.lines.iter().map(Line::tokens).sum()
+        self.queues.iter().map(WorkspaceQueue::tokens).sum()
     }
 
     /// Seconds until a request would be within the limits; none where it is.
-    pub(super) fn over_limit(&mut self, instances: usize, now: f64) -> Option<f64> {
-        if self.concurrent.is_some_and(|most| self.under_way >= most) {
+    pub(super) fn seconds_over_limit(&mut self, instances: usize, now: f64) -> Option<f64> {
+        if self.max_concurrent.is_some_and(|most| self.in_flight >= most) {
             return Some(1.0);
         }
         let limit = self.tokens_per_second?;
-        let own = self.served.rate(now, HALF_LIFE);
+        let own = self.served.rate(now, TRAFFIC_HALF_LIFE_S);
         let traffic = own + self.peers_served;
         let by_traffic = if traffic > 0.0 { own / traffic } else { 1.0 / instances as f64 };
         let rate = limit * (0.5 / instances as f64 + 0.5 * by_traffic);
         let gained = rate * (now - self.updated).max(0.0);
-        self.level = (self.level + gained).min(limit * BURST);
+        self.bucket_tokens = (self.bucket_tokens + gained).min(limit * BURST_S);
         self.updated = now;
-        (self.level <= 0.0).then(|| (1.0 - self.level) / rate.max(0.001))
+        (self.bucket_tokens <= 0.0).then(|| (1.0 - self.bucket_tokens) / rate.max(0.001))
     }
 
     /// Counts an admitted request.
     pub(super) fn admitted(&mut self, cost: f64, now: f64) {
-        self.under_way += 1;
-        self.served.add(cost, now, HALF_LIFE);
+        self.in_flight += 1;
+        self.served.add(cost, now, TRAFFIC_HALF_LIFE_S);
         if self.tokens_per_second.is_some() {
-            self.level -= cost;
+            self.bucket_tokens -= cost;
         }
     }
 
     fn is_idle(&self) -> bool {
-        self.under_way == 0 && self.lines.iter().all(|line| line.first().is_none())
+        self.in_flight == 0
+            && self.queues.iter().all(|workspace_queue| workspace_queue.first().is_none())
     }
 }
 
@@ -119,19 +120,19 @@
     /// under way are given to others.
     pub(super) fn configure(&mut self, table: &WorkspaceTable, now: f64) {
         for state in &mut self.slots {
-            state.listed = table.contains_key(&state.name);
+            state.is_listed = table.contains_key(&state.name);
         }
         for (name, rules) in table {
             let index = self.index(name);
             let state = &mut self.slots[index.0 as usize];
             let limit = rules.tokens_per_second.map(|limit| limit as f64);
             if state.tokens_per_second != limit {
-                state.level = limit.map_or(f64::INFINITY, |limit| limit * BURST);
+                state.bucket_tokens = limit.map_or(f64::INFINITY, |limit| limit * BURST_S);
                 state.updated = now;
             }
-            state.listed = true;
+            state.is_listed = true;
             state.tokens_per_second = limit;
-            state.concurrent = rules.concurrent;
+            state.max_concurrent = rules.concurrent;
             state.weight = f64::from(rules.weight.max(1));
         }
         self.drop_unlisted();
@@ -169,12 +170,12 @@
         &mut self.slots[index.0 as usize]
     }
 
-    pub(super) fn share(&self, index: WorkspaceIndex) -> Share {
-        Share { workspace: index, weight: self.get(index).weight }
+    pub(super) fn weight_of(&self, index: WorkspaceIndex) -> WorkspaceWeight {
+        WorkspaceWeight { workspace: index, weight: self.get(index).weight }
     }
 
     /// The workspace whose waiting tokens are most above its share, `extra` more counted for one.
-    pub(super) fn furthest_over(&self, extra: f64, of: WorkspaceIndex) -> WorkspaceIndex {
+    pub(super) fn most_over_share(&self, extra: f64, of: WorkspaceIndex) -> WorkspaceIndex {
         let excess = |index: WorkspaceIndex| {
             let state = self.get(index);
             let added = if index == of { extra } else { 0.0 };
@@ -193,7 +194,7 @@
         let free = &mut self.free;
         self.names.retain(|_, index| {
             let state = &slots[index.0 as usize];
-            let keep = state.listed || !state.is_idle();
+            let keep = state.is_listed || !state.is_idle();
             if !keep {
                 free.push(*index);
             }
