--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -71,9 +71,9 @@
     /// The bounds as times.
     pub fn bounds(&self) -> Bounds {
         Bounds {
-            revoke: Duration::from_millis(self.revoke_ms),
-            leave: Duration::from_millis(self.leave_ms),
-            stop: Duration::from_millis(self.stop_ms),
+            revoke_within: Duration::from_millis(self.revoke_ms),
+            leave_within: Duration::from_millis(self.leave_ms),
+            stop_within: Duration::from_millis(self.stop_ms),
             retry_share: self.retry_share,
             retry_window: Duration::from_millis(self.retry_window_ms),
             retry_slack: self.retry_slack,
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -295,7 +295,7 @@
     pub(super) fn note_began(&self) {
         let taken = self.parts.clock.now().since(self.received.arrived);
         lock(&self.progress).began = Some(taken);
-        self.parts.metrics.began(self.prompt(), taken);
+        self.parts.metrics.first_byte_received(self.prompt(), taken);
     }
 
     /// The caller waited for an event.
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -107,7 +107,7 @@
         let callers = net::listen(settings.listen).map_err(bind(settings.listen))?;
         let ready = net::listen(settings.ready_listen).map_err(bind(settings.ready_listen))?;
         let socket =
-            net::datagrams(settings.link_listen).await.map_err(bind(settings.link_listen))?;
+            net::bind_udp(settings.link_listen).await.map_err(bind(settings.link_listen))?;
         let peers = net::listen(settings.link_listen).map_err(bind(settings.link_listen))?;
 
         let me = PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
@@ -145,7 +145,7 @@
         let identify = Identify::new(
             dialect.clone(),
             configuration.clone(),
-            bounds.revoke,
+            bounds.revoke_within,
             Receive::new(clock, dispatch),
         );
         let chain = StartupGate::new(configuration.clone(), groups.clone(), identify);
@@ -186,7 +186,7 @@
             sources.endpoints,
             groups,
             clock,
-            bounds.leave,
+            bounds.leave_within,
             tracker,
             snapshots,
         );
@@ -199,7 +199,7 @@
             links:% = settings.link_listen;
             "started"
         );
-        Ok(Instance { lifecycle, stop_within: bounds.stop })
+        Ok(Instance { lifecycle, stop_within: bounds.stop_within })
     }
 
     /// Stops gracefully: the balancer is waited out, every request is finished, idle connections
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -114,7 +114,7 @@
     }
 
     /// The first byte of an answer came.
-    pub fn began(&self, prompt: Option<u64>, taken: Duration) {
+    pub fn first_byte_received(&self, prompt: Option<u64>, taken: Duration) {
         let labels = [KeyValue::new("prompt", band(prompt))];
         self.first_byte.record(taken.as_secs_f64(), &labels);
     }
--- a/crates/router/src/net.rs
+++ b/crates/router/src/net.rs
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Where the address can't be bound.
-pub async fn datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
+pub async fn bind_udp(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
@@ -58,12 +58,12 @@
         Err(io::ErrorKind::TimedOut.into())
     };
     let stream = TcpStream::connect(address).or(late).await?;
-    tune(&stream);
+    set_connection_options(&stream);
     Ok(stream)
 }
 
 /// Sets the options of a connection. One that can't be set is told and does without.
-pub fn tune(stream: &TcpStream) {
+pub fn set_connection_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE)
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -73,7 +73,7 @@
 }
 
 async fn connection<S: Service>(stream: TcpStream, service: Arc<S>) {
-    net::tune(&stream);
+    net::set_connection_options(&stream);
     let limits = service.connection_limits();
     let asked = OneShot::default();
     let respond = service_fn(|req| {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// A key that was taken away is refused everywhere after this.
-    pub revoke: Duration,
+    pub revoke_within: Duration,
     /// An endpoint that leaves gets nothing new after this.
-    pub leave: Duration,
+    pub leave_within: Duration,
     /// From the order to stop to the end by force.
-    pub stop: Duration,
+    pub stop_within: Duration,
     /// Repeats that all instances together may add, as a share of first attempts.
     pub retry_share: f64,
     /// The window over which repeats are counted.
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -173,7 +173,7 @@
     tracker: Arc<FreshnessTracker>,
     executor: Arc<Executor<'static>>,
 ) {
-    net::tune(&stream);
+    net::set_connection_options(&stream);
     let answer = service_fn(|req| {
         let tracker = tracker.clone();
         async move { Ok::<_, Infallible>(answer(req, &tracker).await) }
