--- a/crates/policy/examples/place_cost.rs
+++ b/crates/policy/examples/place_cost.rs
@@ -55,16 +55,16 @@
             free: Tokens(400_000),
             shorts_running: rng.u32(..20),
             longs_running: rng.u32(..2),
-            long_open: true,
-            caution: 1.0,
+            accepts_long: true,
+            penalty: 1.0,
         })
         .collect();
-    let ask = SelectionRequest {
+    let request = SelectionRequest {
         unreported_work: Duration::from_millis(200),
         ..SelectionRequest::new(Tokens(2_000), false)
     };
     time(|| {
-        black_box(choose(black_box(&candidates), &ask, &mut rng));
+        black_box(choose(black_box(&candidates), &request, &mut rng));
     })
 }
 
@@ -85,7 +85,7 @@
     health.configure(endpoints);
     time(|| {
         for endpoint in endpoints {
-            black_box(health.standing(endpoint, Time::ZERO));
+            black_box(health.state(endpoint, Time::ZERO));
         }
     })
 }
--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -89,7 +89,7 @@
         if let Some(over) = state.seconds_over_limit(instances, seconds(now)) {
             return Err(self.refusal(RefusalReason::OverLimit, over));
         }
-        if let QuarantineState::Refused(left) = self.quarantine.standing(req.fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.quarantine.state(req.fingerprint, now) {
             return Err(Refusal::new(RefusalReason::Quarantined, left));
         }
         if self.fleet.usable == 0 {
--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -131,7 +131,7 @@
                 elapsed -= self.long_prefill_delay.seconds().min(elapsed / 2.0);
             }
             endpoint.speed.observe(work, elapsed, seconds(now));
-            self.health.answered(&shard.endpoint, taken, span(attempt.predicted));
+            self.health.record_answer(&shard.endpoint, taken, span(attempt.predicted));
         }
         if let Some(cached) = cached {
             self.cache.found(&shard.endpoint, attempt.cached, cached);
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -229,13 +229,13 @@
             endpoint: endpoint.id.clone(),
             wait: span(wait),
             rate: TokenRate(rate * left),
-            cached: self.cache.expected(&endpoint.id, &entry.req.prefix),
+            cached: self.cache.expected_cached(&endpoint.id, &entry.req.prefix),
             distance: span(endpoint.distance),
             free: Tokens(free.min(1e18) as u64),
             shorts_running: 0,
             longs_running: endpoint.prompts_delayed_by(band),
-            long_open: endpoint.open_to_long,
-            caution: endpoint.caution,
+            accepts_long: endpoint.open_to_long,
+            penalty: endpoint.caution,
         })
     }
 
@@ -281,7 +281,7 @@
         if let Some(first) = entry.req.prefix.first() {
             self.prefix_holders.sent(*first, &endpoint.id);
         }
-        self.cache.sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
+        self.cache.record_sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
         self.quarantine.started(entry.req.fingerprint, &endpoint.id, now);
         let attempt = Attempt {
             sent: now,
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -61,7 +61,7 @@
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
         self.pause_endpoints(&ended.shards, cause, now);
         if let Some(shard) = ended.shards.first() {
-            self.health.failed(&shard.endpoint, cause);
+            self.health.record_failure(&shard.endpoint, cause);
         }
         let Some(entry) = self.requests.get_mut(&request) else { return };
         entry.passed_on = entry.passed_on.max(passed_on);
@@ -148,10 +148,8 @@
         if entry.may_have_run && !entry.req.repeatable {
             return Some(cause);
         }
-        if matches!(
-            self.quarantine.standing(entry.req.fingerprint, now),
-            QuarantineState::Refused(_)
-        ) {
+        if matches!(self.quarantine.state(entry.req.fingerprint, now), QuarantineState::Refused(_))
+        {
             return Some(FailCause::Quarantined);
         }
         if entry.failures >= MAX_FAILURES || entry.attempts >= MAX_ATTEMPTS {
--- a/crates/policy/src/adaptive/fleet_refresh.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -112,9 +112,9 @@
             self.quarantine.expire(now);
         }
         for endpoint in self.fleet.endpoints.values_mut() {
-            endpoint.caution = match self.health.standing(&endpoint.id, now) {
+            endpoint.caution = match self.health.state(&endpoint.id, now) {
                 HealthState::Usable(caution) => caution,
-                HealthState::Out => f64::INFINITY,
+                HealthState::Ejected => f64::INFINITY,
             };
         }
     }
@@ -123,13 +123,13 @@
     /// probes all the time, and an endpoint that answers probes may still fail its calls.
     pub(super) fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time) {
         self.probes.extend(self.health.due_probes(now));
-        let is_out = self.health.standing(endpoint, now) == HealthState::Out;
+        let is_out = self.health.state(endpoint, now) == HealthState::Ejected;
         let due = self.probes.iter().position(|probe| probe == endpoint);
         if let Some(index) = due {
             self.probes.swap_remove(index);
         }
         if !is_out || due.is_some() {
-            self.health.probed(endpoint, healthy, now, &mut self.rng);
+            self.health.record_probe(endpoint, healthy, now, &mut self.rng);
         }
     }
 
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -224,7 +224,7 @@
         self.fleet.apply_peer_digest(&digest, now);
         self.quarantine.import(&digest.suspicions, now);
         for endpoint in &digest.suspects_at {
-            self.quarantine.heard_running(endpoint, now);
+            self.quarantine.record_peer_suspect(endpoint, now);
         }
         self.peers.accept(digest, &mut self.workspaces, now);
     }
--- a/crates/policy/src/digest.rs
+++ b/crates/policy/src/digest.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     EndpointId, Fingerprint, LoadDigest, Time, TokenRate, Tokens, Workspace,
-    quarantine::HEARD_FOR,
+    quarantine::PEER_SUSPECT_TTL,
     report::{EndpointShare, WorkspaceShare},
 };
 
@@ -255,7 +255,7 @@
         };
         let bands = self.digest.queued.iter().zip(&digest.queued);
         let shifted = bands.map(|(old, new)| difference(*old, *new)).max().unwrap_or_default();
-        let repeat = !digest.suspects_at.is_empty() && now.since(self.at) >= HEARD_FOR / 3;
+        let repeat = !digest.suspects_at.is_empty() && now.since(self.at) >= PEER_SUSPECT_TTL / 3;
         repeat
             || now.since(self.at) >= CONFIRM
             || self.digest.longs_late != digest.longs_late
--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -29,40 +29,40 @@
 
 use crate::{EndpointId, FailCause, Time};
 
-use record::Record;
+use record::HealthRecord;
 
 /// Failures in a row that eject an endpoint. One is an accident and two may share one cause; at
 /// today's rates three come within a second at a broken endpoint.
-pub const FAILURES: u32 = 3;
+pub const FAILURES_TO_EJECT: u32 = 3;
 
 /// Refused connections in a row after which an endpoint counts as dead. The second one rules out a
 /// listener that was just being replaced.
-pub const REFUSED: u32 = 2;
+pub const REFUSED_CONNECTIONS_TO_EJECT: u32 = 2;
 
 /// How many times the median's slowness ejects an endpoint. Below it the cost already sends less
 /// there; at five times, one such answer is the worst of its minute.
-pub const FAR_SLOWER: f64 = 5.0;
+pub const SLOWNESS_RATIO_TO_EJECT: f64 = 5.0;
 
 /// Answers that have to be seen before slowness counts, so that one odd answer doesn't.
-pub const MIN_ANSWERS: u32 = 5;
+pub const MIN_SLOWNESS_SAMPLES: u32 = 5;
 
 /// Of so many endpoints one may be ejected on suspicion.
-pub const ONE_IN: usize = 3;
+pub const ENDPOINTS_PER_EJECTION: usize = 3;
 
 /// The first ejection's length: a few times what a process takes to start again.
-pub const FIRST_EJECTION: Duration = Duration::from_secs(5);
+pub const FIRST_EJECTION_PERIOD: Duration = Duration::from_secs(5);
 
 /// The longest time between two probes of an endpoint that is out.
-pub const MAX_EJECTION: Duration = Duration::from_secs(60);
+pub const MAX_EJECTION_PERIOD: Duration = Duration::from_secs(60);
 
 /// A probe that was given out and not heard of again is given out anew after this long.
-pub const PROBE_LOST: Duration = Duration::from_secs(10);
+pub const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long an endpoint's share takes to rise again after it returned.
-pub const RAMP: Duration = Duration::from_secs(10);
+pub const RAMP_UP_PERIOD: Duration = Duration::from_secs(10);
 
 /// The caution of an endpoint at the moment of its return.
-pub const RAMP_CAUTION: f64 = 4.0;
+pub const RAMP_UP_PENALTY: f64 = 4.0;
 
 /// Whether and how cautiously an endpoint may be used.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -70,21 +70,21 @@
     /// It may be used; its cost is multiplied by this number, which is at least 1.
     Usable(f64),
     /// It gets nothing but probes.
-    Out,
+    Ejected,
 }
 
 /// What became of an endpoint in [`Health::assess`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ejected {
+pub struct Ejection {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Why it is out.
-    pub cause: EjectCause,
+    pub cause: EjectionCause,
 }
 
 /// Why an endpoint was taken out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EjectCause {
+pub enum EjectionCause {
     /// It failed several times in a row.
     Failures,
     /// It is far slower than the others.
@@ -96,7 +96,7 @@
 /// The health of one group's endpoints as one instance sees it.
 #[derive(Debug)]
 pub struct Health {
-    records: IndexMap<EndpointId, Record>,
+    records: IndexMap<EndpointId, HealthRecord>,
     /// The group's median slowness as of the last assessment: sorting it anew for each request
     /// would cost more than the whole placement.
     median: f64,
@@ -126,20 +126,20 @@
     /// Starts the endpoint's record anew, for it has a new incarnation.
     pub fn reset(&mut self, endpoint: &EndpointId) {
         if let Some(record) = self.records.get_mut(endpoint) {
-            *record = Record::default();
+            *record = HealthRecord::default();
         }
     }
 
     /// Takes note of a first token that came after `taken` where `predicted` was expected.
-    pub fn answered(&mut self, endpoint: &EndpointId, taken: Duration, predicted: Duration) {
+    pub fn record_answer(&mut self, endpoint: &EndpointId, taken: Duration, predicted: Duration) {
         if let Some(record) = self.records.get_mut(endpoint) {
-            record.answered(taken, predicted);
+            record.record_answer(taken, predicted);
         }
     }
 
     /// Takes note of a failed attempt. Causes that say nothing about the endpoint are ignored, and
     /// so is silence, which [`silence::SilenceDetector`] looks into first.
-    pub fn failed(&mut self, endpoint: &EndpointId, cause: FailCause) {
+    pub fn record_failure(&mut self, endpoint: &EndpointId, cause: FailCause) {
         let Some(record) = self.records.get_mut(endpoint) else {
             return;
         };
@@ -162,7 +162,7 @@
 
     /// Takes note that another instance had an answer from the endpoint. Failures in a row end with
     /// it; an ejection doesn't, because the link from here may be the one that is broken.
-    pub fn vouched(&mut self, endpoint: &EndpointId) {
+    pub fn record_peer_answer(&mut self, endpoint: &EndpointId) {
         if let Some(record) = self.records.get_mut(endpoint) {
             record.failures = 0;
         }
@@ -170,36 +170,36 @@
 
     /// Takes note of a probe's end. A good one brings an ejected endpoint back on the ramp; a bad
     /// one doubles the time to the next.
-    pub fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time, rng: &mut Rng) {
+    pub fn record_probe(&mut self, endpoint: &EndpointId, healthy: bool, now: Time, rng: &mut Rng) {
         let Some(record) = self.records.get_mut(endpoint) else {
             return;
         };
         match (healthy, record.is_out()) {
-            (true, true) => record.come_back(now),
+            (true, true) => record.restore(now),
             (true, false) => record.refused = 0,
-            (false, true) => record.stay_out(now, rng),
+            (false, true) => record.eject(now, rng),
             (false, false) => record.refused += 1,
         }
     }
 
     /// Ejects what has to be ejected now; the worst first, as the floor allows. `needed` is how
     /// many endpoints the present load takes. To be called about once a second.
-    pub fn assess(&mut self, needed: usize, now: Time, rng: &mut Rng) -> Vec<Ejected> {
+    pub fn assess(&mut self, needed: usize, now: Time, rng: &mut Rng) -> Vec<Ejection> {
         let mut ejected = self.eject_dead(now, rng);
         self.median = self.median_slowness();
-        let mut suspects: Vec<Suspect> = self
+        let mut suspects: Vec<EjectionCandidate> = self
             .records
             .iter()
             .enumerate()
             .filter_map(|(index, (_, record))| {
-                Some(Suspect {
+                Some(EjectionCandidate {
                     index,
                     cause: record.suspicion(self.median)?,
-                    badness: record.badness(),
+                    severity: record.severity(),
                 })
             })
             .collect();
-        suspects.sort_by(|a, b| b.badness.total_cmp(&a.badness));
+        suspects.sort_by(|a, b| b.severity.total_cmp(&a.severity));
         suspects.truncate(self.ejectable(needed));
         for suspect in suspects {
             ejected.extend(self.eject(suspect.index, suspect.cause, now, rng));
@@ -209,14 +209,14 @@
 
     /// Whether and how cautiously to use an endpoint. Where all are out, all may be used, as a
     /// chance is better than none.
-    pub fn standing(&self, endpoint: &EndpointId, now: Time) -> HealthState {
+    pub fn state(&self, endpoint: &EndpointId, now: Time) -> HealthState {
         let Some(record) = self.records.get(endpoint) else {
             return HealthState::Usable(1.0);
         };
         if record.is_out() && self.records.values().any(|record| !record.is_out()) {
-            return HealthState::Out;
+            return HealthState::Ejected;
         }
-        HealthState::Usable(record.caution(self.median, now))
+        HealthState::Usable(record.penalty(self.median, now))
     }
 
     /// The endpoints whose probe is due. Each is given out once until its probe has ended or got
@@ -233,20 +233,22 @@
         self.records.values().filter_map(|record| record.probe_at()).min()
     }
 
-    fn eject_dead(&mut self, now: Time, rng: &mut Rng) -> Vec<Ejected> {
-        let dead = |record: &Record| !record.is_out() && record.refused >= REFUSED;
+    fn eject_dead(&mut self, now: Time, rng: &mut Rng) -> Vec<Ejection> {
+        let dead = |record: &HealthRecord| {
+            !record.is_out() && record.refused >= REFUSED_CONNECTIONS_TO_EJECT
+        };
         (0..self.records.len())
             .filter(|index| dead(&self.records[*index]))
             .collect::<Vec<usize>>()
             .into_iter()
-            .filter_map(|index| self.eject(index, EjectCause::Dead, now, rng))
+            .filter_map(|index| self.eject(index, EjectionCause::Dead, now, rng))
             .collect()
     }
 
     /// How many more endpoints may go on suspicion. Dead ones count as gone already.
     fn ejectable(&self, needed: usize) -> usize {
         let out = self.records.values().filter(|record| record.is_out()).count();
-        let by_share = (self.records.len() / ONE_IN).saturating_sub(out);
+        let by_share = (self.records.len() / ENDPOINTS_PER_EJECTION).saturating_sub(out);
         let by_load = (self.records.len() - out).saturating_sub(needed.max(1));
         by_share.min(by_load)
     }
@@ -254,13 +256,13 @@
     fn eject(
         &mut self,
         index: usize,
-        cause: EjectCause,
+        cause: EjectionCause,
         now: Time,
         rng: &mut Rng,
-    ) -> Option<Ejected> {
+    ) -> Option<Ejection> {
         let (endpoint, record) = self.records.get_index_mut(index)?;
-        record.stay_out(now, rng);
-        Some(Ejected { endpoint: endpoint.clone(), cause })
+        record.eject(now, rng);
+        Some(Ejection { endpoint: endpoint.clone(), cause })
     }
 
     /// The median over endpoints with enough answers; the lower one of an even count, so that with
@@ -273,8 +275,8 @@
     }
 }
 
-struct Suspect {
+struct EjectionCandidate {
     index: usize,
-    cause: EjectCause,
-    badness: f64,
+    cause: EjectionCause,
+    severity: f64,
 }
--- a/crates/policy/src/health/record.rs
+++ b/crates/policy/src/health/record.rs
@@ -7,41 +7,42 @@
 use crate::{
     Time,
     health::{
-        EjectCause, FAILURES, FAR_SLOWER, FIRST_EJECTION, MAX_EJECTION, MIN_ANSWERS, PROBE_LOST,
-        RAMP, RAMP_CAUTION,
+        EjectionCause, FAILURES_TO_EJECT, FIRST_EJECTION_PERIOD, MAX_EJECTION_PERIOD,
+        MIN_SLOWNESS_SAMPLES, PROBE_TIMEOUT, RAMP_UP_PENALTY, RAMP_UP_PERIOD,
+        SLOWNESS_RATIO_TO_EJECT,
     },
 };
 
 /// Weight of the newest answer in the smoothed slowness: about the last ten answers count.
-const NEWEST: f64 = 0.2;
+const NEWEST_ANSWER_WEIGHT: f64 = 0.2;
 
 /// Predictions below this are stretched to it, so that a jitter of a millisecond on a tiny prompt
 /// doesn't look like a slow endpoint.
-const SHORTEST: Duration = Duration::from_millis(20);
+const MIN_PREDICTION: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Default)]
-pub(super) struct Record {
+pub(super) struct HealthRecord {
     /// Failures in a row.
     pub(super) failures: u32,
     /// Refused connections in a row.
     pub(super) refused: u32,
     slowness: f64,
     answers: u32,
-    out: Option<Out>,
+    out: Option<EjectedState>,
     /// Ejections in a row, for the doubling.
     ejections: u32,
     returned: Option<Time>,
 }
 
 #[derive(Debug)]
-struct Out {
+struct EjectedState {
     probe_at: Time,
 }
 
-impl Record {
-    pub(super) fn answered(&mut self, taken: Duration, predicted: Duration) {
-        let ratio = taken.as_secs_f64() / predicted.max(SHORTEST).as_secs_f64();
-        let newest = if self.answers == 0 { 1.0 } else { NEWEST };
+impl HealthRecord {
+    pub(super) fn record_answer(&mut self, taken: Duration, predicted: Duration) {
+        let ratio = taken.as_secs_f64() / predicted.max(MIN_PREDICTION).as_secs_f64();
+        let newest = if self.answers == 0 { 1.0 } else { NEWEST_ANSWER_WEIGHT };
         self.slowness += (ratio - self.slowness) * newest;
         self.answers = self.answers.saturating_add(1);
         self.failures = 0;
@@ -53,45 +54,47 @@
     }
 
     pub(super) fn slowness(&self) -> Option<f64> {
-        (self.answers >= MIN_ANSWERS && !self.is_out()).then_some(self.slowness)
+        (self.answers >= MIN_SLOWNESS_SAMPLES && !self.is_out()).then_some(self.slowness)
     }
 
-    pub(super) fn suspicion(&self, median: f64) -> Option<EjectCause> {
+    pub(super) fn suspicion(&self, median: f64) -> Option<EjectionCause> {
         if self.is_out() {
             return None;
         }
-        if self.failures >= FAILURES {
-            return Some(EjectCause::Failures);
+        if self.failures >= FAILURES_TO_EJECT {
+            return Some(EjectionCause::Failures);
         }
-        let slow = self.slowness().is_some_and(|slowness| slowness > median.max(1.0) * FAR_SLOWER);
-        slow.then_some(EjectCause::Slow)
+        let slow = self
+            .slowness()
+            .is_some_and(|slowness| slowness > median.max(1.0) * SLOWNESS_RATIO_TO_EJECT);
+        slow.then_some(EjectionCause::Slow)
     }
 
     /// By which suspects are ordered: failures weigh more than slowness, since a failing endpoint
     /// serves nobody.
-    pub(super) fn badness(&self) -> f64 {
-        f64::from(self.failures) * FAR_SLOWER + self.slowness
+    pub(super) fn severity(&self) -> f64 {
+        f64::from(self.failures) * SLOWNESS_RATIO_TO_EJECT + self.slowness
     }
 
-    pub(super) fn caution(&self, median: f64, now: Time) -> f64 {
+    pub(super) fn penalty(&self, median: f64, now: Time) -> f64 {
         let slow = self.slowness().map_or(1.0, |slowness| slowness / median.max(1.0)).max(1.0);
-        let failing = f64::from(1 + self.failures.max(self.refused).min(FAILURES));
+        let failing = f64::from(1 + self.failures.max(self.refused).min(FAILURES_TO_EJECT));
         slow * failing * self.ramp(now)
     }
 
-    pub(super) fn come_back(&mut self, now: Time) {
+    pub(super) fn restore(&mut self, now: Time) {
         let ejections = self.ejections;
-        *self = Record { ejections, returned: Some(now), ..Record::default() };
+        *self = HealthRecord { ejections, returned: Some(now), ..HealthRecord::default() };
     }
 
     /// Ejects, or prolongs an ejection after a bad probe. Up to a quarter is drawn on top, so that
     /// the instances' probes don't arrive together.
-    pub(super) fn stay_out(&mut self, now: Time, rng: &mut Rng) {
-        let quiet = self.returned.is_some_and(|at| now.since(at) > MAX_EJECTION);
+    pub(super) fn eject(&mut self, now: Time, rng: &mut Rng) {
+        let quiet = self.returned.is_some_and(|at| now.since(at) > MAX_EJECTION_PERIOD);
         self.ejections = if quiet { 1 } else { self.ejections.saturating_add(1) };
-        let span = FIRST_EJECTION.saturating_mul(1 << (self.ejections - 1).min(8));
-        let span = span.min(MAX_EJECTION).mul_f64(1.0 + rng.f64() / 4.0);
-        self.out = Some(Out { probe_at: now + span });
+        let span = FIRST_EJECTION_PERIOD.saturating_mul(1 << (self.ejections - 1).min(8));
+        let span = span.min(MAX_EJECTION_PERIOD).mul_f64(1.0 + rng.f64() / 4.0);
+        self.out = Some(EjectedState { probe_at: now + span });
         self.returned = None;
     }
 
@@ -102,7 +105,7 @@
     pub(super) fn take_probe(&mut self, now: Time) -> bool {
         match &mut self.out {
             Some(out) if out.probe_at <= now => {
-                out.probe_at = now + PROBE_LOST;
+                out.probe_at = now + PROBE_TIMEOUT;
                 true
             }
             _ => false,
@@ -113,7 +116,7 @@
         let Some(returned) = self.returned else {
             return 1.0;
         };
-        let left = 1.0 - now.since(returned).as_secs_f64() / RAMP.as_secs_f64();
-        1.0 + (RAMP_CAUTION - 1.0) * left.max(0.0)
+        let left = 1.0 - now.since(returned).as_secs_f64() / RAMP_UP_PERIOD.as_secs_f64();
+        1.0 + (RAMP_UP_PENALTY - 1.0) * left.max(0.0)
     }
 }
--- a/crates/policy/src/health/silence.rs
+++ b/crates/policy/src/health/silence.rs
@@ -11,11 +11,11 @@
 
 use indexmap::IndexMap;
 
-use crate::{EndpointId, Time, health::PROBE_LOST};
+use crate::{EndpointId, Time, health::PROBE_TIMEOUT};
 
 /// What to do about an endpoint after news of silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SilenceAction {
     /// Probe it over a fresh connection now.
     Probe,
     /// A probe is under way or has just answered; wait for it.
@@ -30,11 +30,11 @@
 /// [`SilenceDetector::forget`] drops those that are gone.
 #[derive(Debug, Default)]
 pub struct SilenceDetector {
-    proofs: IndexMap<EndpointId, Proof>,
+    probe_records: IndexMap<EndpointId, ProbeRecord>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Proof {
+struct ProbeRecord {
     probing_since: Option<Time>,
     alive_at: Option<Time>,
 }
@@ -47,35 +47,35 @@
 
     /// A connection to `endpoint` is silent past its deadline; `last_sign` is when it last gave a
     /// sign of life, or was opened.
-    pub fn silent(&mut self, endpoint: &EndpointId, last_sign: Time, now: Time) -> Verdict {
-        let proof = self.proofs.entry(endpoint.clone()).or_default();
+    pub fn silent(&mut self, endpoint: &EndpointId, last_sign: Time, now: Time) -> SilenceAction {
+        let probe_record = self.probe_records.entry(endpoint.clone()).or_default();
         // A proof of life newer than the connection's last sign settles it without a probe.
-        if let Some(alive_at) = proof.alive_at.filter(|alive_at| *alive_at > last_sign) {
-            return Verdict::DropBefore(alive_at);
+        if let Some(alive_at) = probe_record.alive_at.filter(|alive_at| *alive_at > last_sign) {
+            return SilenceAction::DropBefore(alive_at);
         }
-        let lost = |started: Time| now.since(started) >= PROBE_LOST;
-        if proof.probing_since.is_some_and(|started| !lost(started)) {
-            return Verdict::Wait;
+        let lost = |started: Time| now.since(started) >= PROBE_TIMEOUT;
+        if probe_record.probing_since.is_some_and(|started| !lost(started)) {
+            return SilenceAction::Wait;
         }
-        proof.probing_since = Some(now);
-        Verdict::Probe
+        probe_record.probing_since = Some(now);
+        SilenceAction::Probe
     }
 
     /// The probe over a fresh connection ended.
-    pub fn probed(&mut self, endpoint: &EndpointId, healthy: bool) -> Verdict {
-        let proof = self.proofs.entry(endpoint.clone()).or_default();
-        let Some(started) = proof.probing_since.take() else {
-            return Verdict::Wait;
+    pub fn probed(&mut self, endpoint: &EndpointId, healthy: bool) -> SilenceAction {
+        let probe_record = self.probe_records.entry(endpoint.clone()).or_default();
+        let Some(started) = probe_record.probing_since.take() else {
+            return SilenceAction::Wait;
         };
         if !healthy {
-            return Verdict::Dead;
+            return SilenceAction::Dead;
         }
-        proof.alive_at = Some(started);
-        Verdict::DropBefore(started)
+        probe_record.alive_at = Some(started);
+        SilenceAction::DropBefore(started)
     }
 
     /// Forgets an endpoint that is gone.
     pub fn forget(&mut self, endpoint: &EndpointId) {
-        self.proofs.swap_remove(endpoint);
+        self.probe_records.swap_remove(endpoint);
     }
 }
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -200,7 +200,7 @@
         now: Time,
     ) -> impl Iterator<Item = (usize, &'a Server)> {
         let usable = self.usable_endpoints();
-        let is_suspect = self.quarantine.standing(ask.fingerprint, now) != QuarantineState::Clear;
+        let is_suspect = self.quarantine.state(ask.fingerprint, now) != QuarantineState::Clear;
         self.servers.values().enumerate().filter(move |(_, server)| {
             let member = &server.member;
             let tried = ask
@@ -209,16 +209,16 @@
                 .any(|(id, life)| *id == member.endpoint && *life == member.incarnation);
             let barred = is_suspect
                 && !self.quarantine.may_run(ask.fingerprint, &member.endpoint, usable, now);
-            let is_out = self.health.standing(&member.endpoint, now) == health::HealthState::Out;
+            let is_out = self.health.state(&member.endpoint, now) == health::HealthState::Ejected;
             !member.leaving && !tried && !barred && (!is_out || server.is_on_trial)
         })
     }
 
     pub(super) fn caution(&self, server: &Server, now: Time) -> f64 {
-        match self.health.standing(&server.member.endpoint, now) {
+        match self.health.state(&server.member.endpoint, now) {
             health::HealthState::Usable(caution) => caution,
             // It is on trial: the probe has to go somewhere.
-            health::HealthState::Out => 0.5,
+            health::HealthState::Ejected => 0.5,
         }
     }
 
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -194,7 +194,7 @@
         now: Time,
     ) -> Result<Placement, PlacementRefusal> {
         self.assess(now);
-        if let QuarantineState::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.quarantine.state(ask.fingerprint, now) {
             return Err(PlacementRefusal::Quarantined(left));
         }
         self.pauses.note(whole_ms(ask.max_pause_ms), now);
@@ -260,7 +260,7 @@
                 server.unread_own(known.key, true, now);
             }
         }
-        self.health.answered(&known.endpoint, taken, predicted);
+        self.health.record_answer(&known.endpoint, taken, predicted);
         if let Some(server) = self.servers.get_mut(&known.endpoint) {
             server.answered();
             server.untold_answer = true;
@@ -298,7 +298,7 @@
                     }
                     None => {
                         let span = now.since(known.placed);
-                        self.health.answered(&known.endpoint, span, span);
+                        self.health.record_answer(&known.endpoint, span, span);
                     }
                 }
                 if let Some(server) = self.servers.get_mut(&known.endpoint) {
@@ -309,7 +309,7 @@
             Some(cause) => {
                 self.quarantine.stopped(known.fingerprint);
                 let cause = as_seen(cause);
-                self.health.failed(&known.endpoint, cause);
+                self.health.record_failure(&known.endpoint, cause);
                 if let Some(server) = self.servers.get_mut(&known.endpoint) {
                     server.untold_failure |= counts(cause);
                 }
--- a/crates/policy/src/placement/updates.rs
+++ b/crates/policy/src/placement/updates.rs
@@ -193,10 +193,10 @@
         }
         if word.answered {
             server.answered();
-            health.vouched(endpoint);
+            health.record_peer_answer(endpoint);
         }
         if word.failed && server.fails_for(peer) {
-            health.failed(endpoint, FailCause::Broken);
+            health.record_failure(endpoint, FailCause::Broken);
         }
         if word.at_fault {
             server.refused_to_help(now);
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -31,30 +31,30 @@
 
 /// Deaths that are closer together than this count as one for a fingerprint: a rack or a data
 /// centre takes its endpoints within about a connection timeout.
-pub const SAME_CAUSE: Duration = Duration::from_secs(2);
+pub const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(2);
 
 /// How many deaths confirm a suspect.
-pub const CONFIRMED_AT: u32 = 2;
+pub const DEATHS_TO_CONFIRM: u32 = 2;
 
 /// How long a confirmed fingerprint is refused at first: longer than callers keep re-sending by
 /// hand, short enough that a wrong verdict heals within the hour.
-pub const REFUSED_FOR: Duration = Duration::from_secs(10 * 60);
+pub const FIRST_REFUSAL_PERIOD: Duration = Duration::from_secs(10 * 60);
 
 /// No verdict lasts longer.
-pub const MAX_REFUSED_FOR: Duration = Duration::from_secs(24 * 3600);
+pub const MAX_REFUSAL_PERIOD: Duration = Duration::from_secs(24 * 3600);
 
 /// How long a suspicion lasts without a further death. A caller that re-sends later than this
 /// starts anew.
-pub const SUSPECT_FOR: Duration = Duration::from_secs(3600);
+pub const SUSPICION_TTL: Duration = Duration::from_secs(3600);
 
 /// How long the last healthy endpoint is spared from a suspect: half of the default deadline, so
 /// that the others may come back first and a bystander still gets its answer in time.
-pub const SPARED_FOR: Duration = Duration::from_secs(30);
+pub const LAST_ENDPOINT_GRACE_PERIOD: Duration = Duration::from_secs(30);
 
 /// How long another instance's word that it runs a suspect on an endpoint counts without being
 /// repeated: three heartbeats. Two instances may still start one each in the same moment; a death
 /// then confirms both, and the bystander is refused for one term.
-pub const HEARD_FOR: Duration = Duration::from_secs(3);
+pub const PEER_SUSPECT_TTL: Duration = Duration::from_secs(3);
 
 /// What is known against a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -89,7 +89,7 @@
     /// Which suspect runs where; what keeps suspects apart.
     running: IndexMap<EndpointId, Fingerprint>,
     /// Where other instances said that they run one, and when they said so.
-    heard: IndexMap<EndpointId, Time>,
+    peer_suspects: IndexMap<EndpointId, Time>,
 }
 
 impl Quarantine {
@@ -107,7 +107,7 @@
         now: Time,
     ) -> Vec<Entry> {
         let apart = self.running.swap_remove(endpoint);
-        self.heard.swap_remove(endpoint);
+        self.peer_suspects.swap_remove(endpoint);
         for fingerprint in present {
             self.suspect(*fingerprint, apart == Some(*fingerprint), now);
         }
@@ -122,7 +122,7 @@
     }
 
     /// What is known against a fingerprint.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Time) -> QuarantineState {
+    pub fn state(&self, fingerprint: Fingerprint, now: Time) -> QuarantineState {
         let refused = self.confirmed.get(&fingerprint).map(|c| c.until.since(now));
         if let Some(left) = refused.filter(|left| !left.is_zero()) {
             return QuarantineState::Refused(left);
@@ -144,14 +144,17 @@
         healthy: usize,
         now: Time,
     ) -> bool {
-        match self.standing(fingerprint, now) {
+        match self.state(fingerprint, now) {
             QuarantineState::Clear => true,
             QuarantineState::Refused(_) => false,
             QuarantineState::Suspect => {
                 let beside = self.running.get(endpoint).is_some_and(|other| *other != fingerprint);
-                let heard = self.heard.get(endpoint).is_some_and(|at| now.since(*at) < HEARD_FOR);
+                let peer_suspects = self
+                    .peer_suspects
+                    .get(endpoint)
+                    .is_some_and(|at| now.since(*at) < PEER_SUSPECT_TTL);
                 let spared = healthy > 1 || self.has_waited(fingerprint, now);
-                spared && !beside && !heard
+                spared && !beside && !peer_suspects
             }
         }
     }
@@ -162,15 +165,15 @@
     }
 
     /// Takes note that another instance runs a suspect on `endpoint`.
-    pub fn heard_running(&mut self, endpoint: &EndpointId, now: Time) {
-        if self.heard.len() < MAX_SUSPECTS || self.heard.contains_key(endpoint) {
-            self.heard.insert(endpoint.clone(), now);
+    pub fn record_peer_suspect(&mut self, endpoint: &EndpointId, now: Time) {
+        if self.peer_suspects.len() < MAX_SUSPECTS || self.peer_suspects.contains_key(endpoint) {
+            self.peer_suspects.insert(endpoint.clone(), now);
         }
     }
 
     /// Takes note that a fingerprint was sent to an endpoint.
     pub fn started(&mut self, fingerprint: Fingerprint, endpoint: &EndpointId, now: Time) {
-        if self.standing(fingerprint, now) == QuarantineState::Suspect {
+        if self.state(fingerprint, now) == QuarantineState::Suspect {
             self.running.insert(endpoint.clone(), fingerprint);
         }
     }
@@ -200,19 +203,19 @@
     pub fn expire(&mut self, now: Time) {
         self.suspects.retain(|_, suspect| suspect.is_current(now));
         self.confirmed.retain(|_, confirmed| confirmed.is_remembered(now));
-        self.heard.retain(|_, at| now.since(*at) < HEARD_FOR);
+        self.peer_suspects.retain(|_, at| now.since(*at) < PEER_SUSPECT_TTL);
     }
 
     fn has_waited(&self, fingerprint: Fingerprint, now: Time) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.is_none_or(|suspect| now.since(suspect.last_death) >= SPARED_FOR)
+        suspect.is_none_or(|suspect| now.since(suspect.last_death) >= LAST_ENDPOINT_GRACE_PERIOD)
     }
 
     fn suspect(&mut self, fingerprint: Fingerprint, ran_apart: bool, now: Time) {
         make_room(&mut self.suspects, MAX_SUSPECTS, |suspect| suspect.last_death);
         let suspect = self.suspects.entry(fingerprint).or_insert(Suspect::at(now));
         suspect.add_death(ran_apart, now);
-        if suspect.deaths >= CONFIRMED_AT {
+        if suspect.deaths >= DEATHS_TO_CONFIRM {
             self.suspects.swap_remove(&fingerprint);
             self.confirm(fingerprint, now);
         }
@@ -225,10 +228,15 @@
     }
 
     fn entry(&self, fingerprint: &Fingerprint, now: Time) -> Option<Entry> {
-        if let QuarantineState::Refused(left) = self.standing(*fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.state(*fingerprint, now) {
             let refused_ms = millis(left);
             let fingerprint = *fingerprint;
-            return Some(Entry { fingerprint, deaths: CONFIRMED_AT, death_age_ms: 0, refused_ms });
+            return Some(Entry {
+                fingerprint,
+                deaths: DEATHS_TO_CONFIRM,
+                death_age_ms: 0,
+                refused_ms,
+            });
         }
         let suspect = self.suspects.get(fingerprint).filter(|suspect| suspect.is_current(now))?;
         Some(Entry {
@@ -241,7 +249,7 @@
 
     fn import_one(&mut self, entry: &Entry, now: Time) {
         if entry.refused_ms > 0 {
-            let left = Duration::from_millis(entry.refused_ms).min(MAX_REFUSED_FOR);
+            let left = Duration::from_millis(entry.refused_ms).min(MAX_REFUSAL_PERIOD);
             make_room(&mut self.confirmed, MAX_CONFIRMED, |confirmed| confirmed.until);
             let confirmed = self.confirmed.entry(entry.fingerprint).or_insert(Confirmed::NEW);
             confirmed.extend(now + left);
@@ -249,7 +257,7 @@
             return;
         }
         let age = Duration::from_millis(entry.death_age_ms);
-        if self.standing(entry.fingerprint, now) != QuarantineState::Clear || age >= SUSPECT_FOR {
+        if self.state(entry.fingerprint, now) != QuarantineState::Clear || age >= SUSPICION_TTL {
             return;
         }
         make_room(&mut self.suspects, MAX_SUSPECTS, |suspect| suspect.last_death);
--- a/crates/policy/src/quarantine/table.rs
+++ b/crates/policy/src/quarantine/table.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Time,
-    quarantine::{MAX_REFUSED_FOR, REFUSED_FOR, SAME_CAUSE, SUSPECT_FOR},
+    quarantine::{COMMON_CAUSE_WINDOW, FIRST_REFUSAL_PERIOD, MAX_REFUSAL_PERIOD, SUSPICION_TTL},
 };
 
 /// The most suspects kept, at about 60 bytes each: some hundred running requests at each of 40
@@ -34,7 +34,7 @@
         if !self.is_current(now) {
             self.deaths = 0;
         }
-        let is_other_cause = ran_apart || now.since(self.last_death) >= SAME_CAUSE;
+        let is_other_cause = ran_apart || now.since(self.last_death) >= COMMON_CAUSE_WINDOW;
         if self.deaths == 0 || is_other_cause {
             self.deaths += 1;
         }
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn is_current(&self, now: Time) -> bool {
-        now.since(self.last_death) < SUSPECT_FOR
+        now.since(self.last_death) < SUSPICION_TTL
     }
 }
 
@@ -53,12 +53,13 @@
 }
 
 impl Confirmed {
-    pub(super) const NEW: Confirmed = Confirmed { until: Time::ZERO, next_span: REFUSED_FOR };
+    pub(super) const NEW: Confirmed =
+        Confirmed { until: Time::ZERO, next_span: FIRST_REFUSAL_PERIOD };
 
     /// Starts the next term, twice as long as the one before.
     pub(super) fn renew(&mut self, now: Time) {
         self.until = self.until.max(now + self.next_span);
-        self.next_span = (self.next_span * 2).min(MAX_REFUSED_FOR);
+        self.next_span = (self.next_span * 2).min(MAX_REFUSAL_PERIOD);
     }
 
     pub(super) fn extend(&mut self, until: Time) {
--- a/crates/policy/src/selection/cost.rs
+++ b/crates/policy/src/selection/cost.rs
@@ -10,7 +10,7 @@
 /// The part of an engine's step time that a prefill under way takes from each other request on
 /// the engine. Continuous batching mixes a chunk of prefill into each step; half is a first guess
 /// that lets a prefill weigh on its neighbours without outweighing its own wait.
-pub const STEP_SHARE: f64 = 0.5;
+pub const PREFILL_STEP_SHARE: f64 = 0.5;
 
 /// Weighted seconds of delay. Only comparisons between costs of the same request mean anything.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,10 +34,10 @@
         best: Cost,
         share: f64,
         unreported_work: Duration,
-        ask: &SelectionRequest,
+        request: &SelectionRequest,
     ) -> bool {
         let total = (best.wait + best.service) * (1.0 + share);
-        let blurred = total + own_weight(ask) * unreported_work.as_secs_f64();
+        let blurred = total + own_weight(request) * unreported_work.as_secs_f64();
         let as_good = self.service <= best.service * (1.0 + share);
         self.wait + self.service <= if as_good { blurred } else { total }
     }
@@ -45,38 +45,39 @@
 
 /// The cost of placing `ask` on `candidate`: its own weighted first token and the weighted delay
 /// that its prefill causes to what runs there.
-pub fn cost(candidate: &Candidate, ask: &SelectionRequest) -> Cost {
-    let own_weight = own_weight(ask) * candidate.caution.max(1.0);
-    let prefill = prefill(candidate, ask);
-    let delayed = f64::from(candidate.shorts_running) * ask.weights.short_slowdown
-        + f64::from(candidate.longs_running) * ask.weights.long_first_token;
+pub fn cost(candidate: &Candidate, request: &SelectionRequest) -> Cost {
+    let own_weight = own_weight(request) * candidate.penalty.max(1.0);
+    let prefill = prefill(candidate, request);
+    let delayed = f64::from(candidate.shorts_running) * request.weights.short_slowdown
+        + f64::from(candidate.longs_running) * request.weights.long_first_token;
     Cost {
         wait: own_weight * candidate.wait.as_secs_f64(),
-        service: own_weight * served(candidate, ask, prefill) + prefill * STEP_SHARE * delayed,
+        service: own_weight * served(candidate, request, prefill)
+            + prefill * PREFILL_STEP_SHARE * delayed,
     }
 }
 
 /// Predicted time until the caller has the first token of `ask`, if placed on `candidate` now.
-pub fn first_token(candidate: &Candidate, ask: &SelectionRequest) -> Duration {
-    let served = served(candidate, ask, prefill(candidate, ask));
+pub fn first_token(candidate: &Candidate, request: &SelectionRequest) -> Duration {
+    let served = served(candidate, request, prefill(candidate, request));
     let served = Duration::try_from_secs_f64(served).unwrap_or(Duration::MAX);
     candidate.wait.saturating_add(served)
 }
 
 /// Seconds from the start of the prefill to the first token at the caller. The prefill of a short
 /// prompt is stretched by the long ones that it shares steps with.
-fn served(candidate: &Candidate, ask: &SelectionRequest, prefill: f64) -> f64 {
-    let beside = if ask.long { 0.0 } else { f64::from(candidate.longs_running) };
-    prefill * (1.0 + STEP_SHARE * beside) + 2.0 * candidate.distance.as_secs_f64()
+fn served(candidate: &Candidate, request: &SelectionRequest, prefill: f64) -> f64 {
+    let beside = if request.long { 0.0 } else { f64::from(candidate.longs_running) };
+    prefill * (1.0 + PREFILL_STEP_SHARE * beside) + 2.0 * candidate.distance.as_secs_f64()
 }
 
 /// Seconds to prefill what isn't cached. At least one token is always prefilled, because engines
 /// compute the last one anew even for a prompt they hold whole.
-fn prefill(candidate: &Candidate, ask: &SelectionRequest) -> f64 {
-    let uncached = (ask.prompt - candidate.cached).0.max(1);
+fn prefill(candidate: &Candidate, request: &SelectionRequest) -> f64 {
+    let uncached = (request.prompt - candidate.cached).0.max(1);
     candidate.rate.seconds(Tokens(uncached))
 }
 
-fn own_weight(ask: &SelectionRequest) -> f64 {
-    if ask.long { ask.weights.long_first_token } else { ask.weights.short_slowdown }
+fn own_weight(request: &SelectionRequest) -> f64 {
+    if request.long { request.weights.long_first_token } else { request.weights.short_slowdown }
 }
--- a/crates/policy/src/selection/mod.rs
+++ b/crates/policy/src/selection/mod.rs
@@ -29,21 +29,21 @@
 
 use fastrand::Rng;
 
-pub use cost::{Cost, STEP_SHARE, cost, first_token};
+pub use cost::{Cost, PREFILL_STEP_SHARE, cost, first_token};
 
 use crate::{EndpointId, TokenRate, Tokens, config::Weights, rendezvous};
 
 /// Costs that differ by less than this share are equal. Learned speeds and reported queues are off
 /// by about this much, so a finer distinction would follow noise.
-pub const NEAR_SHARE: f64 = 0.1;
+pub const EQUAL_COST_RATIO: f64 = 0.1;
 
 /// Waits that differ by less than this are equal, however fresh the view: below it lie loopback
 /// and switch delays.
-pub const NEAR_FLOOR: Duration = Duration::from_millis(1);
+pub const MIN_UNREPORTED_WORK: Duration = Duration::from_millis(1);
 
 /// No view is taken to be wrong by more than this. Digests come at least twice a second, so an
 /// older view means lost links, and then drawing more widely would only waste what is known.
-pub const MAX_UNHEARD: Duration = Duration::from_secs(1);
+pub const MAX_UNREPORTED_WORK: Duration = Duration::from_secs(1);
 
 /// An endpoint that could take the request, as this instance sees it.
 #[derive(Debug, Clone, PartialEq)]
@@ -65,9 +65,9 @@
     /// Requests with long prompts under way there.
     pub longs_running: u32,
     /// Whether long prompts may be placed there now.
-    pub long_open: bool,
+    pub accepts_long: bool,
     /// 1 for a healthy endpoint, more for a slow or recovering one; see [`crate::health`].
-    pub caution: f64,
+    pub penalty: f64,
 }
 
 /// What is to be placed.
@@ -107,7 +107,7 @@
     /// prompts if this is one. What is cached there needs no second copy.
     pub fn fits(&self, candidate: &Candidate) -> bool {
         let needed = self.footprint - candidate.cached.min(self.prompt);
-        needed <= candidate.free && (candidate.long_open || !self.long)
+        needed <= candidate.free && (candidate.accepts_long || !self.long)
     }
 }
 
@@ -116,21 +116,25 @@
 /// time, and all but one's own part of it goes unheard.
 pub fn unreported_work(age: Duration, busy: f64, instances: usize) -> Duration {
     let others = 1.0 - 1.0 / instances.max(1) as f64;
-    age.mul_f64(busy.clamp(0.0, 1.0) * others).min(MAX_UNHEARD)
+    age.mul_f64(busy.clamp(0.0, 1.0) * others).min(MAX_UNREPORTED_WORK)
 }
 
 /// Chooses the endpoint for `ask`, as index into `candidates`; none where none can take it now.
-pub fn choose(candidates: &[Candidate], ask: &SelectionRequest, rng: &mut Rng) -> Option<usize> {
+pub fn choose(
+    candidates: &[Candidate],
+    request: &SelectionRequest,
+    rng: &mut Rng,
+) -> Option<usize> {
     let costs: Vec<Priced> = candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| ask.fits(candidate))
-        .map(|(index, candidate)| Priced { index, cost: cost(candidate, ask) })
+        .filter(|(_, candidate)| request.fits(candidate))
+        .map(|(index, candidate)| Priced { index, cost: cost(candidate, request) })
         .collect();
     let best = costs.iter().min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-    let near = near_best(candidates, &costs, best, ask);
-    if let Some(prefix) = ask.prefix
-        && leaves_its_holder(candidates, &near, ask)
+    let near = near_best(candidates, &costs, best, request);
+    if let Some(prefix) = request.prefix
+        && leaves_its_holder(candidates, &near, request)
     {
         return rendezvous::owner(prefix, near.iter().map(|p| &candidates[p.index].endpoint))
             .map(|winner| near[winner].index);
@@ -139,10 +143,10 @@
 }
 
 /// Chooses always the cheapest: the baseline that herds, kept to measure against.
-pub fn choose_cheapest(candidates: &[Candidate], ask: &SelectionRequest) -> Option<usize> {
+pub fn choose_cheapest(candidates: &[Candidate], request: &SelectionRequest) -> Option<usize> {
     (0..candidates.len())
-        .filter(|index| ask.fits(&candidates[*index]))
-        .min_by(|a, b| cost(&candidates[*a], ask).total_cmp(&cost(&candidates[*b], ask)))
+        .filter(|index| request.fits(&candidates[*index]))
+        .min_by(|a, b| cost(&candidates[*a], request).total_cmp(&cost(&candidates[*b], request)))
 }
 
 #[derive(Clone, Copy)]
@@ -157,21 +161,25 @@
     candidates: &[Candidate],
     costs: &[Priced],
     best: &Priced,
-    ask: &SelectionRequest,
+    request: &SelectionRequest,
 ) -> Vec<Priced> {
     let cheapest = &candidates[best.index];
-    let unreported_work = ask.unreported_work.clamp(NEAR_FLOOR, MAX_UNHEARD);
+    let unreported_work = request.unreported_work.clamp(MIN_UNREPORTED_WORK, MAX_UNREPORTED_WORK);
     costs
         .iter()
-        .filter(|priced| priced.cost.is_near(best.cost, NEAR_SHARE, unreported_work, ask))
+        .filter(|priced| priced.cost.is_near(best.cost, EQUAL_COST_RATIO, unreported_work, request))
         .filter(|priced| candidates[priced.index].distance <= cheapest.distance)
         .copied()
         .collect()
 }
 
 /// Whether some engine holds at least half of the prompt and none of the equals does.
-fn leaves_its_holder(candidates: &[Candidate], near: &[Priced], ask: &SelectionRequest) -> bool {
-    let holds = |candidate: &Candidate| candidate.cached.0 * 2 >= ask.prompt.0.max(1);
+fn leaves_its_holder(
+    candidates: &[Candidate],
+    near: &[Priced],
+    request: &SelectionRequest,
+) -> bool {
+    let holds = |candidate: &Candidate| candidate.cached.0 * 2 >= request.prompt.0.max(1);
     candidates.iter().any(holds) && !near.iter().any(|priced| holds(&candidates[priced.index]))
 }
 
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use policy::{
     EndpointId, FailCause, Time,
-    health::{EjectCause, Health, HealthState, RAMP_CAUTION, silence},
+    health::{EjectionCause, Health, HealthState, RAMP_UP_PENALTY, silence},
 };
 
 fn endpoint(n: usize) -> EndpointId {
@@ -30,7 +30,7 @@
     }
 
     fn fail(mut self, n: usize, cause: FailCause, times: u32) -> Group {
-        (0..times).for_each(|_| self.health.failed(&endpoint(n), cause));
+        (0..times).for_each(|_| self.health.record_failure(&endpoint(n), cause));
         self
     }
 
@@ -38,12 +38,12 @@
     fn answer(mut self, n: usize, slowness: f64) -> Group {
         let predicted = Duration::from_millis(100);
         (0..10).for_each(|_| {
-            self.health.answered(&endpoint(n), predicted.mul_f64(slowness), predicted);
+            self.health.record_answer(&endpoint(n), predicted.mul_f64(slowness), predicted);
         });
         self
     }
 
-    fn causes(&mut self, needed: usize) -> Vec<EjectCause> {
+    fn causes(&mut self, needed: usize) -> Vec<EjectionCause> {
         let ejected = self.health.assess(needed, self.now, &mut self.rng);
         ejected.into_iter().map(|ejected| ejected.cause).collect()
     }
@@ -58,7 +58,7 @@
     )*};
 }
 
-use EjectCause::{Dead, Failures, Slow};
+use EjectionCause::{Dead, Failures, Slow};
 use FailCause::{Broken, NotSent, Rejected, Silent};
 
 ejects! {
@@ -94,9 +94,9 @@
 fn a_slow_endpoint_costs_more_before_it_is_ejected() {
     let mut group = Group::of(4).answer(0, 1.0).answer(1, 1.0).answer(2, 1.0).answer(3, 3.0);
     assert!(group.causes(1).is_empty());
-    let caution = |n| group.health.standing(&endpoint(n), group.now);
-    assert_eq!(caution(0), HealthState::Usable(1.0));
-    assert!(matches!(caution(3), HealthState::Usable(caution) if (caution - 3.0).abs() < 1e-9));
+    let penalty = |n| group.health.state(&endpoint(n), group.now);
+    assert_eq!(penalty(0), HealthState::Usable(1.0));
+    assert!(matches!(penalty(3), HealthState::Usable(penalty) if (penalty - 3.0).abs() < 1e-9));
 }
 
 #[test]
@@ -105,32 +105,32 @@
     group.causes(1);
     let mut gaps = Vec::new();
     for _ in 0..6 {
-        assert_eq!(group.health.standing(&endpoint(0), group.now), HealthState::Out);
+        assert_eq!(group.health.state(&endpoint(0), group.now), HealthState::Ejected);
         let due = group.health.next_probe().unwrap();
         gaps.push(due.since(group.now).as_secs());
         assert!(group.health.due_probes(group.now).is_empty());
         group.now = due;
         assert_eq!(group.health.due_probes(group.now), [endpoint(0)]);
         assert!(group.health.due_probes(group.now).is_empty(), "one probe at a time");
-        group.health.probed(&endpoint(0), false, group.now, &mut group.rng);
+        group.health.record_probe(&endpoint(0), false, group.now, &mut group.rng);
     }
     assert!(gaps.windows(2).all(|pair| pair[0] <= pair[1] || pair[1] >= 60), "{gaps:?}");
     assert!(gaps.iter().all(|gap| (5..=75).contains(gap)), "{gaps:?}");
 
-    group.health.probed(&endpoint(0), true, group.now, &mut group.rng);
-    let caution = |seconds| {
+    group.health.record_probe(&endpoint(0), true, group.now, &mut group.rng);
+    let penalty = |seconds| {
         let at = group.now + Duration::from_secs(seconds);
-        group.health.standing(&endpoint(0), at)
+        group.health.state(&endpoint(0), at)
     };
-    assert_eq!(caution(0), HealthState::Usable(RAMP_CAUTION));
-    assert_eq!(caution(10), HealthState::Usable(1.0));
+    assert_eq!(penalty(0), HealthState::Usable(RAMP_UP_PENALTY));
+    assert_eq!(penalty(10), HealthState::Usable(1.0));
 }
 
 #[test]
 fn where_all_are_out_all_may_be_tried() {
     let mut group = Group::of(2).fail(0, NotSent, 2).fail(1, NotSent, 2);
     assert_eq!(group.causes(1), [Dead, Dead]);
-    assert!(matches!(group.health.standing(&endpoint(0), group.now), HealthState::Usable(_)));
+    assert!(matches!(group.health.state(&endpoint(0), group.now), HealthState::Usable(_)));
 }
 
 /// What a user sees: answers that hang until the deadline, from an endpoint that serves others
@@ -140,11 +140,14 @@
 fn one_probe_settles_all_silent_connections() {
     let mut detector = silence::SilenceDetector::new();
     let (opened, noticed) = (Time::from_millis(0), Time::from_millis(5_000));
-    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::Verdict::Probe);
-    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::Verdict::Wait);
-    assert_eq!(detector.probed(&endpoint(0), true), silence::Verdict::DropBefore(noticed));
+    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::SilenceAction::Probe);
+    assert_eq!(detector.silent(&endpoint(0), opened, noticed), silence::SilenceAction::Wait);
+    assert_eq!(detector.probed(&endpoint(0), true), silence::SilenceAction::DropBefore(noticed));
     let later = Time::from_millis(5_200);
-    assert_eq!(detector.silent(&endpoint(0), opened, later), silence::Verdict::DropBefore(noticed));
-    assert_eq!(detector.silent(&endpoint(0), later, later), silence::Verdict::Probe);
-    assert_eq!(detector.probed(&endpoint(0), false), silence::Verdict::Dead);
+    assert_eq!(
+        detector.silent(&endpoint(0), opened, later),
+        silence::SilenceAction::DropBefore(noticed)
+    );
+    assert_eq!(detector.silent(&endpoint(0), later, later), silence::SilenceAction::Probe);
+    assert_eq!(detector.probed(&endpoint(0), false), silence::SilenceAction::Dead);
 }
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -22,8 +22,8 @@
         free: Tokens(400_000),
         shorts_running: 0,
         longs_running: 0,
-        long_open: true,
-        caution: 1.0,
+        accepts_long: true,
+        penalty: 1.0,
     }
 }
 
@@ -43,12 +43,12 @@
     SelectionRequest { prompt: Tokens(200_000), footprint: Tokens(210_000), long: true, ..SHORT };
 
 macro_rules! always {
-    ($($case:ident: $ask:expr, $candidates:expr => $wanted:expr;)*) => {$(
+    ($($case:ident: $request:expr, $candidates:expr => $wanted:expr;)*) => {$(
         #[test]
         fn $case() {
             let candidates = $candidates;
             for seed in 0..200 {
-                assert_eq!(choose(&candidates, &$ask, &mut Rng::with_seed(seed)), $wanted);
+                assert_eq!(choose(&candidates, &$request, &mut Rng::with_seed(seed)), $wanted);
             }
         }
     )*};
@@ -71,12 +71,12 @@
     a_cached_prefix_wins_only_while_its_queue_costs_less: LONG,
         [candidate("a"), Candidate { cached: Tokens(190_000), ..waiting("b", 60_000) }] => Some(0);
     a_long_prompt_stays_out_where_long_ones_are_closed: LONG,
-        [Candidate { long_open: false, ..candidate("a") }, waiting("b", 5_000)] => Some(1);
+        [Candidate { accepts_long: false, ..candidate("a") }, waiting("b", 5_000)] => Some(1);
     an_endpoint_without_room_is_left_out: LONG,
         [Candidate { free: Tokens(100_000), ..candidate("a") }] => None;
     no_candidate_means_no_choice: SHORT, [] => None;
     a_slow_endpoint_gets_nothing_while_others_idle: SHORT,
-        [Candidate { caution: 5.0, ..candidate("a") }, candidate("b")] => Some(1);
+        [Candidate { penalty: 5.0, ..candidate("a") }, candidate("b")] => Some(1);
     a_long_prompt_avoids_the_engine_full_of_short_ones: LONG,
         [Candidate { shorts_running: 10, ..candidate("a") }, waiting("b", 3_000)] => Some(1);
 }
@@ -88,9 +88,9 @@
     let candidates =
         [Candidate { shorts_running: 2, ..candidate("busy") }, waiting("queued", 13_000)];
     let weighed = |long_first_token, short_slowdown| {
-        let ask =
+        let request =
             SelectionRequest { weights: Weights { long_first_token, short_slowdown }, ..LONG };
-        choose(&candidates, &ask, &mut Rng::with_seed(1))
+        choose(&candidates, &request, &mut Rng::with_seed(1))
     };
     assert_eq!(weighed(4.0, 1.0), Some(0));
     assert_eq!(weighed(1.0, 4.0), Some(1));
@@ -116,9 +116,9 @@
         #[test]
         fn $case() {
             let site = $site;
-            let sharp = |ask: &SelectionRequest| SelectionRequest { unreported_work: Duration::ZERO, ..*ask };
-            let cheapest = replay(&site, |candidates, ask, _| choose_cheapest(candidates, ask));
-            let narrow = replay(&site, |all, ask, rng| choose(all, &sharp(ask), rng));
+            let sharp = |request: &SelectionRequest| SelectionRequest { unreported_work: Duration::ZERO, ..*request };
+            let cheapest = replay(&site, |candidates, request, _| choose_cheapest(candidates, request));
+            let narrow = replay(&site, |all, request, rng| choose(all, &sharp(request), rng));
             let policy = replay(&site, choose);
             println!("{site:?}\n cheapest {cheapest:?}\n draw among ties {narrow:?}\n draw within unheard {policy:?}");
             assert!(policy.p99 < cheapest.p99, "{policy:?} {cheapest:?}");
@@ -186,11 +186,11 @@
                 })
                 .collect();
             let age = Duration::from_secs_f64(now - reported_at);
-            let ask = SelectionRequest {
+            let request = SelectionRequest {
                 unreported_work: unreported_work(age, site.busy, site.instances),
                 ..SelectionRequest::new(Tokens(prompt), false)
             };
-            let chosen = choose(&candidates, &ask, &mut rng).unwrap();
+            let chosen = choose(&candidates, &request, &mut rng).unwrap();
             let work = prompt as f64 / 20_000.0;
             let wait = (free_at[chosen] - now).max(0.0);
             waits.push(wait);
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -9,7 +9,8 @@
 use policy::{
     EndpointId, Fingerprint, Time,
     quarantine::{
-        Entry, MAX_SUSPECTS, Quarantine, QuarantineState, REFUSED_FOR, SPARED_FOR, SUSPECT_FOR,
+        Entry, FIRST_REFUSAL_PERIOD, LAST_ENDPOINT_GRACE_PERIOD, MAX_SUSPECTS, Quarantine,
+        QuarantineState, SUSPICION_TTL,
     },
 };
 use quickcheck::quickcheck;
@@ -50,12 +51,10 @@
             }
         }
         assert_eq!(deaths, 2);
-        assert!(matches!(quarantine.standing(KILLER, now), QuarantineState::Refused(_)));
+        assert!(matches!(quarantine.state(KILLER, now), QuarantineState::Refused(_)));
         assert!(!quarantine.may_run(KILLER, &endpoint(3), 3, now));
-        assert!(
-            (1..40).all(|n| quarantine.standing(Fingerprint(n), now) == QuarantineState::Clear)
-        );
-        assert_eq!(quarantine.standing(Fingerprint(100), now), QuarantineState::Suspect);
+        assert!((1..40).all(|n| quarantine.state(Fingerprint(n), now) == QuarantineState::Clear));
+        assert_eq!(quarantine.state(Fingerprint(100), now), QuarantineState::Suspect);
     }
 }
 
@@ -74,7 +73,7 @@
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 3, now));
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(2), 1, now));
-    let later = at(10) + SPARED_FOR;
+    let later = at(10) + LAST_ENDPOINT_GRACE_PERIOD;
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 1, later), "a single endpoint");
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 1, later), "still apart");
     assert!(quarantine.may_run(Fingerprint(3), &endpoint(1), 1, now), "no suspect, no bounds");
@@ -85,7 +84,7 @@
 #[test]
 fn suspects_of_other_instances_are_kept_apart_too() {
     let mut quarantine = suspects(&[1]);
-    quarantine.heard_running(&endpoint(1), at(12));
+    quarantine.record_peer_suspect(&endpoint(1), at(12));
     assert!(!quarantine.may_run(Fingerprint(1), &endpoint(1), 3, at(13)));
     assert!(quarantine.may_run(Fingerprint(1), &endpoint(1), 3, at(16)));
 }
@@ -102,7 +101,7 @@
             at(10) + Duration::from_millis(300 * n as u64),
         );
     }
-    assert_eq!(quarantine.standing(Fingerprint(1), at(11)), QuarantineState::Suspect);
+    assert_eq!(quarantine.state(Fingerprint(1), at(11)), QuarantineState::Suspect);
 }
 
 /// What a user sees without it: all four engines die within a second of one call. The call was run
@@ -114,27 +113,33 @@
     let now = at(10) + Duration::from_millis(50);
     quarantine.started(Fingerprint(1), &endpoint(1), now);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], now);
-    assert_eq!(quarantine.standing(Fingerprint(1), now), QuarantineState::Refused(REFUSED_FOR));
-    assert_eq!(quarantine.standing(Fingerprint(2), now), QuarantineState::Suspect);
+    assert_eq!(
+        quarantine.state(Fingerprint(1), now),
+        QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
+    );
+    assert_eq!(quarantine.state(Fingerprint(2), now), QuarantineState::Suspect);
 }
 
 #[test]
 fn a_verdict_expires_and_the_next_lasts_twice_as_long() {
     let mut quarantine = suspects(&[1]);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], at(20));
-    assert_eq!(quarantine.standing(Fingerprint(1), at(20)), QuarantineState::Refused(REFUSED_FOR));
-    let over = at(20) + REFUSED_FOR;
-    assert_eq!(quarantine.standing(Fingerprint(1), over), QuarantineState::Clear);
+    assert_eq!(
+        quarantine.state(Fingerprint(1), at(20)),
+        QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
+    );
+    let over = at(20) + FIRST_REFUSAL_PERIOD;
+    assert_eq!(quarantine.state(Fingerprint(1), over), QuarantineState::Clear);
     quarantine.died(&endpoint(1), &[Fingerprint(1)], over);
     quarantine.died(&endpoint(2), &[Fingerprint(1)], over + Duration::from_secs(10));
-    let again = quarantine.standing(Fingerprint(1), over + Duration::from_secs(10));
-    assert_eq!(again, QuarantineState::Refused(REFUSED_FOR * 2));
+    let again = quarantine.state(Fingerprint(1), over + Duration::from_secs(10));
+    assert_eq!(again, QuarantineState::Refused(FIRST_REFUSAL_PERIOD * 2));
 }
 
 #[test]
 fn an_old_suspicion_is_forgotten() {
     let quarantine = suspects(&[1]);
-    assert_eq!(quarantine.standing(Fingerprint(1), at(10) + SUSPECT_FOR), QuarantineState::Clear);
+    assert_eq!(quarantine.state(Fingerprint(1), at(10) + SUSPICION_TTL), QuarantineState::Clear);
 }
 
 #[test]
@@ -144,9 +149,9 @@
     let mut there = Quarantine::new();
     // Clocks differ between instances: only spans are told.
     there.import(&here.export(at(30)), at(5_000));
-    let left = REFUSED_FOR - Duration::from_secs(10);
-    assert_eq!(there.standing(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
-    assert_eq!(there.standing(Fingerprint(2), at(5_000)), QuarantineState::Suspect);
+    let left = FIRST_REFUSAL_PERIOD - Duration::from_secs(10);
+    assert_eq!(there.state(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
+    assert_eq!(there.state(Fingerprint(2), at(5_000)), QuarantineState::Suspect);
 }
 
 #[test]
