--- a/crates/daemon/src/peer/compact.rs
+++ b/crates/daemon/src/peer/compact.rs
@@ -48,10 +48,10 @@
     workspaces: Vec<CompactWorkspace>,
     queued: [Tokens; BANDS],
     demand: [f32; BANDS],
-    wishes: Vec<PendingReservation>,
+    pending_reservations: Vec<PendingReservation>,
     suspicions: Vec<Entry>,
-    suspects_at: Vec<EndpointId>,
-    longs_late: bool,
+    suspect_endpoints: Vec<EndpointId>,
+    long_prompts_starved: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -98,10 +98,10 @@
                 .collect(),
             queued: part.queued,
             demand: part.demand.map(|rate| rate.0 as f32),
-            wishes: part.wishes,
+            pending_reservations: part.pending_reservations,
             suspicions: part.suspicions,
-            suspects_at: part.suspects_at,
-            longs_late: part.longs_late,
+            suspect_endpoints: part.suspect_endpoints,
+            long_prompts_starved: part.long_prompts_starved,
         }
     }
 }
@@ -175,10 +175,10 @@
             workspaces: workspaces.collect::<Result<_, PacketError>>()?,
             queued: load.queued,
             demand: load.demand.map(|rate| TokenRate(rate.into())),
-            wishes: load.wishes,
+            pending_reservations: load.pending_reservations,
             suspicions: load.suspicions,
-            suspects_at: load.suspects_at,
-            longs_late: load.longs_late,
+            suspect_endpoints: load.suspect_endpoints,
+            long_prompts_starved: load.long_prompts_starved,
         };
         Ok(PartOfLoad { deployment, part })
     }
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -78,7 +78,7 @@
         });
         load.digest = digest;
         load.teller.set_budget(budget);
-        let Some(part) = load.teller.part(&load.digest, now) else {
+        let Some(part) = load.teller.next_part(&load.digest, now) else {
             return;
         };
         for link in state.links.values_mut().filter(|link| self.tells_load_to(link)) {
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -208,7 +208,7 @@
     };
     if shared.tells_load_to(&link) {
         for (deployment, load) in &state.loads {
-            outbox.push_load(deployment, &load.teller.whole(&load.digest));
+            outbox.push_load(deployment, &load.teller.full_digest(&load.digest));
         }
     }
     state.links.insert(hello.instance.clone(), link);
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -81,10 +81,10 @@
         }],
         queued: Default::default(),
         demand: Default::default(),
-        wishes: Vec::new(),
+        pending_reservations: Vec::new(),
         suspicions: Vec::new(),
-        suspects_at: Vec::new(),
-        longs_late: true,
+        suspect_endpoints: Vec::new(),
+        long_prompts_starved: true,
     }
 }
 
--- a/crates/policy/examples/place_cost.rs
+++ b/crates/policy/examples/place_cost.rs
@@ -72,10 +72,10 @@
 fn time_expected(endpoints: &[EndpointId]) -> f64 {
     let mut index = CacheIndex::new();
     let prefix: Vec<u64> = (0..16).collect();
-    endpoints.iter().for_each(|endpoint| index.sent(endpoint, Incarnation(1), &prefix));
+    endpoints.iter().for_each(|endpoint| index.record_sent(endpoint, Incarnation(1), &prefix));
     time(|| {
         for endpoint in endpoints {
-            black_box(index.expected(endpoint, black_box(&prefix)));
+            black_box(index.expected_cached(endpoint, black_box(&prefix)));
         }
     })
 }
@@ -97,7 +97,7 @@
     for n in 0..200 {
         let endpoint = EndpointId::new(&format!("model-{n:04}")).unwrap();
         let prefix: Vec<u64> = (0..8_192).map(|_| rng.u64(..)).collect();
-        index.sent(&endpoint, Incarnation(1), &prefix);
+        index.record_sent(&endpoint, Incarnation(1), &prefix);
     }
     let (held, blocks) = (resident_kb() - before, index.len());
     println!("cache index of 200 engines: {blocks} blocks, {held} KB resident");
--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -157,7 +157,7 @@
     /// It is on the request's short list, so that the request can go there.
     fn cached_at_holder(&self, prefix: &[u64]) -> f64 {
         let holder = prefix.first().and_then(|first| self.prefix_holders.get(*first));
-        holder.map_or(0.0, |holder| self.cache.expected(holder, prefix).0 as f64)
+        holder.map_or(0.0, |holder| self.cache.expected_cached(holder, prefix).0 as f64)
     }
 
     /// By when the first token has to be out.
--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -134,7 +134,7 @@
             self.health.record_answer(&shard.endpoint, taken, span(attempt.predicted));
         }
         if let Some(cached) = cached {
-            self.cache.found(&shard.endpoint, attempt.cached, cached);
+            self.cache.record_cached(&shard.endpoint, attempt.cached, cached);
         }
     }
 }
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -37,7 +37,7 @@
     health::Health,
     quarantine::Quarantine,
     report::WorkspaceShare,
-    retry::Budgets,
+    retry::RetryBudgets,
 };
 
 use band::BandLimits;
@@ -110,7 +110,7 @@
     probes: Vec<EndpointId>,
     cache: CacheIndex,
     prefix_holders: PrefixHolders,
-    budgets: Budgets,
+    budgets: RetryBudgets,
     short_limiter: ShortRateLimiter,
     /// Long prompts of this instance without a first token.
     long_prefills: IndexSet<RequestId>,
@@ -188,7 +188,7 @@
             long_prefills: IndexSet::new(),
             short_rate: 0.0,
             unreported_work: 0.0,
-            budgets: Budgets::new(Limits::default().retry_share),
+            budgets: RetryBudgets::new(Limits::default().retry_share),
             quarantine: Quarantine::new(),
             last_trial: f64::NEG_INFINITY,
             unmeasured_requests: IndexSet::new(),
@@ -223,7 +223,7 @@
         }
         self.fleet.apply_peer_digest(&digest, now);
         self.quarantine.import(&digest.suspicions, now);
-        for endpoint in &digest.suspects_at {
+        for endpoint in &digest.suspect_endpoints {
             self.quarantine.record_peer_suspect(endpoint, now);
         }
         self.peers.accept(digest, &mut self.workspaces, now);
@@ -370,10 +370,15 @@
             demand: std::array::from_fn(|band| {
                 TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE_S))
             }),
-            wishes: self.pending_reservations(now),
-            longs_late: self.has_late_long_prompt(now),
+            pending_reservations: self.pending_reservations(now),
+            long_prompts_starved: self.has_late_long_prompt(now),
             suspicions,
-            suspects_at: self.quarantine.running().take(LoadDigest::MAX_ENTRIES).cloned().collect(),
+            suspect_endpoints: self
+                .quarantine
+                .running()
+                .take(LoadDigest::MAX_ENTRIES)
+                .cloned()
+                .collect(),
         }
     }
 }
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -120,7 +120,7 @@
         now: Time,
     ) -> impl Iterator<Item = PeerReservation<'_>> {
         self.digests.iter().filter_map(move |(instance, received)| {
-            let reservation = received.digest.wishes.first()?;
+            let reservation = received.digest.pending_reservations.first()?;
             let waited = reservation.waited + now.since(received.at);
             Some(PeerReservation { instance, waited, reservation })
         })
@@ -130,7 +130,7 @@
         self.queued = PerBand::default();
         self.demand = PerBand::default();
         self.has_late_long_prompt =
-            self.digests.values().any(|received| received.digest.longs_late);
+            self.digests.values().any(|received| received.digest.long_prompts_starved);
         for received in self.digests.values() {
             for (sum, tokens) in self.queued.iter_mut().zip(received.digest.queued) {
                 *sum += tokens.0 as f64;
--- a/crates/policy/src/affinity/blocks.rs
+++ b/crates/policy/src/affinity/blocks.rs
@@ -9,19 +9,19 @@
 /// once that is full, the old half is dropped and the young one takes its place. Both tables
 /// together never hold more than `limit` blocks, and a touch costs one or two table operations.
 #[derive(Debug)]
-pub(super) struct Blocks {
-    young: Half,
-    old: Half,
+pub(super) struct LruBlockSet {
+    young: Generation,
+    old: Generation,
     limit: usize,
     /// Raised by each doubt; a block entered under an older one is doubtful.
     epoch: u32,
 }
 
-type Half = HashMap<u64, u32, BuildHasherDefault<BlockHasher>>;
+type Generation = HashMap<u64, u32, BuildHasherDefault<BlockHasher>>;
 
-impl Blocks {
-    pub(super) fn new(limit: usize) -> Blocks {
-        Blocks { young: Half::default(), old: Half::default(), limit, epoch: 0 }
+impl LruBlockSet {
+    pub(super) fn new(limit: usize) -> LruBlockSet {
+        LruBlockSet { young: Generation::default(), old: Generation::default(), limit, epoch: 0 }
     }
 
     pub(super) fn insert(&mut self, block: u64) {
@@ -38,12 +38,12 @@
     }
 
     /// Whether the block is held for certain; none where it isn't held at all.
-    pub(super) fn certain(&self, block: u64) -> Option<bool> {
+    pub(super) fn is_certain(&self, block: u64) -> Option<bool> {
         let entered = self.young.get(&block).or_else(|| self.old.get(&block))?;
         Some(*entered == self.epoch)
     }
 
-    pub(super) fn doubt_all(&mut self) {
+    pub(super) fn mark_all_uncertain(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
     }
 
@@ -51,10 +51,10 @@
     pub(super) fn limit(&mut self, limit: usize) {
         self.limit = self.limit.min(limit);
         if self.len() > self.limit {
-            self.old = Half::default();
+            self.old = Generation::default();
         }
         if self.young.len() > self.limit {
-            self.young = Half::default();
+            self.young = Generation::default();
         }
     }
 
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -25,14 +25,14 @@
 
 use crate::{CacheEvents, EndpointId, Incarnation, RequestSpec, Tokens};
 
-use blocks::Blocks;
+use blocks::LruBlockSet;
 
 /// What a doubtful block counts, as a share of its size. One half: the engine either evicted it in
 /// the gap or didn't, and nothing tells which.
-pub const DOUBT: f64 = 0.5;
+pub const UNCERTAIN_WEIGHT: f64 = 0.5;
 
 /// The most blocks remembered for one engine.
-pub const BLOCKS_PER_ENGINE: usize = 8_192;
+pub const MAX_BLOCKS_PER_ENGINE: usize = 8_192;
 
 /// The most blocks remembered in all, at some 40 bytes each in the hash tables.
 pub const MAX_BLOCKS: usize = 1 << 20;
@@ -40,15 +40,15 @@
 /// The likely content of each engine's prefix cache.
 #[derive(Debug, Default)]
 pub struct CacheIndex {
-    engines: IndexMap<EndpointId, Engine>,
+    engines: IndexMap<EndpointId, EngineCache>,
 }
 
 #[derive(Debug)]
-struct Engine {
+struct EngineCache {
     incarnation: Incarnation,
     /// The sequence number of the next event; none before the first event of this life.
     next: Option<u64>,
-    blocks: Blocks,
+    blocks: LruBlockSet,
 }
 
 impl CacheIndex {
@@ -66,7 +66,7 @@
         // The feed starts at the engine's first event; hearing it from the middle is a gap too.
         let expected = engine.next.unwrap_or(0);
         if events.from > expected {
-            engine.blocks.doubt_all();
+            engine.blocks.mark_all_uncertain();
         }
         let known = usize::try_from(expected.saturating_sub(events.from)).unwrap_or(usize::MAX);
         for (block, stored) in events.events.iter().skip(known) {
@@ -81,31 +81,34 @@
 
     /// Takes note that a prompt was sent to an engine, which will have cached it by the time that
     /// another prompt of the same prefix gets there.
-    pub fn sent(&mut self, endpoint: &EndpointId, incarnation: Incarnation, prefix: &[u64]) {
+    pub fn record_sent(&mut self, endpoint: &EndpointId, incarnation: Incarnation, prefix: &[u64]) {
         if let Some(engine) = self.engine(endpoint, incarnation) {
-            prefix.iter().take(BLOCKS_PER_ENGINE).for_each(|block| engine.blocks.insert(*block));
+            prefix
+                .iter()
+                .take(MAX_BLOCKS_PER_ENGINE)
+                .for_each(|block| engine.blocks.insert(*block));
         }
     }
 
     /// Takes note of how much of a prompt an engine found cached. Less than half of what was
     /// expected shows that events were lost, so the rest of the index is doubtful as well.
-    pub fn found(&mut self, endpoint: &EndpointId, expected: Tokens, cached: Tokens) {
+    pub fn record_cached(&mut self, endpoint: &EndpointId, expected: Tokens, cached: Tokens) {
         if cached.0 * 2 < expected.0
             && let Some(engine) = self.engines.get_mut(endpoint)
         {
-            engine.blocks.doubt_all();
+            engine.blocks.mark_all_uncertain();
         }
     }
 
     /// How much of a prompt with these block hashes the engine likely has cached.
-    pub fn expected(&self, endpoint: &EndpointId, prefix: &[u64]) -> Tokens {
+    pub fn expected_cached(&self, endpoint: &EndpointId, prefix: &[u64]) -> Tokens {
         let Some(engine) = self.engines.get(endpoint) else {
             return Tokens::ZERO;
         };
         let held: f64 = prefix
             .iter()
-            .map_while(|block| engine.blocks.certain(*block))
-            .map(|certain| if certain { 1.0 } else { DOUBT })
+            .map_while(|block| engine.blocks.is_certain(*block))
+            .map(|certain| if certain { 1.0 } else { UNCERTAIN_WEIGHT })
             .sum();
         Tokens((held * RequestSpec::PREFIX_BLOCK.0 as f64) as u64)
     }
@@ -127,11 +130,15 @@
 
     /// The engine's index at `incarnation`: emptied where that is newer than the known one, none
     /// where it is older.
-    fn engine(&mut self, endpoint: &EndpointId, incarnation: Incarnation) -> Option<&mut Engine> {
+    fn engine(
+        &mut self,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+    ) -> Option<&mut EngineCache> {
         if !self.engines.contains_key(endpoint) {
-            let share = (MAX_BLOCKS / (self.engines.len() + 1)).min(BLOCKS_PER_ENGINE);
+            let share = (MAX_BLOCKS / (self.engines.len() + 1)).min(MAX_BLOCKS_PER_ENGINE);
             self.engines.values_mut().for_each(|engine| engine.blocks.limit(share));
-            let engine = Engine { incarnation, next: None, blocks: Blocks::new(share) };
+            let engine = EngineCache { incarnation, next: None, blocks: LruBlockSet::new(share) };
             self.engines.insert(endpoint.clone(), engine);
         }
         let engine = self.engines.get_mut(endpoint)?;
--- a/crates/policy/src/answers.rs
+++ b/crates/policy/src/answers.rs
@@ -18,14 +18,14 @@
 use indexmap::IndexMap;
 
 /// Answers of a route that are remembered.
-const KEPT: usize = 200;
+const MAX_ANSWERS_PER_ROUTE: usize = 200;
 
 /// Answers that have to be seen before they say anything of the next one.
-const ENOUGH: usize = 20;
+const MIN_ANSWERS: usize = 20;
 
 /// Routes that are remembered; the one that was noted first goes first. Sites have a few dozen with
 /// traffic.
-const ROUTES: usize = 512;
+const MAX_ROUTES: usize = 512;
 
 /// The times of the latest answers by route, from the first event to the last.
 #[derive(Debug, Default)]
@@ -35,23 +35,23 @@
 
 impl AnswerTimes {
     /// Takes note of a whole answer.
-    pub fn note(&mut self, route: &str, writing: Duration) {
+    pub fn record(&mut self, route: &str, decoding: Duration) {
         if !self.routes.contains_key(route) {
-            if self.routes.len() >= ROUTES {
+            if self.routes.len() >= MAX_ROUTES {
                 self.routes.shift_remove_index(0);
             }
             self.routes.insert(route.to_owned(), VecDeque::new());
         }
         let Some(times) = self.routes.get_mut(route) else { return };
-        if times.len() >= KEPT {
+        if times.len() >= MAX_ANSWERS_PER_ROUTE {
             times.pop_front();
         }
-        times.push_back(writing);
+        times.push_back(decoding);
     }
 
     /// How long the next answer takes at most, as far as that can be said.
-    pub fn bound(&self, route: &str) -> Option<Duration> {
-        let times = self.routes.get(route).filter(|times| times.len() >= ENOUGH)?;
+    pub fn upper_bound(&self, route: &str) -> Option<Duration> {
+        let times = self.routes.get(route).filter(|times| times.len() >= MIN_ANSWERS)?;
         times.iter().max().copied()
     }
 }
--- a/crates/policy/src/any.rs
+++ b/crates/policy/src/any.rs
@@ -6,7 +6,7 @@
     Admission, Decision, EndpointChange, Event, Incarnation, InstanceId, LoadDigest, RequestSpec,
     Scheduler, Time,
     adaptive::AdaptiveScheduler,
-    baseline::{FirstCome, LeastOutstanding, Naive, RoundRobin},
+    baseline::{BaselineScheduler, FirstComeFirstServed, LeastOutstanding, RoundRobin},
     config::{self, PolicyName},
 };
 
@@ -17,11 +17,11 @@
     /// The product's own.
     Adaptive(Box<AdaptiveScheduler>),
     /// Endpoints in turn.
-    RoundRobin(Naive<RoundRobin>),
+    RoundRobin(BaselineScheduler<RoundRobin>),
     /// The endpoint with the fewest own requests.
-    LeastOutstanding(Naive<LeastOutstanding>),
+    LeastOutstanding(BaselineScheduler<LeastOutstanding>),
     /// One queue in order of arrival.
-    FirstCome(Naive<FirstCome>),
+    FirstCome(BaselineScheduler<FirstComeFirstServed>),
 }
 
 impl AnyScheduler {
@@ -33,17 +33,19 @@
         seed: u64,
     ) -> Self {
         match policy {
-            PolicyName::RoundRobin => AnyScheduler::RoundRobin(Naive::new(instance, incarnation)),
+            PolicyName::RoundRobin => {
+                AnyScheduler::RoundRobin(BaselineScheduler::new(instance, incarnation))
+            }
             PolicyName::Trefoilhall => AnyScheduler::Adaptive(Box::new(AdaptiveScheduler::new(
                 instance,
                 incarnation,
                 seed,
             ))),
             PolicyName::LeastOutstanding => {
-                AnyScheduler::LeastOutstanding(Naive::new(instance, incarnation))
+                AnyScheduler::LeastOutstanding(BaselineScheduler::new(instance, incarnation))
             }
             PolicyName::FirstComeFirstServed => {
-                AnyScheduler::FirstCome(Naive::new(instance, incarnation))
+                AnyScheduler::FirstCome(BaselineScheduler::new(instance, incarnation))
             }
         }
     }
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -18,15 +18,15 @@
 use fastrand::Rng;
 
 /// The first back-off is drawn from up to this, times the instances that share the retries.
-pub const FIRST: Duration = Duration::from_millis(200);
+pub const FIRST_BACKOFF: Duration = Duration::from_millis(200);
 
 /// How much each instance that shares the retries adds to the longest back-off: together they retry six
 /// times a second on average.
-pub const CAP_EACH: Duration = Duration::from_millis(350);
+pub const MAX_BACKOFF_PER_INSTANCE: Duration = Duration::from_millis(350);
 
 /// No back-off is longer, however many share: where word of the return is lost, a change is in force this
 /// much later.
-pub const LONGEST_CAP: Duration = Duration::from_secs(8);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 /// Failures in a row, and what they mean for the next try.
 #[derive(Debug, Clone, Default)]
@@ -36,8 +36,13 @@
 
 impl Backoff {
     /// How long to wait after a failure, where `sharers` instances retry, this one included.
-    pub fn failed(&mut self, sharers: usize, rng: &mut Rng) -> Duration {
-        let pause = full_jitter(times(FIRST, sharers), self.failures, cap(sharers), rng);
+    pub fn failed(&mut self, instances: usize, rng: &mut Rng) -> Duration {
+        let pause = full_jitter(
+            per_instance(FIRST_BACKOFF, instances),
+            self.failures,
+            max_backoff(instances),
+            rng,
+        );
         self.failures += 1;
         pause
     }
@@ -49,14 +54,19 @@
 }
 
 /// A pause drawn evenly from a span that doubles with each failure, up to `cap`.
-pub fn full_jitter(first: Duration, failures: u32, cap: Duration, rng: &mut Rng) -> Duration {
-    first.saturating_mul(1 << failures.min(16)).min(cap).mul_f64(rng.f64())
+pub fn full_jitter(
+    first: Duration,
+    failures: u32,
+    max_backoff: Duration,
+    rng: &mut Rng,
+) -> Duration {
+    first.saturating_mul(1 << failures.min(16)).min(max_backoff).mul_f64(rng.f64())
 }
 
-fn cap(sharers: usize) -> Duration {
-    times(CAP_EACH, sharers).min(LONGEST_CAP)
+fn max_backoff(instances: usize) -> Duration {
+    per_instance(MAX_BACKOFF_PER_INSTANCE, instances).min(MAX_BACKOFF)
 }
 
-fn times(span: Duration, sharers: usize) -> Duration {
-    span.saturating_mul(u32::try_from(sharers).unwrap_or(u32::MAX))
+fn per_instance(span: Duration, instances: usize) -> Duration {
+    span.saturating_mul(u32::try_from(instances).unwrap_or(u32::MAX))
 }
--- a/crates/policy/src/baseline/mod.rs
+++ b/crates/policy/src/baseline/mod.rs
@@ -6,10 +6,10 @@
 
 mod first_come;
 mod least_outstanding;
-mod naive;
 mod round_robin;
+mod scheduler;
 
-pub use first_come::FirstCome;
+pub use first_come::FirstComeFirstServed;
 pub use least_outstanding::LeastOutstanding;
-pub use naive::{Naive, Pick, Server};
 pub use round_robin::RoundRobin;
+pub use scheduler::{BaselineEndpoint, BaselineScheduler, EndpointPicker};
--- a/crates/policy/src/baseline/round_robin.rs
+++ b/crates/policy/src/baseline/round_robin.rs
@@ -1,6 +1,6 @@
 //! Endpoints in turn.
 
-use super::{Pick, Server};
+use super::{BaselineEndpoint, EndpointPicker};
 
 /// Sends each request at once to the next endpoint in turn.
 #[derive(Debug, Default)]
@@ -8,8 +8,8 @@
     turn: usize,
 }
 
-impl Pick for RoundRobin {
-    fn pick(&mut self, servers: &[Server]) -> Option<usize> {
+impl EndpointPicker for RoundRobin {
+    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize> {
         if servers.is_empty() {
             return None;
         }
--- a/crates/policy/src/baseline/naive.rs
+++ b/crates/policy/src/baseline/scheduler.rs
@@ -22,14 +22,14 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A rule that picks an endpoint.
-pub trait Pick: Default + Send {
+pub trait EndpointPicker: Default + Send {
     /// Picks one of `servers`, or none so that the request waits.
-    fn pick(&mut self, servers: &[Server]) -> Option<usize>;
+    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize>;
 }
 
 /// An endpoint that may get work.
 #[derive(Debug, Clone)]
-pub struct Server {
+pub struct BaselineEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its present life.
@@ -50,12 +50,12 @@
 
 /// A scheduler that sends each request where `P` says, and keeps no other rule.
 #[derive(Debug)]
-pub struct Naive<P> {
+pub struct BaselineScheduler<P> {
     instance: InstanceId,
     incarnation: Incarnation,
     sequence: u64,
     rule: P,
-    servers: Vec<Server>,
+    servers: Vec<BaselineEndpoint>,
     requests: IndexMap<RequestId, Entry>,
     deadlines: BTreeSet<DueRequest>,
     queue: VecDeque<RequestId>,
@@ -68,10 +68,10 @@
     request: RequestId,
 }
 
-impl<P: Pick> Naive<P> {
+impl<P: EndpointPicker> BaselineScheduler<P> {
     /// A scheduler of one life of `instance`, without endpoints yet.
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
-        Naive {
+        BaselineScheduler {
             instance,
             incarnation,
             sequence: 0,
@@ -90,7 +90,7 @@
             (Some(index), EndpointState::Live) => {
                 self.servers[index].incarnation = change.incarnation;
             }
-            (None, EndpointState::Live) => self.servers.push(Server {
+            (None, EndpointState::Live) => self.servers.push(BaselineEndpoint {
                 endpoint: change.endpoint.clone(),
                 incarnation: change.incarnation,
                 running: 0,
@@ -169,7 +169,7 @@
     }
 }
 
-impl<P: Pick> Scheduler for Naive<P> {
+impl<P: EndpointPicker> Scheduler for BaselineScheduler<P> {
     fn configure(
         &mut self,
         _rules: &config::DeploymentRules,
@@ -242,7 +242,7 @@
 }
 
 /// The picked endpoint, and as many of those after it as the footprint needs.
-fn spread(servers: &[Server], first: usize, footprint: Tokens) -> Vec<Shard> {
+fn spread(servers: &[BaselineEndpoint], first: usize, footprint: Tokens) -> Vec<Shard> {
     let mut left = footprint;
     let mut shards = Vec::new();
     for server in servers.iter().cycle().skip(first).take(servers.len()) {
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -24,11 +24,11 @@
 
 /// Live instances up to which one reads for all; of more, one in each data centre does, so that no
 /// instance answers more than some dozens.
-const FEW: usize = 8;
+const MAX_INSTANCES_WITH_ONE_READER: usize = 8;
 
 /// Instances that are asked before one reads for itself: the first, and the next where that one is
 /// cut off from the source.
-pub const ASKED: usize = 2;
+pub const MAX_QUERIED_INSTANCES: usize = 2;
 
 /// Up to where a log has been read: the first offset that isn't known.
 #[derive(
@@ -63,48 +63,52 @@
 impl Freshness {
     /// What it says of an instance that has read up to `mine` and asked `since_asked` ago, by a clock that
     /// counts suspends.
-    pub fn check(&self, mine: Position, since_asked: Duration) -> FreshnessCheck {
+    pub fn check(&self, mine: Position, since_query: Duration) -> FreshnessCheck {
         match self.position > mine {
             true => FreshnessCheck::Behind,
-            false => FreshnessCheck::Complete(self.age_after(since_asked)),
+            false => FreshnessCheck::Complete(self.age_after(since_query)),
         }
     }
 
     /// How old it is at most, `since_asked` after the question: it was told later than that, and was true
     /// so long before.
-    pub fn age_after(&self, since_asked: Duration) -> Duration {
-        self.age + since_asked
+    pub fn age_after(&self, since_query: Duration) -> Duration {
+        self.age + since_query
     }
 }
 
 /// Whom `me` asks, in this order, before it reads for itself; none where it is its own turn.
-pub fn readers(
+pub fn query_targets(
     me: &InstanceId,
     here: &DataCentre,
     others: &[(InstanceId, DataCentre)],
 ) -> Vec<InstanceId> {
     let mut before: Vec<InstanceId> =
-        neighbours(here, others).filter(|instance| *instance < me).cloned().collect();
+        reader_candidates(here, others).filter(|instance| *instance < me).cloned().collect();
     before.sort();
-    before.truncate(ASKED);
+    before.truncate(MAX_QUERIED_INSTANCES);
     before
 }
 
 /// How many instances retry a lost source together with `me`, itself included. The one that reads for the
 /// others shares with nobody: they wait for it.
-pub fn sharers(me: &InstanceId, here: &DataCentre, others: &[(InstanceId, DataCentre)]) -> usize {
-    match neighbours(here, others).any(|instance| instance < me) {
-        true => 1 + neighbours(here, others).count(),
+pub fn retry_group_size(
+    me: &InstanceId,
+    here: &DataCentre,
+    others: &[(InstanceId, DataCentre)],
+) -> usize {
+    match reader_candidates(here, others).any(|instance| instance < me) {
+        true => 1 + reader_candidates(here, others).count(),
         false => 1,
     }
 }
 
 /// The instances among which one reads for all.
-fn neighbours<'a>(
+fn reader_candidates<'a>(
     here: &'a DataCentre,
     others: &'a [(InstanceId, DataCentre)],
 ) -> impl Iterator<Item = &'a InstanceId> {
-    let all = others.len() < FEW;
+    let all = others.len() < MAX_INSTANCES_WITH_ONE_READER;
     let near = others.iter().filter(move |(_, data_centre)| all || data_centre == here);
     near.map(|(instance, _)| instance)
 }
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -59,14 +59,14 @@
     /// Prompt tokens a second admitted here of late, by band of prompt length.
     pub demand: [TokenRate; BANDS],
     /// Prompts that wait here for the memory of several engines, longest wait first.
-    pub wishes: Vec<PendingReservation>,
+    pub pending_reservations: Vec<PendingReservation>,
     /// Whether a long prompt of this instance is starved by short ones.
-    pub longs_late: bool,
+    pub long_prompts_starved: bool,
     /// Fingerprints under suspicion of crashing endpoints, and those refused for it; at most
     /// [`LoadDigest::MAX_ENTRIES`], so that a digest stays small.
     pub suspicions: Vec<quarantine::Entry>,
     /// Where this instance runs a suspect, so that others keep theirs away.
-    pub suspects_at: Vec<EndpointId>,
+    pub suspect_endpoints: Vec<EndpointId>,
 }
 
 impl LoadDigest {
@@ -83,10 +83,10 @@
             workspaces: Vec::new(),
             queued: Default::default(),
             demand: Default::default(),
-            wishes: Vec::new(),
-            longs_late: false,
+            pending_reservations: Vec::new(),
+            long_prompts_starved: false,
             suspicions: Vec::new(),
-            suspects_at: Vec::new(),
+            suspect_endpoints: Vec::new(),
         }
     }
 }
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -28,14 +28,14 @@
 
 /// The most units a budget can save up. A burst of failures larger than this is an outage, which
 /// retries don't mend.
-pub const CAPACITY: f64 = 100.0;
+pub const MAX_BUDGET_UNITS: f64 = 100.0;
 
 /// Units that a fresh budget starts with: one engine that dies with its batch may be retried whole
 /// even if nothing has succeeded yet.
-pub const ALLOWANCE: f64 = 20.0;
+pub const INITIAL_BUDGET_UNITS: f64 = 20.0;
 
 /// Units that trickle in each second, for workspaces with a request now and then.
-pub const TRICKLE: f64 = 0.2;
+pub const REFILL_UNITS_PER_SECOND: f64 = 0.2;
 
 /// The first backoff is drawn from up to this span: some round trips within a region.
 pub const FIRST_BACKOFF: Duration = Duration::from_millis(20);
@@ -48,26 +48,26 @@
 
 /// The units that one workspace or endpoint has for retries.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     units: f64,
     updated: Time,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A fresh budget.
-    pub fn new(now: Time) -> Budget {
-        Budget { units: ALLOWANCE, updated: now }
+    pub fn new(now: Time) -> RetryBudget {
+        RetryBudget { units: INITIAL_BUDGET_UNITS, updated: now }
     }
 
     /// Pays in for a success.
     pub fn succeeded(&mut self, share: f64) {
-        self.units = (self.units + share).min(CAPACITY);
+        self.units = (self.units + share).min(MAX_BUDGET_UNITS);
     }
 
     /// Whether a retry can be paid for.
     pub fn affords(&mut self, now: Time) -> bool {
-        let trickled = now.since(self.updated).as_secs_f64() * TRICKLE;
-        self.units = (self.units + trickled).min(CAPACITY);
+        let trickled = now.since(self.updated).as_secs_f64() * REFILL_UNITS_PER_SECOND;
+        self.units = (self.units + trickled).min(MAX_BUDGET_UNITS);
         self.updated = self.updated.max(now);
         self.units >= 1.0
     }
@@ -80,16 +80,16 @@
 
 /// All budgets of one instance.
 #[derive(Debug)]
-pub struct Budgets {
+pub struct RetryBudgets {
     share: f64,
-    workspaces: IndexMap<Workspace, Budget>,
-    endpoints: IndexMap<EndpointId, Budget>,
+    workspaces: IndexMap<Workspace, RetryBudget>,
+    endpoints: IndexMap<EndpointId, RetryBudget>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Budgets into which each success pays `share` of a retry.
-    pub fn new(share: f64) -> Budgets {
-        Budgets { share, workspaces: IndexMap::new(), endpoints: IndexMap::new() }
+    pub fn new(share: f64) -> RetryBudgets {
+        RetryBudgets { share, workspaces: IndexMap::new(), endpoints: IndexMap::new() }
     }
 
     /// Takes over a new share.
@@ -117,7 +117,11 @@
     }
 }
 
-fn budget<'a, K>(budgets: &'a mut IndexMap<K, Budget>, key: &K, now: Time) -> &'a mut Budget
+fn budget<'a, K>(
+    budgets: &'a mut IndexMap<K, RetryBudget>,
+    key: &K,
+    now: Time,
+) -> &'a mut RetryBudget
 where
     K: Clone + Eq + std::hash::Hash,
 {
@@ -127,7 +131,7 @@
             budgets.swap_remove_index(index);
         }
     }
-    budgets.entry(key.clone()).or_insert_with(|| Budget::new(now))
+    budgets.entry(key.clone()).or_insert_with(|| RetryBudget::new(now))
 }
 
 /// How long to wait before attempt number `attempt` (2 is the first retry). Drawn evenly from the
@@ -149,7 +153,7 @@
 
 impl Hedge {
     /// Whether to hedge an attempt that is `elapsed` old and has no first token.
-    pub fn wanted(self, elapsed: Duration, idle_endpoint: bool) -> bool {
+    pub fn is_due(self, elapsed: Duration, idle_endpoint: bool) -> bool {
         match self {
             Hedge::Off => false,
             Hedge::IdleAfter(bound) => idle_endpoint && elapsed >= bound,
--- a/crates/policy/src/retry/window.rs
+++ b/crates/policy/src/retry/window.rs
@@ -17,13 +17,13 @@
 use crate::Time;
 
 /// The part of what is allowed that is used.
-const CAUTION: f64 = 0.6;
+const SAFETY_RATIO: f64 = 0.6;
 
 #[derive(Debug, Clone, Copy)]
 struct Second {
     number: u64,
-    firsts: u32,
-    repeats: u32,
+    first_attempts: u32,
+    retries: u32,
 }
 
 /// Counts one group's first attempts and repeats.
@@ -45,30 +45,31 @@
 
 impl RetryWindow {
     /// Counts a first attempt.
-    pub fn first(&mut self, now: Time) {
-        self.second(now).firsts += 1;
+    pub fn record_first_attempt(&mut self, now: Time) {
+        self.second(now).first_attempts += 1;
     }
 
     /// Counts a repeat if one is allowed, with `instances` sharing what is free.
-    pub fn repeat(&mut self, rules: &RetryRules, instances: usize, now: Time) -> bool {
+    pub fn try_retry(&mut self, rules: &RetryRules, instances: usize, now: Time) -> bool {
         let oldest = (now.0 / 1_000_000).saturating_sub(rules.window_s);
         while self.seconds.front().is_some_and(|second| second.number < oldest) {
             self.seconds.pop_front();
         }
-        let firsts: u32 = self.seconds.iter().map(|second| second.firsts).sum();
-        let repeats: u32 = self.seconds.iter().map(|second| second.repeats).sum();
-        let allowed = rules.share * f64::from(firsts) + rules.slack / instances.max(1) as f64;
-        if f64::from(repeats + 1) > CAUTION * allowed {
+        let first_attempts: u32 = self.seconds.iter().map(|second| second.first_attempts).sum();
+        let retries: u32 = self.seconds.iter().map(|second| second.retries).sum();
+        let allowed =
+            rules.share * f64::from(first_attempts) + rules.slack / instances.max(1) as f64;
+        if f64::from(retries + 1) > SAFETY_RATIO * allowed {
             return false;
         }
-        self.second(now).repeats += 1;
+        self.second(now).retries += 1;
         true
     }
 
     fn second(&mut self, now: Time) -> &mut Second {
         let number = now.0 / 1_000_000;
         if self.seconds.back().is_none_or(|second| second.number != number) {
-            self.seconds.push_back(Second { number, firsts: 0, repeats: 0 });
+            self.seconds.push_back(Second { number, first_attempts: 0, retries: 0 });
         }
         let last = self.seconds.len() - 1;
         &mut self.seconds[last]
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -20,20 +20,20 @@
 use crate::Time;
 
 /// How long after a store's return its registrations are back.
-pub const RETURN: Duration = Duration::from_millis(2_300);
+pub const REGISTRATION_GRACE_PERIOD: Duration = Duration::from_millis(2_300);
 
 /// The registrations of which the last reading, or the one before an outage, told.
 #[derive(Debug)]
 pub struct Roster<K, V> {
     entries: IndexMap<K, V>,
     /// When the first good reading after a failure was.
-    returned: Option<Time>,
+    recovered_at: Option<Time>,
     failing: bool,
 }
 
 impl<K: Clone + Eq + std::hash::Hash, V: Clone + PartialEq> Default for Roster<K, V> {
     fn default() -> Self {
-        Roster { entries: IndexMap::new(), returned: None, failing: false }
+        Roster { entries: IndexMap::new(), recovered_at: None, failing: false }
     }
 }
 
@@ -44,13 +44,14 @@
     }
 
     /// Takes in a good reading of all registrations; true where the result differs from before.
-    pub fn read(&mut self, found: &IndexMap<K, V>, now: Time) -> bool {
+    pub fn update(&mut self, found: &IndexMap<K, V>, now: Time) -> bool {
         if std::mem::take(&mut self.failing) {
-            self.returned = Some(now);
+            self.recovered_at = Some(now);
         }
-        let keeps_missing = self.returned.is_some_and(|at| now.since(at) < RETURN);
+        let keeps_missing =
+            self.recovered_at.is_some_and(|at| now.since(at) < REGISTRATION_GRACE_PERIOD);
         if !keeps_missing {
-            self.returned = None;
+            self.recovered_at = None;
         }
         let mut next = found.clone();
         if keeps_missing {
@@ -66,7 +67,7 @@
     /// Whether another reading is worth while although the store has nothing new: something is
     /// kept that it doesn't have.
     pub fn is_settling(&self) -> bool {
-        self.returned.is_some()
+        self.recovered_at.is_some()
     }
 
     /// The endpoints that count as there.
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -5,7 +5,7 @@
 
 use policy::{
     CacheEvents, EndpointId, Incarnation, Tokens,
-    affinity::{BLOCKS_PER_ENGINE, CacheIndex, MAX_BLOCKS},
+    affinity::{CacheIndex, MAX_BLOCKS, MAX_BLOCKS_PER_ENGINE},
 };
 use quickcheck::quickcheck;
 
@@ -28,7 +28,7 @@
             for events in $news {
                 index.apply(&events);
             }
-            assert_eq!(index.expected(&endpoint(0), &[1, 2, 3, 4]), Tokens($tokens));
+            assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 3, 4]), Tokens($tokens));
         }
     )*};
 }
@@ -52,31 +52,31 @@
 #[test]
 fn an_own_send_is_expected_at_once() {
     let mut index = CacheIndex::new();
-    index.sent(&endpoint(0), Incarnation(1), &[1, 2, 3]);
-    assert_eq!(index.expected(&endpoint(0), &[1, 2, 9]), Tokens(512));
-    assert_eq!(index.expected(&endpoint(1), &[1, 2, 9]), Tokens::ZERO);
+    index.record_sent(&endpoint(0), Incarnation(1), &[1, 2, 3]);
+    assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 9]), Tokens(512));
+    assert_eq!(index.expected_cached(&endpoint(1), &[1, 2, 9]), Tokens::ZERO);
 }
 
 #[test]
 fn an_answer_that_shows_little_cached_raises_doubt() {
     let mut index = CacheIndex::new();
     index.apply(&news(1, 0, STORED));
-    index.found(&endpoint(0), Tokens(1024), Tokens(1000));
-    assert_eq!(index.expected(&endpoint(0), &[1, 2, 3, 4]), Tokens(1024));
-    index.found(&endpoint(0), Tokens(1024), Tokens(100));
-    assert_eq!(index.expected(&endpoint(0), &[1, 2, 3, 4]), Tokens(512));
+    index.record_cached(&endpoint(0), Tokens(1024), Tokens(1000));
+    assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 3, 4]), Tokens(1024));
+    index.record_cached(&endpoint(0), Tokens(1024), Tokens(100));
+    assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 3, 4]), Tokens(512));
 }
 
 #[test]
 fn the_least_recently_touched_blocks_are_forgotten() {
     let mut index = CacheIndex::new();
-    for block in 0..3 * BLOCKS_PER_ENGINE as u64 {
-        index.sent(&endpoint(0), Incarnation(1), &[block]);
-        index.sent(&endpoint(0), Incarnation(1), &[u64::MAX]);
+    for block in 0..3 * MAX_BLOCKS_PER_ENGINE as u64 {
+        index.record_sent(&endpoint(0), Incarnation(1), &[block]);
+        index.record_sent(&endpoint(0), Incarnation(1), &[u64::MAX]);
     }
-    assert!(index.len() <= BLOCKS_PER_ENGINE);
-    assert_eq!(index.expected(&endpoint(0), &[u64::MAX]), Tokens(256));
-    assert_eq!(index.expected(&endpoint(0), &[0]), Tokens::ZERO);
+    assert!(index.len() <= MAX_BLOCKS_PER_ENGINE);
+    assert_eq!(index.expected_cached(&endpoint(0), &[u64::MAX]), Tokens(256));
+    assert_eq!(index.expected_cached(&endpoint(0), &[0]), Tokens::ZERO);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let mut index = CacheIndex::new();
     let prefix: Vec<u64> = (0..4_000).collect();
     for n in 0..400 {
-        index.sent(&endpoint(n), Incarnation(1), &prefix);
+        index.record_sent(&endpoint(n), Incarnation(1), &prefix);
     }
     assert!(index.len() <= MAX_BLOCKS, "{}", index.len());
 }
@@ -96,6 +96,6 @@
         for (incarnation, from) in starts {
             index.apply(&news(incarnation.into(), from.into(), &events));
         }
-        index.expected(&endpoint(0), &[1, 2, 3]) <= Tokens(768)
+        index.expected_cached(&endpoint(0), &[1, 2, 3]) <= Tokens(768)
     }
 }
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -16,30 +16,30 @@
 cases! {
     nothing_is_said_of_what_was_hardly_seen => || {
         let mut times = AnswerTimes::default();
-        (0..19).for_each(|_| times.note("ask", SHORT));
-        assert_eq!(times.bound("ask"), None);
-        times.note("ask", SHORT);
-        assert!(times.bound("ask").is_some());
-        assert_eq!(times.bound("dossier"), None);
+        (0..19).for_each(|_| times.record("ask", SHORT));
+        assert_eq!(times.upper_bound("ask"), None);
+        times.record("ask", SHORT);
+        assert!(times.upper_bound("ask").is_some());
+        assert_eq!(times.upper_bound("dossier"), None);
     };
 
     /// Nearly all answers are short, and one in two hundred is long. A stop must reckon with that one.
     the_longest_bounds_the_next => || {
         let mut times = AnswerTimes::default();
-        times.note("ask", LONGEST);
-        (0..199).for_each(|_| times.note("ask", SHORT));
-        assert_eq!(times.bound("ask"), Some(LONGEST));
-        times.note("ask", SHORT);
-        assert_eq!(times.bound("ask"), Some(SHORT));
+        times.record("ask", LONGEST);
+        (0..199).for_each(|_| times.record("ask", SHORT));
+        assert_eq!(times.upper_bound("ask"), Some(LONGEST));
+        times.record("ask", SHORT);
+        assert_eq!(times.upper_bound("ask"), Some(SHORT));
     };
 
     /// Routes come and go with the configuration for years.
     routes_are_bounded => || {
         let mut times = AnswerTimes::default();
         for route in 0..2_000 {
-            (0..20).for_each(|_| times.note(&format!("r-{route}"), SHORT));
+            (0..20).for_each(|_| times.record(&format!("r-{route}"), SHORT));
         }
-        assert_eq!(times.bound("r-0"), None);
-        assert!(times.bound("r-1999").is_some());
+        assert_eq!(times.upper_bound("r-0"), None);
+        assert!(times.upper_bound("r-1999").is_some());
     };
 }
--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use policy::backoff::{Backoff, CAP_EACH, LONGEST_CAP};
+use policy::backoff::{Backoff, MAX_BACKOFF, MAX_BACKOFF_PER_INSTANCE};
 
 const OUTAGE: Duration = Duration::from_secs(8);
 
@@ -49,7 +49,7 @@
             backoff.failed(24, &mut rng)
         };
         let waits: Vec<_> = (0..100).map(|_| wait()).collect();
-        let cap = (CAP_EACH * 24).min(LONGEST_CAP);
+        let cap = (MAX_BACKOFF_PER_INSTANCE * 24).min(MAX_BACKOFF);
         for quarter in 0..4 {
             let (from, to) = (cap * quarter / 4, cap * (quarter + 1) / 4);
             let within = waits.iter().filter(|wait| (from..to).contains(*wait)).count();
@@ -61,6 +61,6 @@
     alone_it_is_tried_often => || {
         let mut rng = Rng::with_seed(5);
         let mut backoff = Backoff::default();
-        assert!((0..1_000).all(|_| backoff.failed(1, &mut rng) <= CAP_EACH));
+        assert!((0..1_000).all(|_| backoff.failed(1, &mut rng) <= MAX_BACKOFF_PER_INSTANCE));
     };
 }
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -8,7 +8,7 @@
 use policy::{
     EndpointId, Fingerprint, Incarnation, InstanceId, LoadDigest, Time, TokenRate, Tokens,
     Workspace,
-    digest::{DigestReceiver, DigestSender, ENTRY_BYTES, PART_BYTES, REFRESH},
+    digest::{DigestReceiver, DigestSender, ENTRY_BYTES, PART_OVERHEAD_BYTES, REFRESH_INTERVAL},
     quarantine::Entry,
     report::{EndpointShare, WorkspaceShare},
 };
@@ -43,8 +43,8 @@
     gap: Duration,
 ) -> Vec<EndpointShare> {
     let mut teller = DigestSender::new(100_000, at(0));
-    teller.part(&digest(1, first), at(0));
-    let part = teller.part(&digest(2, second), at(0) + gap);
+    teller.next_part(&digest(1, first), at(0));
+    let part = teller.next_part(&digest(2, second), at(0) + gap);
     part.map(|part| part.endpoints).unwrap_or_default()
 }
 
@@ -60,9 +60,9 @@
 }
 
 tells! {
-    nothing_where_nothing_changed: vec![share(1, 9_000)], then vec![share(1, 9_000)], after REFRESH => 0;
+    nothing_where_nothing_changed: vec![share(1, 9_000)], then vec![share(1, 9_000)], after REFRESH_INTERVAL => 0;
     nothing_where_the_change_is_too_small: vec![share(1, 9_000)], then vec![share(1, 9_050)], after SOON => 0;
-    a_small_change_after_a_while: vec![share(1, 9_000)], then vec![share(1, 9_050)], after REFRESH => 1;
+    a_small_change_after_a_while: vec![share(1, 9_000)], then vec![share(1, 9_050)], after REFRESH_INTERVAL => 1;
     a_change_that_matters: vec![share(1, 9_000)], then vec![share(1, 9_200)], after SOON => 1;
     the_end_of_load: vec![share(1, 9_000)], then vec![], after SOON => 1;
     an_ejection_at_once: vec![share(1, 9_000)],
@@ -84,7 +84,7 @@
     let mut heard = Vec::new();
     for period in 0..60 {
         let load = digest(period + 1, vec![share(1, 900_000)]);
-        if let Some(part) = teller.part(&load, at(500 * period)) {
+        if let Some(part) = teller.next_part(&load, at(500 * period)) {
             assert_eq!(listener.merge(part).unwrap().endpoints, [share(1, 900_000)]);
             heard.push(500 * period);
         }
@@ -95,9 +95,9 @@
 
 #[test]
 fn the_greatest_changes_go_first_within_the_budget() {
-    let mut teller = DigestSender::new((PART_BYTES + ENTRY_BYTES * 4) as u32, at(0));
+    let mut teller = DigestSender::new((PART_OVERHEAD_BYTES + ENTRY_BYTES * 4) as u32, at(0));
     let load: Vec<EndpointShare> = (0..100).map(|n| share(n, 1_000 * n as u64)).collect();
-    let part = teller.part(&digest(1, load), at(0)).unwrap();
+    let part = teller.next_part(&digest(1, load), at(0)).unwrap();
     let told: Vec<String> = part.endpoints.iter().map(|s| s.endpoint.to_string()).collect();
     assert_eq!(told[..2], ["e99", "e98"]);
     assert!(told.len() <= 10, "{told:?}");
@@ -128,7 +128,7 @@
                 waiting: Tokens(1_000 * (step.min(200) % 7)),
                 served: TokenRate(0.0),
             }];
-            if let Some(part) = teller.part(&whole, at(500 * step)) {
+            if let Some(part) = teller.next_part(&whole, at(500 * step)) {
                 heard = listener.merge(part).unwrap().endpoints.clone();
             }
         }
@@ -154,16 +154,16 @@
     let mut suspecting = digest(1, vec![share(1, 9_000)]);
     let entry = Entry { fingerprint: Fingerprint(7), deaths: 1, death_age_ms: 5, refused_ms: 0 };
     suspecting.suspicions = vec![entry];
-    assert_eq!(teller.part(&suspecting, at(0)).unwrap().suspicions, [entry]);
+    assert_eq!(teller.next_part(&suspecting, at(0)).unwrap().suspicions, [entry]);
     suspecting.suspicions[0].death_age_ms = 505;
-    assert_eq!(teller.part(&suspecting, at(500)), None, "only its age has changed");
-    suspecting.suspects_at = vec![EndpointId::new("e1").unwrap()];
+    assert_eq!(teller.next_part(&suspecting, at(500)), None, "only its age has changed");
+    suspecting.suspect_endpoints = vec![EndpointId::new("e1").unwrap()];
     for millis in [1_000, 2_000, 3_000] {
-        let part = teller.part(&suspecting, at(millis)).unwrap();
-        assert_eq!((part.suspects_at.len(), part.suspicions.len()), (1, 0));
+        let part = teller.next_part(&suspecting, at(millis)).unwrap();
+        assert_eq!((part.suspect_endpoints.len(), part.suspicions.len()), (1, 0));
     }
     suspecting.suspicions[0].refused_ms = 600_000;
-    assert_eq!(teller.part(&suspecting, at(3_500)).unwrap().suspicions.len(), 1);
+    assert_eq!(teller.next_part(&suspecting, at(3_500)).unwrap().suspicions.len(), 1);
 }
 
 /// The load of an instance that starts 54 requests a second on 200 endpoints, one in fifty long.
@@ -220,7 +220,7 @@
     let mut teller = DigestSender::new(budget, at(0));
     let mut counts = Vec::new();
     let by_effect = mean_error(|period, load| {
-        let part = teller.part(&digest(period, load), at(500 * period));
+        let part = teller.next_part(&digest(period, load), at(500 * period));
         let entries = part.map(|part| part.endpoints).unwrap_or_default();
         counts.push(entries.len());
         entries
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use policy::{
     EndpointId, Time, Workspace,
-    retry::{ALLOWANCE, Budgets, CAPACITY, Hedge, MAX_BACKOFF, backoff},
+    retry::{Hedge, INITIAL_BUDGET_UNITS, MAX_BACKOFF, MAX_BUDGET_UNITS, RetryBudgets, backoff},
 };
 
 fn workspace(name: &str) -> Workspace {
@@ -23,11 +23,11 @@
 /// times more, and the other three engines, near their limit before, serve nobody in time.
 #[test]
 fn an_outage_gets_the_allowance_and_then_a_tenth_of_successes() {
-    let mut budgets = Budgets::new(0.1);
+    let mut budgets = RetryBudgets::new(0.1);
     let (caller, failing, good) = (workspace("desk"), endpoint("e0"), endpoint("e1"));
     let now = Time::ZERO;
     let burst = (0..1_000).filter(|_| budgets.pay(&caller, &failing, now)).count();
-    assert_eq!(burst, ALLOWANCE as usize);
+    assert_eq!(burst, INITIAL_BUDGET_UNITS as usize);
     let retried = (0..1_000)
         .filter(|_| {
             budgets.succeeded(&caller, &good, now);
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_hot_workspace_does_not_spend_the_others_budget() {
-    let mut budgets = Budgets::new(0.1);
+    let mut budgets = RetryBudgets::new(0.1);
     for n in 0..100 {
         budgets.pay(&workspace("hot"), &endpoint(&format!("e{n}")), Time::ZERO);
     }
@@ -50,11 +50,11 @@
 
 #[test]
 fn successes_do_not_save_up_for_a_storm() {
-    let mut budgets = Budgets::new(0.1);
+    let mut budgets = RetryBudgets::new(0.1);
     let (caller, target) = (workspace("desk"), endpoint("e0"));
     (0..100_000).for_each(|_| budgets.succeeded(&caller, &target, Time::ZERO));
     let burst = (0..1_000).filter(|_| budgets.pay(&caller, &target, Time::ZERO)).count();
-    assert_eq!(burst, CAPACITY as usize);
+    assert_eq!(burst, MAX_BUDGET_UNITS as usize);
 }
 
 #[test]
@@ -69,7 +69,7 @@
 #[test]
 fn nothing_is_hedged_unless_asked_for() {
     let long = Duration::from_secs(100);
-    assert!(!Hedge::default().wanted(long, true));
-    assert!(!Hedge::IdleAfter(Duration::from_secs(1)).wanted(long, false));
-    assert!(Hedge::IdleAfter(Duration::from_secs(1)).wanted(long, true));
+    assert!(!Hedge::default().is_due(long, true));
+    assert!(!Hedge::IdleAfter(Duration::from_secs(1)).is_due(long, false));
+    assert!(Hedge::IdleAfter(Duration::from_secs(1)).is_due(long, true));
 }
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -8,7 +8,7 @@
 const RULES: RetryRules = RetryRules { share: 0.2, slack: 100.0, window_s: 10 };
 
 fn allowed(window: &mut RetryWindow, instances: usize, at: Time) -> usize {
-    (0..1_000).take_while(|_| window.repeat(&RULES, instances, at)).count()
+    (0..1_000).take_while(|_| window.try_retry(&RULES, instances, at)).count()
 }
 
 /// An engine dies under every request of four instances at once, and each repeats what it can. All
@@ -19,7 +19,7 @@
     let mut sum = 0;
     for _ in 0..4 {
         let mut window = RetryWindow::default();
-        (0..50).for_each(|_| window.first(now));
+        (0..50).for_each(|_| window.record_first_attempt(now));
         sum += allowed(&mut window, 4, now);
     }
     assert!(sum as f64 <= 0.2 * 200.0 + 100.0, "{sum}");
@@ -42,8 +42,8 @@
     let mut window = RetryWindow::default();
     let mut times = Vec::new();
     for ms in (0..40_000).step_by(50) {
-        window.first(Time::from_millis(ms));
-        if window.repeat(&RULES, 4, Time::from_millis(ms)) {
+        window.record_first_attempt(Time::from_millis(ms));
+        if window.try_retry(&RULES, 4, Time::from_millis(ms)) {
             times.push(ms);
         }
     }
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use policy::{
     Time,
-    roster::{RETURN, Roster},
+    roster::{REGISTRATION_GRACE_PERIOD, Roster},
 };
 
 fn found(keys: &[u32]) -> IndexMap<u32, &'static str> {
@@ -25,9 +25,9 @@
 #[test]
 fn what_is_missing_is_gone() {
     let mut roster = Roster::default();
-    assert!(roster.read(&found(&[1, 2]), at(0)));
-    assert!(!roster.read(&found(&[1, 2]), at(500)));
-    assert!(roster.read(&found(&[2]), at(1_000)));
+    assert!(roster.update(&found(&[1, 2]), at(0)));
+    assert!(!roster.update(&found(&[1, 2]), at(500)));
+    assert!(roster.update(&found(&[2]), at(1_000)));
     assert_eq!(keys(&roster), [2]);
 }
 
@@ -36,13 +36,13 @@
 #[test]
 fn an_outage_takes_nobody_away() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1, 2]), at(0));
+    roster.update(&found(&[1, 2]), at(0));
     roster.failed();
-    assert!(!roster.read(&found(&[]), at(5_000)));
+    assert!(!roster.update(&found(&[]), at(5_000)));
     assert_eq!(keys(&roster), [1, 2]);
-    roster.read(&found(&[1]), at(6_500));
+    roster.update(&found(&[1]), at(6_500));
     assert_eq!(keys(&roster), [1, 2]);
-    roster.read(&found(&[1]), at(5_000) + RETURN);
+    roster.update(&found(&[1]), at(5_000) + REGISTRATION_GRACE_PERIOD);
     assert_eq!(keys(&roster), [1]);
 }
 
@@ -51,22 +51,22 @@
 #[test]
 fn a_second_outage_begins_anew() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1]), at(0));
+    roster.update(&found(&[1]), at(0));
     roster.failed();
-    roster.read(&found(&[]), at(1_000));
+    roster.update(&found(&[]), at(1_000));
     roster.failed();
-    roster.read(&found(&[]), at(3_000));
+    roster.update(&found(&[]), at(3_000));
     assert_eq!(keys(&roster), [1]);
-    roster.read(&found(&[]), at(3_000) + RETURN + Duration::from_millis(1));
+    roster.update(&found(&[]), at(3_000) + REGISTRATION_GRACE_PERIOD + Duration::from_millis(1));
     assert_eq!(keys(&roster), [0; 0]);
 }
 
 #[test]
 fn a_change_within_an_outage_counts() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1]), at(0));
+    roster.update(&found(&[1]), at(0));
     roster.failed();
     let draining: IndexMap<u32, &str> = [(1, "leaving")].into_iter().collect();
-    assert!(roster.read(&draining, at(1_000)));
+    assert!(roster.update(&draining, at(1_000)));
     assert_eq!(roster.entries()[&1], "leaving");
 }
--- a/crates/policy/tests/vouch.rs
+++ b/crates/policy/tests/vouch.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use policy::{
     DataCentre, InstanceId,
-    freshness::{Freshness, FreshnessCheck, Position, readers},
+    freshness::{Freshness, FreshnessCheck, Position, query_targets},
 };
 
 fn instance(name: usize) -> InstanceId {
@@ -29,7 +29,7 @@
         let all: Vec<_> = (0..4).map(|i| (instance(i), centre(["a", "b"][i % 2]))).collect();
         let asked = |i: usize| {
             let others: Vec<_> = all.iter().filter(|(name, _)| *name != instance(i)).cloned().collect();
-            readers(&instance(i), &all[i].1, &others)
+            query_targets(&instance(i), &all[i].1, &others)
         };
         assert_eq!(asked(0), Vec::new());
         assert_eq!(asked(1), vec![instance(0)]);
@@ -40,7 +40,7 @@
         let all: Vec<_> = (0..30).map(|i| (instance(i), centre(["a", "b", "c"][i % 3]))).collect();
         let turns = (0..30).filter(|i| {
             let others: Vec<_> = all.iter().filter(|(name, _)| *name != instance(*i)).cloned().collect();
-            readers(&instance(*i), &all[*i].1, &others).is_empty()
+            query_targets(&instance(*i), &all[*i].1, &others).is_empty()
         });
         assert_eq!(turns.collect::<Vec<_>>(), vec![0, 1, 2]);
     };
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -310,7 +310,7 @@
         let progress = lock(&self.progress);
         let route = self.received.route.name.as_str();
         if let Some(began) = progress.began.filter(|_| outcome == FINISHED) {
-            lock(&self.parts.answer_times).note(route, total.saturating_sub(began));
+            lock(&self.parts.answer_times).record(route, total.saturating_sub(began));
         }
         log::info!(
             id = self.id(),
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -87,7 +87,7 @@
     /// How long a prompt and its answer take: by what was seen on the route, or else as if the answer
     /// were as long as it may be.
     fn needed(&self, route: &str, (prompt, output): (u64, u64), group: &Group) -> Duration {
-        let seen = lock(&self.0.answer_times).bound(route);
+        let seen = lock(&self.0.answer_times).upper_bound(route);
         let scheduler = lock(&group.scheduler);
         match seen {
             Some(writing) => scheduler.typical_duration(prompt, 0) + writing,
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -228,7 +228,7 @@
     }
 
     fn update(&mut self) {
-        if self.roster.read(&self.found, self.clock.now()) {
+        if self.roster.update(&self.found, self.clock.now()) {
             update(&self.groups, self.roster.entries(), self.clock);
         }
         self.groups.mark_endpoints_read();
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 use policy::{
     EndpointId,
-    freshness::{ASKED, Freshness, Position},
+    freshness::{Freshness, MAX_QUERIED_INSTANCES, Position},
 };
 use serde::{Deserialize, Serialize};
 use smol::{
@@ -342,7 +342,7 @@
     /// Asks the peers that read before this instance does, one after the other, and gives what `accept`
     /// makes of the first good answer; none where it is this instance's turn to read.
     pub async fn ask_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
-        for place in 0..ASKED {
+        for place in 0..MAX_QUERIED_INSTANCES {
             match self.ask(QueryTarget::Reader(place), &accept).await {
                 QueryOutcome::Nobody => return None,
                 QueryOutcome::Silence => {}
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -21,7 +21,7 @@
 use futures_lite::FutureExt;
 use indexmap::IndexMap;
 use policy::{
-    DataCentre, EndpointGroup, Incarnation, InstanceId, Time, freshness::sharers,
+    DataCentre, EndpointGroup, Incarnation, InstanceId, Time, freshness::retry_group_size,
     placement::update_interval,
 };
 use smol::{
@@ -434,7 +434,7 @@
     fn count(&self) {
         let live = self.live();
         self.instances.store(live.len() + 1, Ordering::Relaxed);
-        self.tracker.set_sharers(sharers(&self.me.instance, &self.here, &live));
+        self.tracker.set_sharers(retry_group_size(&self.me.instance, &self.here, &live));
     }
 }
 
--- a/crates/router/src/links/questions.rs
+++ b/crates/router/src/links/questions.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use policy::{InstanceId, Time, freshness::readers};
+use policy::{InstanceId, Time, freshness::query_targets};
 use smol::channel::Sender;
 
 use super::{Body, Links};
@@ -56,7 +56,7 @@
         };
         match whom {
             QueryTarget::Reader(place) => {
-                let readers = readers(&self.me.instance, &self.here, &self.live());
+                let readers = query_targets(&self.me.instance, &self.here, &self.live());
                 readers.get(place).and_then(address).into_iter().collect()
             }
             QueryTarget::Informant => {
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -199,12 +199,12 @@
 
     /// Counts a first attempt.
     pub fn record_first_attempt(&self, now: Time) {
-        lock(&self.retries).first(now);
+        lock(&self.retries).record_first_attempt(now);
     }
 
     /// Counts a repeat if one is allowed.
     pub fn may_retry(&self, rules: &RetryRules, instances: usize, now: Time) -> bool {
-        lock(&self.retries).repeat(rules, instances, now)
+        lock(&self.retries).try_retry(rules, instances, now)
     }
 }
 
