--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -1,30 +1,33 @@
-//! Who is admitted.
+//! Admission control.
 //!
-//! **Load pattern.** Twice as much comes as the engines can do, for minutes.
+//! **Load pattern.** For minutes, twice as much work arrives as the engines can do.
 //!
-//! **Without it.** Every queue grows until what is served has missed its bound: the engines work at
-//! full speed and nobody is helped. Callers learn of it at their deadline.
+//! **Without it.** All queues grow until every request misses its deadline while it waits. The
+//! engines run at full speed, but no answer is useful, and callers learn of it only at their
+//! deadline.
 //!
-//! **Rule.** A request is refused at once if its predicted first token, times the learned margin,
-//! is past its bound. The prediction adds three waits to its own prefill: for what stands on the
-//! engines in its band and below, for what waits in lower bands here and on the peers, and for its
-//! own workspace's turns, which come at its share of the lane or at what the others leave. The refusal says when the prediction would fit. A full waiting room
-//! gives up the latest request of the workspace furthest over its share, or refuses the newcomer
-//! if that is the one. Before any engine's speed is measured nothing is refused by a prediction:
-//! one request at a time tries, the others wait, and as soon as there is a measure those that can't
-//! make their bound hear it.
+//! **Rule.** A request is refused at once if its predicted time to first token, multiplied by the
+//! learned margin, exceeds its first-token deadline. The prediction adds three waits to the
+//! request's own prefill: for the prefill on the engines in its band and below, for the prompts of
+//! lower bands queued here and on the peers, and for its own workspace's queue, which is served at
+//! the workspace's share or at the capacity that the other workspaces leave, whichever is more. The
+//! refusal says when to retry. If the queues are full, the latest request of the workspace furthest
+//! over its share is dropped, or the new request if that workspace sent it. Until the speed of any
+//! engine has been measured, no request is refused by a prediction: one request at a time is tried,
+//! the others wait, and once there is a measurement, those that can't meet their deadline fail at
+//! once.
 //!
-//! **Grounds.** A refusal that costs microseconds and comes at once lets the caller go elsewhere
-//! or come back when told; an admission that fails later costs it the whole wait. Weighing
-//! predictions against measured first tokens ([`super::learn::Margin`]) makes the rule right for
-//! effects that no term names, such as memory held by long answers. Once in [`TRIAL_EVERY`] an
-//! idle deployment runs a request against the prediction: a speed learned wrongly as too low
-//! would otherwise refuse everything for good, and nothing would correct it. At a cold start, after
-//! all engines were replaced or after a restart there is no measure at all. [`FIRST_GUESS`] is too
-//! low for most engines, and a prompt refused by it could have been served; one trial at a time
-//! keeps all long prompts of that moment from going to the engines together.
+//! **Grounds.** A refusal costs microseconds and lets the caller go elsewhere or return at the
+//! stated time, whereas an admission that fails later costs the caller the whole wait. Comparing
+//! predictions with measured first tokens ([`super::learn::PredictionMargin`]) accounts for effects
+//! that the model leaves out, such as memory held by long answers. Once per [`TRIAL_INTERVAL_S`],
+//! an idle deployment runs a request against the prediction: otherwise a learned speed that is too
+//! low would refuse all requests forever and never be corrected. After a cold start, a restart or
+//! the replacement of all engines, there is no measurement at all. [`INITIAL_PREFILL_RATE`] is too
+//! low for most engines, so it would refuse prompts that could be served; trying one request at a
+//! time keeps all long prompts of that moment from being sent to the engines together.
 //!
-//! [`FIRST_GUESS`]: super::learn::FIRST_GUESS
+//! [`INITIAL_PREFILL_RATE`]: super::learn::INITIAL_PREFILL_RATE
 
 use std::{sync::Arc, time::Duration};
 
@@ -41,27 +44,29 @@
     workspaces::{MULTI_ENGINE_QUEUE, TRAFFIC_HALF_LIFE_S},
 };
 
-/// Prefill tokens that one decoded token counts as. Decoding runs in batches, but holds a step of
-/// the whole engine; four is between the two.
+/// Cost of one decoded token in prefill tokens. Decoding is batched, but each step occupies the
+/// whole engine; four lies between these extremes.
 const PREFILL_TOKENS_PER_DECODED_TOKEN: f64 = 4.0;
-/// The least and the most that a caller is told to stay away.
+/// Range of the retry delay that a refused caller is given, in seconds.
 const RETRY_AFTER_RANGE_S: std::ops::RangeInclusive<f64> = 0.1..=60.0;
-/// Random addition to the time told, so that callers refused together don't come back together.
+/// Random addition to the retry delay, as a share of it, so that callers refused together don't
+/// return together.
 const RETRY_JITTER_SHARE: f64 = 0.25;
-/// Seconds between two trials against the prediction.
+/// Minimum seconds between two trials that run a request against the prediction.
 const TRIAL_INTERVAL_S: f64 = 1.0;
-/// The most of an engine that short prompts are taken to use in predictions for long ones. Beyond
-/// it long ones are soon overdue, and `pace` holds short ones back.
+/// Maximum share of the engines' speed that short prompts are assumed to use in predictions for
+/// long ones. Above it, long prompts are soon overdue and [`super::short_rate_limit`] limits the
+/// short ones.
 const MAX_SHORT_LOAD: f64 = 0.75;
 
-/// Seconds until a first token.
+/// Predicted time to first token, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Prediction {
-    /// The wait for others.
+    /// Wait for other requests.
     others: f64,
     /// The request's own prefill.
     own: f64,
-    /// The wait for its own workspace's turn.
+    /// Wait in the queue of the request's own workspace.
     workspace_wait: f64,
 }
 
@@ -107,13 +112,13 @@
         let promised = (prediction.others + prediction.own)
             * self.margins[entry.queue_index].factor(seconds(now))
             + prediction.workspace_wait * workspace_wait_margin;
-        let allowed = entry.bound.since(now).as_secs_f64();
+        let allowed = entry.first_token_by.since(now).as_secs_f64();
         if promised > allowed {
             if !self.fleet.has_measured_speed {
                 entry.basis = AdmissionBasis::Unmeasured;
             } else if self.may_start_trial(now) {
                 entry.basis = AdmissionBasis::Trial;
-                entry.bound = req.deadline;
+                entry.first_token_by = req.deadline;
             } else {
                 let forecast = self.forecast(&entry, prediction, now);
                 let refusal = self.refusal(RefusalReason::TooLate, promised - allowed);
@@ -130,15 +135,15 @@
         let cached = self.cached_at_holder(&req.prefix);
         let needs_several = req.footprint().0 as f64 > self.fleet.largest_memory;
         let output = self.decode.expected(req.max_output.0 as f64);
-        let bound = self.bound(&req);
+        let first_token_by = self.first_token_by(&req);
         RequestEntry {
             workspace,
             band,
             queue_index: if needs_several { MULTI_ENGINE_QUEUE } else { band.index() },
             uncached: (prompt - cached).max(1.0),
             cost: prompt + PREFILL_TOKENS_PER_DECODED_TOKEN * output,
-            bound,
-            expires_at: bound,
+            first_token_by,
+            expires_at: first_token_by,
             state: RequestState::Waiting,
             attempts: 0,
             failures: 0,
@@ -153,25 +158,27 @@
         }
     }
 
-    /// What the last engine that had a prompt with this beginning is expected to have cached of it.
-    /// It is on the request's short list, so that the request can go there.
+    /// Tokens of the prefix that are expected in the cache of the engine that last received a
+    /// prompt with the same first block. That engine is always on the shortlist, so the request can
+    /// be sent there.
     fn cached_at_holder(&self, prefix: &[u64]) -> f64 {
         let holder = prefix.first().and_then(|first| self.prefix_holders.get(*first));
         holder.map_or(0.0, |holder| self.cache.expected_cached(holder, prefix).0 as f64)
     }
 
-    /// By when the first token has to be out.
-    fn bound(&self, req: &RequestSpec) -> Time {
-        if let Some(bound) = req.first_token_by {
-            return bound.min(req.deadline);
+    /// The deadline of the first token.
+    fn first_token_by(&self, req: &RequestSpec) -> Time {
+        if let Some(first_token_by) = req.first_token_by {
+            return first_token_by.min(req.deadline);
         }
         let whole = req.deadline.since(req.arrived);
         let decode = span(self.decode.seconds(req.max_output.0 as f64));
-        // Callers rarely state a sensible most output; half of the time is left in any case.
+        // Callers rarely set `max_output` to a realistic value, so at least half of the time is
+        // left for the first token.
         req.arrived + whole.saturating_sub(decode).max(whole / 2)
     }
 
-    /// What a prediction rests on.
+    /// Collects the inputs of a prediction for the refusal.
     fn forecast(&self, entry: &RequestEntry, prediction: Prediction, now: Time) -> Forecast {
         let bands = || 0..=entry.band.index();
         let here: f64 = bands().map(|band| self.queues[band].tokens()).sum();
@@ -181,7 +188,7 @@
             others_s: prediction.others,
             turn_s: prediction.workspace_wait,
             margin: self.margins[entry.queue_index].factor(seconds(now)),
-            allowed_s: entry.bound.since(now).as_secs_f64(),
+            allowed_s: entry.first_token_by.since(now).as_secs_f64(),
             rate: TokenRate(self.fleet.typical_rate),
             is_measured: self.fleet.has_measured_speed,
             in_flight: Tokens(self.inflight[entry.band.index()] as u64),
@@ -206,7 +213,7 @@
         self.enqueue(request);
     }
 
-    /// Puts a request into its lane.
+    /// Puts a request into its queue.
     pub(super) fn enqueue(&mut self, request: crate::RequestId) {
         self.set_expiry(request);
         let Some(entry) = self.requests.get_mut(&request) else { return };
@@ -223,20 +230,21 @@
         self.waiting += 1;
     }
 
-    /// Notes from when on a waiting request could not make its bound even on an idle engine.
+    /// Sets the time after which a waiting request would miss its first-token deadline even on an
+    /// idle engine.
     fn set_expiry(&mut self, request: crate::RequestId) {
         let (fastest, is_measured) = (self.fleet.fastest_rate, self.fleet.has_measured_speed);
         let Some(entry) = self.requests.get_mut(&request) else { return };
         self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
         let overrides_prediction = entry.basis.overrides_prediction(is_measured);
         let own = if overrides_prediction { 0.0 } else { entry.uncached / fastest };
-        let latest = Time(entry.bound.0.saturating_sub((own * 1e6) as u64));
+        let latest = Time(entry.first_token_by.0.saturating_sub((own * 1e6) as u64));
         entry.expires_at = latest.min(entry.req.deadline);
         self.expiries.insert(RequestTimer { at: entry.expires_at, request });
     }
 
-    /// Looks again at the waiting requests that were admitted on an assumption, once speeds are
-    /// measured. Those that can't make their bound hear it at once.
+    /// Once an engine's speed is measured, rechecks the waiting requests that were admitted without
+    /// a measurement and fails those that can't meet their first-token deadline.
     pub(super) fn recheck_unmeasured(&mut self, now: Time) {
         if !self.fleet.has_measured_speed || self.unmeasured_requests.is_empty() {
             return;
@@ -253,7 +261,8 @@
         }
     }
 
-    /// Whether a request admitted on an assumption has to wait: another one is trying the engines.
+    /// Whether a request admitted without a measurement has to wait because another one is being
+    /// tried.
     pub(super) fn must_wait_for_trial(&self, entry: &RequestEntry) -> bool {
         if entry.basis != AdmissionBasis::Unmeasured || self.fleet.has_measured_speed {
             return false;
@@ -262,7 +271,7 @@
         trial.and_then(RequestEntry::attempt).is_some_and(|attempt| attempt.first_token.is_none())
     }
 
-    /// Seconds until the first token of `entry`, if it is admitted now.
+    /// Predicts the time to first token of `entry` if it is admitted now.
     pub(super) fn predict(&self, entry: &RequestEntry, now: Time) -> Prediction {
         let band = entry.band.index();
         let slowed = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
@@ -276,12 +285,13 @@
             let workspace_wait = self.workspace_wait(entry, capacity, now);
             return Prediction { others: wait, own, workspace_wait };
         }
-        // Nobody waits: it goes to the engine that is free first.
+        // No request is queued, so this one goes to the engine that is free first.
         Prediction { others: wait.min(self.least_wait[band] / slowed), own, workspace_wait: 0.0 }
     }
 
-    /// Seconds until its workspace's turn comes in the lane. The workspace can count on its share
-    /// of the lane, and on what the others of late left of it if that is more.
+    /// Seconds until the queue of the request's workspace is served up to this request. The
+    /// workspace gets its share of the capacity, or what the other workspaces have recently left
+    /// unused if that is more.
     fn workspace_wait(&self, entry: &RequestEntry, capacity: f64, now: Time) -> f64 {
         let queue = &self.queues[entry.queue_index];
         let state = self.workspaces.get(entry.workspace);
@@ -296,13 +306,13 @@
         mine / share.max(capacity - others).min(capacity)
     }
 
-    /// The part of the engines' speed that short prompts use.
+    /// Share of the engines' total speed that short prompts use.
     pub(super) fn short_load(&self) -> f64 {
         (self.total_demand[0] / self.fleet.total_rate.max(1.0)).min(MAX_SHORT_LOAD)
     }
 
-    /// Whether a request may be run against the prediction: nothing is under way that it could
-    /// delay, and the last such trial is a while ago.
+    /// Whether a request may be run against the prediction: no request is in flight that it could
+    /// delay, and the last trial is at least [`TRIAL_INTERVAL_S`] ago.
     fn may_start_trial(&mut self, now: Time) -> bool {
         let idle = self.requests.is_empty();
         let due = seconds(now) - self.last_trial >= TRIAL_INTERVAL_S;
@@ -318,7 +328,8 @@
         entry: &RequestEntry,
         now: Time,
     ) -> Result<(), Refusal> {
-        // Failed attempts come back whatever the room, so more than one may have to go.
+        // Requests whose attempt failed are queued again even if the queues are full, so more than
+        // one may have to be dropped.
         while self.waiting >= self.rules.limits.waiting {
             let over = self.workspaces.most_over_share(entry.prompt(), workspace);
             let queues = &self.workspaces.get(over).queues;
@@ -335,13 +346,13 @@
         Refusal::new(reason, self.retry_after(seconds))
     }
 
-    /// What a caller is told for a wait of about `seconds`.
+    /// The retry delay to report for a wait of about `seconds`.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
         let seconds = seconds.clamp(*RETRY_AFTER_RANGE_S.start(), *RETRY_AFTER_RANGE_S.end());
         span(seconds * (1.0 + RETRY_JITTER_SHARE * self.rng.f64()))
     }
 
-    /// What may be said of a request's run when it is given up now.
+    /// Whether a request that is given up now has run on an endpoint.
     pub(super) fn run_status(entry: &RequestEntry) -> RunStatus {
         match &entry.state {
             _ if entry.passed_on.0 > 0 => RunStatus::Yes,
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -1,26 +1,26 @@
-//! What goes to the engines, and when.
+//! Dispatch: when a request is sent, and to which engine.
 //!
-//! **Load pattern.** More waits than the engines do at once; what comes next may be more urgent
-//! than what came before.
+//! **Load pattern.** More requests wait than the engines can serve at once, and a later request may
+//! be more urgent than an earlier one.
 //!
-//! **Without it.** A request that stands in an engine's queue can't be overtaken, moved or taken
-//! back: the order is fixed when it is sent, by whoever sent most.
+//! **Without it.** A request in an engine's queue can't be reordered, moved or withdrawn. The order
+//! is fixed when requests are sent, in favour of whoever sends most.
 //!
-//! **Rule.** An engine gets only so much prefill ahead that it doesn't run dry before it can get
-//! more: a budget in predicted seconds for each band (see [`super::class`]), not a number of
-//! requests. All else waits here. Which engine it is, [`crate::selection`] chooses among those with
-//! room. Short prompts have the higher engine priority, so their budget counts
-//! short ones only. The cost of an engine is the prompt's own predicted first token, weighted by
-//! its class, and the delay of those that it would overtake there, weighted by theirs; so short
-//! ones avoid engines with long prompts until that costs them as much as they spare.
+//! **Rule.** An engine only gets as much prefill in advance as it needs to stay busy until it can
+//! get more: a budget in predicted seconds for each band (see [`super::band`]), not a number of
+//! requests. All other requests wait here. [`crate::selection`] chooses among the engines that have
+//! room. Short prompts have the higher engine priority, so only short prompts count towards their
+//! budget. The cost of an engine is the predicted time to the prompt's own first token, weighted by
+//! its class, plus the delay of the prompts that it would overtake there, weighted by theirs. Short
+//! prompts therefore avoid engines with long prompts until that costs them as much as it saves.
 //!
-//! Each instance goes first to its own part of the endpoints: on the others' it expects the work
-//! that they have likely sent since they were last heard.
+//! Each instance prefers its own part of the endpoints. On the others it adds the unreported work:
+//! what the other instances have probably sent there since their last digest.
 //!
-//! **Grounds.** A tenth of the longest short prefill is several round trips within a region and
-//! several chunks of prefill; what it adds to a short prompt's wait is below what its caller
-//! notices. For longer bands the budget is a few percent of their own prefill time. Going to one's
-//! own part first is measured in `docs/decisions/scheduling.md`.
+//! **Grounds.** A tenth of the longest short prefill covers several round trips within a region and
+//! several chunks of prefill, and callers don't notice what it adds to a short prompt's wait. For
+//! longer bands, the budget is a few percent of their own prefill time. The effect of preferring a
+//! part of the endpoints was measured in `docs/decisions/scheduling.md`.
 
 use std::time::Duration;
 
@@ -40,25 +40,25 @@
     workspaces::MULTI_ENGINE_QUEUE,
 };
 
-/// Workspaces whose first request is looked at before a lane counts as blocked. The first may be
-/// barred from the only engine with room, because it failed there or needs more memory.
+/// Number of workspaces whose first request is tried before a queue counts as blocked. The first
+/// request may be excluded from the only engine with room because it failed there or needs more
+/// memory.
 const LOOKAHEAD_WORKSPACES: usize = 4;
-/// An endpoint at this share of the typical speed or above isn't a slow one.
+/// Minimum speed, as a share of the typical one, of an endpoint that doesn't count as slow.
 const MIN_ORDINARY_SPEED_SHARE: f64 = 0.5;
 
-/// Where a waiting request can go.
+/// What to do with a waiting request.
 enum DispatchChoice {
-    /// Here, now.
+    /// Start it now on this endpoint.
     Start(ChosenEndpoint),
-    /// Nowhere yet.
+    /// Leave it in the queue: no endpoint has room.
     Wait,
-    /// Nowhere in time.
+    /// Give it up: no endpoint can meet its first-token deadline.
     TooLate,
-    /// On several engines only: it is larger than any engine's memory.
+    /// Place it on several engines: it needs more memory than any engine has.
     NeedsSeveral,
 }
 
-/// The endpoint chosen for a request.
 struct ChosenEndpoint {
     endpoint: EndpointId,
     cached: Tokens,
@@ -67,7 +67,7 @@
 }
 
 impl AdaptiveScheduler {
-    /// Starts what can be started, shortest band first.
+    /// Starts as many waiting requests as fit, shortest band first.
     pub(super) fn dispatch(&mut self, now: Time) {
         if self.waiting == 0 {
             return;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Starts or gives up one request of a lane; false where the lane is empty or blocked.
+    /// Starts, moves or gives up one request of a queue. Returns false if the queue is empty or
+    /// blocked.
     fn start_next(&mut self, queue_index: usize, now: Time) -> bool {
         let is_short = queue_index == Band::SHORT.index();
         if is_short && !self.short_limiter.allows(seconds(now)) {
@@ -108,11 +109,11 @@
         false
     }
 
-    /// Moves a request to the lane of prompts that need several engines.
+    /// Moves a request to the queue of prompts that need several engines.
     ///
-    /// It was admitted before the engines had told their memory, or engines with more have left
-    /// since. In the lane of its band it would fit nowhere, and would hold up its workspace's
-    /// other requests until its deadline.
+    /// This happens if the request was admitted before the engines reported their memory, or if
+    /// larger engines have been removed since. In the queue of its band it would fit on no engine,
+    /// and would block its workspace's other requests until its deadline.
     fn move_to_multi_engine_queue(&mut self, request: RequestId) {
         self.dequeue(request, false);
         if let Some(entry) = self.requests.get_mut(&request) {
@@ -140,7 +141,7 @@
         let chosen = &candidates[index];
         let first_token = selection::first_token(chosen, &selection);
         let overrides_prediction = entry.basis.overrides_prediction(self.fleet.has_measured_speed);
-        if !overrides_prediction && now + first_token > entry.bound {
+        if !overrides_prediction && now + first_token > entry.first_token_by {
             return self.too_late(entry, &candidates, &selection, now);
         }
         DispatchChoice::Start(ChosenEndpoint {
@@ -150,8 +151,8 @@
         })
     }
 
-    /// What becomes of a request that can't make its bound where it would go. A slow endpoint may
-    /// be the only one with room at this moment; then the request waits for a better one.
+    /// Decides about a request that can't meet its first-token deadline on the chosen endpoint. If
+    /// only a slow endpoint has room at the moment, the request waits for a faster one.
     fn too_late(
         &self,
         entry: &RequestEntry,
@@ -165,13 +166,13 @@
             .filter(|candidate| candidate.rate.0 >= ordinary)
             .map(|candidate| selection::first_token(candidate, selection));
         match first_tokens.min() {
-            Some(least) if now + least > entry.bound => DispatchChoice::TooLate,
+            Some(least) if now + least > entry.first_token_by => DispatchChoice::TooLate,
             _ => DispatchChoice::Wait,
         }
     }
 
-    /// The endpoints with room for a request and the least wait, and the last one that had a
-    /// prompt with the same beginning.
+    /// The endpoints with room for a request and the shortest wait, plus the endpoint that last
+    /// received a prompt with the same first block.
     fn shortlist(&mut self, request: RequestId, now: Time) -> Shortlist {
         let mut list = Shortlist::default();
         let Some(entry) = self.requests.get(&request) else { return list };
@@ -209,7 +210,7 @@
         }
     }
 
-    /// An endpoint with room as a candidate for `entry`, where it may get it.
+    /// Converts an endpoint with room to a candidate, unless `entry` may not run there.
     fn candidate(&self, entry: &RequestEntry, endpoint: &Endpoint, now: Time) -> Option<Candidate> {
         let band = entry.band;
         let rate = self.fleet.rate(endpoint);
@@ -250,8 +251,8 @@
         self.start(request, vec![shard], chosen.cached, chosen.predicted, now);
     }
 
-    /// Starts a waiting request on `shards`, the first of which runs it, has `cached` of its
-    /// prompt, and is predicted to give the first token in `predicted` seconds.
+    /// Starts a waiting request on `shards`. The first shard runs it, has `cached` tokens of its
+    /// prompt in its cache, and is predicted to give the first token after `predicted` seconds.
     pub(super) fn start(
         &mut self,
         request: RequestId,
@@ -311,7 +312,7 @@
         }
     }
 
-    /// Takes a request out of its lane; `served` where that is because it starts.
+    /// Removes a request from its queue; `served` if it starts.
     pub(super) fn dequeue(&mut self, request: RequestId, served: bool) {
         let Some(entry) = self.requests.get(&request) else { return };
         let weight = self.workspaces.weight_of(entry.workspace);
@@ -322,13 +323,13 @@
             return;
         }
         self.waiting -= 1;
-        // A further attempt of a request was paid for with the first.
+        // The workspace was charged for the first attempt; retries are free.
         if served && entry.attempts == 0 {
             queue.charge(weight, workspace_queue, entry.cost);
         }
     }
 
-    /// Ends the attempt under way, if any: its memory and prefill are free again.
+    /// Ends the running attempt, if any, and releases its memory and prefill.
     pub(super) fn release(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
         let entry = self.requests.get_mut(&request)?;
         if !matches!(entry.state, RequestState::Running(_)) {
@@ -353,7 +354,7 @@
     }
 }
 
-/// Tokens as a whole number, rounded up.
+/// Rounds tokens up to a whole number.
 pub(super) fn ceil_tokens(tokens: f64) -> Tokens {
     Tokens(tokens.ceil().max(0.0) as u64)
 }
--- a/crates/policy/src/adaptive/endpoint.rs
+++ b/crates/policy/src/adaptive/endpoint.rs
@@ -1,22 +1,25 @@
-//! One endpoint's load as this instance sees it.
+//! The load of one endpoint as seen by this instance.
 //!
-//! **Load pattern.** Several instances send to the same endpoints; each knows its own sends at
-//! once, the others' by digests some hundred milliseconds old, and the endpoint's reports with a
-//! lag.
+//! **Load pattern.** Several instances send to the same endpoints. Each knows its own requests at
+//! once, those of the others from digests that are some hundred milliseconds old, and the
+//! endpoint's reports with a delay.
 //!
-//! **Without it.** Whoever trusts the last report sends a burst to the engine that looked idle in
-//! it; whoever adds report and own sends counts its work twice and leaves engines idle.
+//! **Without it.** An instance that trusts the last report sends a burst to the engine that looked
+//! idle in it. An instance that adds its own requests to the report counts their work twice and
+//! leaves engines idle.
 //!
-//! **Rule.** Own work is counted at once and is taken to shrink at the learned speed, shorter
-//! bands first, as the engine does it; a first token removes what is left of its request. Others'
-//! work is what their digests say, shrinking likewise. Of a report only what neither we had there
-//! when it was taken nor the digests explain is added: a part that counts twice is impossible,
-//! because own work is subtracted as of the report's own time.
+//! **Rule.** Own work is counted at once and modelled as shrinking at the learned speed, shorter
+//! bands first, in the order in which the engine does it; a first token removes the remaining work
+//! of its request. The others' work is taken from their digests and shrinks likewise. From a
+//! report, only the work that neither this instance's own requests nor the digests explain is
+//! added. No work is counted twice, because own work is subtracted as of the time when the report
+//! was taken.
 //!
-//! **Grounds.** The modelled rest never falls below a quarter of what is outstanding
-//! ([`LEAST_LEFT`]): an engine that has stopped would otherwise look idle after a while and draw
-//! work. An engine from which nothing came for twice the time its work should take counts as late
-//! by the excess, which is the least its next request would wait if it were merely slow.
+//! **Grounds.** The modelled remaining work never falls below a quarter of what is outstanding
+//! ([`MIN_REMAINING_SHARE`]); otherwise an engine that has stopped would look idle after a while
+//! and attract work. An engine without any progress for twice the time that its work should take
+//! counts as late by the excess, which is the least that its next request would wait if the engine
+//! were merely slow.
 
 mod reports;
 
@@ -33,67 +36,69 @@
     seconds,
 };
 
-/// The least share of outstanding prefill that counts as still to be done.
+/// Minimum share of the outstanding prefill that counts as remaining.
 const MIN_REMAINING_SHARE: f64 = 0.25;
-/// Moments of own load that are kept to tell own work from others' in a report. At one a request
-/// they reach back a lag of a second at 60 requests a second and endpoint; older reports subtract
-/// the oldest moment, which errs towards too little work.
+/// Number of load records kept to tell own work from others' work in a report. With one record per
+/// request, they cover a report delay of one second at 60 requests per second on an endpoint. For
+/// older reports the oldest record is subtracted, which underestimates the work.
 const MAX_LOAD_RECORDS: usize = 64;
-/// Excess over twice the expected time, in seconds, before an endpoint counts as late.
+/// Seconds of excess over twice the expected time before an endpoint counts as late.
 const LATE_GRACE_S: f64 = 0.5;
 
-/// Seconds without idling over which throughput counts as the engine's speed. Ten digests at two
-/// a second: the last one's lag errs by a tenth.
+/// Minimum seconds of uninterrupted work for its throughput to count as the engine's speed. They
+/// span ten digests at two per second, so the delay of the last one causes an error of a tenth.
 const MIN_BUSY_S: f64 = 5.0;
 
-/// The share of memory held beyond which an engine is the last to be opened to long prompts.
+/// Share of held memory above which an engine is opened to long prompts last.
 const MAX_HELD_SHARE: f64 = 0.6;
 
-/// Seconds for which another instance's learned speed counts after its last work there.
+/// Seconds after another instance's last work on an endpoint during which the speed it learned
+/// there is used.
 const PEER_RATE_MAX_AGE_S: f64 = 5.0;
 
-/// Prompt tokens by band.
+/// One value per band; prompt tokens unless stated otherwise.
 pub(super) type PerBand = [f64; BANDS];
 
-/// What this instance has under way on one endpoint.
+/// This instance's requests in flight on one endpoint.
 #[derive(Debug, Default)]
 pub(super) struct OwnLoad {
-    /// Prompt tokens whose first token hasn't come.
+    /// Prompt tokens of the requests without a first token.
     pub(super) sent: PerBand,
-    /// The part of it that is modelled as not prefilled yet.
+    /// The part of `sent` that is modelled as not prefilled yet.
     remaining: PerBand,
-    /// Requests whose first token hasn't come.
+    /// Number of requests without a first token.
     pub(super) prefilling: [u32; BANDS],
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(super) running: u32,
-    /// Memory they need.
+    /// Memory of these requests, in tokens.
     pub(super) held: f64,
-    /// The part of it that short prompts need.
+    /// The part of `held` that short prompts need.
     short_held: f64,
 }
 
-/// What one other instance has under way there.
+/// Load of another instance on one endpoint, from its last digest.
 #[derive(Debug)]
 struct PeerLoad {
     instance: InstanceId,
     remaining: PerBand,
     held: f64,
-    /// Prompt tokens prefilled for it, ever.
+    /// Total prompt tokens prefilled for that instance.
     done: f64,
-    /// The speed that it learned, and when it last had anything prefilled to learn from.
+    /// The speed that it learned, in tokens per second, and when the digests last showed new
+    /// prefilled tokens to learn from.
     rate: f64,
     learned: f64,
 }
 
-/// A stretch of time in which the engine was never idle.
+/// A period in which the engine was never idle.
 #[derive(Debug)]
 struct BusyPeriod {
     since: f64,
-    /// Prompt tokens prefilled for all instances when it began.
+    /// Total prompt tokens prefilled for all instances when the period began.
     done: f64,
 }
 
-/// What a report shows beyond what was known at its time.
+/// Load in a report that neither own requests nor digests explain.
 #[derive(Debug, Default)]
 struct UnexplainedLoad {
     remaining: f64,
@@ -103,58 +108,59 @@
 #[derive(Debug)]
 struct LoadRecord {
     at: Time,
-    /// Prefill that was known of then, own and others'.
+    /// Remaining prefill known at that time, of all instances.
     remaining: f64,
-    /// Memory, likewise.
+    /// Held memory known at that time, of all instances.
     held: f64,
 }
 
-/// One endpoint in its present life.
+/// One endpoint in its current incarnation.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub(super) id: EndpointId,
     pub(super) incarnation: Incarnation,
     pub(super) state: EndpointState,
     pub(super) data_centre: DataCentre,
-    /// One-way delay in seconds.
+    /// One-way network delay in seconds.
     pub(super) distance: f64,
     pub(super) speed: PrefillSpeed,
-    /// Memory as reported; zero where unknown or without bound.
+    /// Reported memory in tokens; zero if unknown or unlimited.
     pub(super) memory: f64,
     pub(super) own: OwnLoad,
     peers: Vec<PeerLoad>,
     others_remaining: PerBand,
     others_held: f64,
-    /// Memory that a report shows and nobody's digest explains.
+    /// Held memory in reports that no digest explains.
     unexplained_held: f64,
     last_unexplained: UnexplainedLoad,
     load_records: VecDeque<LoadRecord>,
     advanced_at: f64,
     last_progress: f64,
-    /// Short prompt tokens done for this instance, ever.
+    /// Total short prompt tokens prefilled for this instance.
     pub(super) short_done: f64,
-    /// All prompt tokens done for this instance, ever, and for the others.
+    /// Total prompt tokens prefilled for this instance, and for the others.
     done: f64,
     others_done: f64,
     busy_period: Option<BusyPeriod>,
-    /// Whether long prompts may go there.
+    /// Whether long prompts may be placed here.
     pub(super) open_to_long: bool,
     /// Memory being drained for a prompt that needs several engines.
     pub(super) draining: f64,
-    /// It refused a request for lack of room; not asked again before this.
+    /// Time until which no requests are sent here, after a rejection for lack of room or a failure
+    /// to reach it.
     pub(super) blocked_until: Time,
-    /// Whether this instance goes there first among equals.
+    /// Whether this instance prefers this endpoint among equal ones.
     pub(super) is_preferred: bool,
-    /// How cautiously it may be used, as the cost's factor; infinite where it is ejected.
+    /// Factor on the endpoint's cost, higher for an unhealthy endpoint; infinite if it is ejected.
     pub(super) caution: f64,
-    /// Its requests were put under suspicion for this life's death.
+    /// Whether the death of this incarnation has been reported to the quarantine.
     pub(super) death_recorded: bool,
-    /// It asked for no new work in a report.
+    /// Whether its last report asked for no new work.
     pub(super) is_leaving: bool,
 }
 
 impl Endpoint {
-    /// Bytes kept for one endpoint, its full history included.
+    /// Size of one endpoint in bytes, including its full load history.
     pub(super) fn bytes() -> usize {
         size_of::<Endpoint>() + MAX_LOAD_RECORDS * size_of::<LoadRecord>()
     }
@@ -191,8 +197,9 @@
         }
     }
 
-    /// Takes over a change. A new life starts with nothing known and nothing under way; word of an
-    /// older life is ignored. Incarnation zero stands for a life not heard of yet.
+    /// Applies a change. A new incarnation starts without any learned state or requests; a change
+    /// of an older incarnation is ignored. Incarnation zero means that the incarnation isn't known
+    /// yet.
     pub(super) fn apply_change(&mut self, change: &EndpointChange, now: Time) {
         let unheard = Incarnation::default();
         if change.incarnation != unheard && change.incarnation < self.incarnation {
@@ -208,13 +215,13 @@
         self.data_centre = change.data_centre.clone();
     }
 
-    /// Whether it may get work now.
+    /// Whether the endpoint is live and accepts new work.
     pub(super) fn usable(&self) -> bool {
         self.state == EndpointState::Live && !self.is_leaving
     }
 
-    /// Whether it may get one more prompt of `band` now: it has the memory, and no more than
-    /// `budget` tokens of prefill stand before it.
+    /// Whether one more prompt of `band` fits now: it has enough memory, and at most `budget`
+    /// tokens of prefill are ahead of the prompt.
     pub(super) fn has_room(&self, band: Band, budget: f64, memory: f64, now: Time) -> bool {
         let open = !band.is_long() || self.open_to_long;
         if !open || !self.usable() || self.blocked_until > now || self.caution.is_infinite() {
@@ -225,7 +232,7 @@
         ahead <= budget && self.free(band) >= memory
     }
 
-    /// Models the prefill done since the last call, at `rate`.
+    /// Models the prefill done since the last call, at `rate` tokens per second.
     pub(super) fn advance(&mut self, now: f64, rate: f64) {
         let mut capacity = rate * (now - self.advanced_at).max(0.0);
         self.advanced_at = self.advanced_at.max(now);
@@ -245,31 +252,31 @@
         }
     }
 
-    /// Prompt tokens to be prefilled before a new prompt of `band`.
+    /// Prompt tokens that are prefilled before a new prompt of `band`.
     pub(super) fn prefill_ahead(&self, band: Band) -> f64 {
         (0..=band.longest_band_ahead()).map(|b| self.remaining(b)).sum()
     }
 
-    /// The same as modelled, without a floor: the best guess where it is compared with what came
-    /// of it.
+    /// Like [`Self::prefill_ahead`], but without the minimum of [`MIN_REMAINING_SHARE`]. This is
+    /// the best estimate for comparing a prediction with the measured time.
     pub(super) fn modelled_prefill_ahead(&self, band: Band) -> f64 {
         (0..=band.longest_band_ahead())
             .map(|b| self.own.remaining[b] + self.others_remaining[b])
             .sum()
     }
 
-    /// Long prompts' tokens to be prefilled before a new prompt of `band`.
+    /// Tokens of long prompts that are prefilled before a new prompt of `band`.
     pub(super) fn long_prefill_ahead(&self, band: Band) -> f64 {
         (1..=band.longest_band_ahead()).map(|b| self.remaining(b)).sum()
     }
 
-    /// Tokens of `band` that are still to be prefilled there, from all instances.
+    /// Tokens of `band` that remain to be prefilled, of all instances.
     pub(super) fn remaining(&self, band: usize) -> f64 {
         self.own_remaining(band) + self.others_remaining[band]
     }
 
-    /// Prompts that are being prefilled there, or wait for that, and that a new one of `band`
-    /// would delay. Of others' only whether there are any is known.
+    /// Number of prompts waiting for or in prefill that a new prompt of `band` would delay. For the
+    /// other instances it is only known whether there are any, so each band of theirs counts once.
     pub(super) fn prompts_delayed_by(&self, band: Band) -> u32 {
         let later = band.longest_band_ahead() + 1..BANDS;
         let own: u32 = later.clone().map(|b| self.own.prefilling[b]).sum();
@@ -277,7 +284,7 @@
         own + others as u32
     }
 
-    /// Seconds by which it is late with what it was sent.
+    /// Seconds by which the endpoint is late with its outstanding work.
     pub(super) fn lateness(&self, now: f64, rate: f64) -> f64 {
         let outstanding: f64 = self.own.sent.iter().sum();
         if outstanding <= 0.0 {
@@ -287,8 +294,8 @@
         (now - self.last_progress - 2.0 * expected - LATE_GRACE_S).max(0.0)
     }
 
-    /// Memory for a new request of `band`; without bound where the endpoint reports none. What is
-    /// being drained is kept free, but for a small part that short prompts always keep.
+    /// Free memory for a new request of `band`; infinite if the endpoint reports no limit. Memory
+    /// being drained isn't free, except for a small part that is always left to short prompts.
     pub(super) fn free(&self, band: Band) -> f64 {
         let free = self.free_while_draining();
         let kept = if band.is_long() {
@@ -299,14 +306,14 @@
         (free - self.draining).max(free.min(kept))
     }
 
-    /// Whether no prompt over several engines takes most of its memory, or is about to.
+    /// Whether no prompt over several engines takes most of the memory or is about to.
     pub(super) fn has_spare_memory(&self) -> bool {
         self.memory <= 0.0
             || self.draining <= 0.0
                 && self.own.held + self.others_held < self.memory * MAX_HELD_SHARE
     }
 
-    /// Memory for the very prompt that it is being drained for.
+    /// Free memory for the prompt that the endpoint is being drained for.
     pub(super) fn free_while_draining(&self) -> f64 {
         if self.memory <= 0.0 {
             return f64::INFINITY;
@@ -323,7 +330,7 @@
         self.own.prefilling[band.index()] += 1;
     }
 
-    /// A request's prefill is over, whether its first token came or it was given up.
+    /// Records that a request's prefill has ended, because its first token came or it was given up.
     pub(super) fn prefilled(&mut self, band: Band, prompt: f64) {
         let band = band.index();
         self.own.prefilling[band] = self.own.prefilling[band].saturating_sub(1);
@@ -338,7 +345,7 @@
         self.last_progress = seconds(now);
     }
 
-    /// Takes `tokens` of memory for a request that starts there.
+    /// Reserves `tokens` of memory for a request that starts here.
     pub(super) fn hold(&mut self, band: Band, tokens: f64) {
         if !band.is_long() {
             self.own.short_held += tokens;
@@ -347,7 +354,7 @@
         self.own.held += tokens;
     }
 
-    /// Gives them back.
+    /// Releases `tokens` of memory.
     pub(super) fn release(&mut self, band: Band, tokens: f64) {
         if !band.is_long() {
             self.own.short_held = (self.own.short_held - tokens).max(0.0);
--- a/crates/policy/src/adaptive/endpoint/reports.rs
+++ b/crates/policy/src/adaptive/endpoint/reports.rs
@@ -1,4 +1,4 @@
-//! What reports and digests say of an endpoint; the rule stands in [`super`].
+//! Applies load reports and digests to an endpoint; for the rule see [`super`].
 
 use super::{
     BusyPeriod, Endpoint, LoadRecord, MAX_LOAD_RECORDS, MIN_BUSY_S, PEER_RATE_MAX_AGE_S, PeerLoad,
@@ -7,7 +7,7 @@
 use crate::{BANDS, InstanceId, LoadReport, Time, report::EndpointShare};
 
 impl Endpoint {
-    /// Remembers the own load of this moment for the next report.
+    /// Records the current load, to be compared with the next report.
     pub(in crate::adaptive) fn record_load(&mut self, now: Time) {
         let remaining: f64 = self.own.sent.iter().chain(&self.others_remaining).sum();
         let record = LoadRecord { at: now, remaining, held: self.own.held + self.others_held };
@@ -17,7 +17,7 @@
         self.load_records.push_back(record);
     }
 
-    /// Takes note of a report of this life.
+    /// Applies a load report, unless it is of another incarnation.
     pub(in crate::adaptive) fn apply_report(&mut self, report: &LoadReport, rate: f64) {
         if report.incarnation != self.incarnation {
             return;
@@ -28,18 +28,20 @@
         let Some(then_known) = then_known.or(self.load_records.front()) else { return };
         let held = (report.kv_used.0 as f64 - then_known.held).max(0.0);
         let remaining = (report.waiting_prefill.0 as f64 - then_known.remaining).max(0.0);
-        // What one report shows may have come and gone between two digests; what two show stays.
+        // Load in one report may have appeared and gone between two digests; only load that two
+        // reports in a row show counts.
         self.unexplained_held = held.min(self.last_unexplained.held);
         let unexplained = remaining.min(self.last_unexplained.remaining);
         self.last_unexplained = UnexplainedLoad { remaining, held };
-        // The report doesn't say whose prompts these are: a tenth of a second of them counts as
-        // short, which is what an instance keeps there of short ones; the rest as long.
+        // The report doesn't say whose prompts these are. A tenth of a second of prefill counts as
+        // short, which is the budget of short prompts that an instance sends there in advance; the
+        // rest counts as long.
         let short = unexplained.min(rate * 0.1);
         self.others_remaining[0] += short;
         self.others_remaining[BANDS - 1] += unexplained - short;
     }
 
-    /// Takes note of another instance's part.
+    /// Applies another instance's load on this endpoint.
     pub(in crate::adaptive) fn apply_peer_load(
         &mut self,
         instance: &InstanceId,
@@ -67,7 +69,7 @@
         self.learn_from_peers(now);
     }
 
-    /// Another instance's digest tells of nothing under way here.
+    /// Clears the load of another instance whose digest doesn't list this endpoint any more.
     pub(in crate::adaptive) fn clear_peer_load(&mut self, instance: &InstanceId) {
         let Some(part) = self.peers.iter_mut().find(|part| part.instance == *instance) else {
             return;
@@ -77,8 +79,8 @@
         self.sum_peers();
     }
 
-    /// Takes note of `tokens` prefilled for this instance. Once the engine has not been idle for
-    /// [`BUSY_FOR`], what was prefilled there for all instances is a sample of its speed.
+    /// Records `tokens` prefilled for this instance. Once the engine has been busy for
+    /// [`MIN_BUSY_S`], the throughput of all instances is a sample of its speed.
     pub(in crate::adaptive) fn record_prefilled(&mut self, tokens: f64, now: f64) {
         self.done += tokens;
         let done = self.done + self.others_done;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Forgets another instance's part.
+    /// Removes another instance's load.
     pub(in crate::adaptive) fn remove_peer(&mut self, instance: &InstanceId) {
         let known = self.peers.len();
         self.peers.retain(|part| part.instance != *instance);
@@ -106,12 +108,12 @@
         }
     }
 
-    /// Whether the others have to hear of this instance's part.
+    /// Whether digests have to include this instance's load here.
     pub(in crate::adaptive) fn has_load_to_report(&self) -> bool {
         self.own.running > 0 || self.done > 0.0
     }
 
-    /// This instance's part, for the others.
+    /// This instance's load here, for its digest.
     pub(in crate::adaptive) fn share(&self) -> EndpointShare {
         let remaining = std::array::from_fn(|band| crate::Tokens(self.own_remaining(band) as u64));
         EndpointShare {
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Takes over the highest speed that another instance has learned of late. All measures err low,
-    /// and an instance that has little to send there learns little itself.
+    /// Takes the highest speed that another instance has learned recently. All measurements err
+    /// towards slow, and an instance that sends little to an endpoint learns little by itself.
     pub(in crate::adaptive) fn learn_from_peers(&mut self, now: f64) {
         let recent = self.peers.iter().filter(|part| now - part.learned <= PEER_RATE_MAX_AGE_S);
         let rates = recent.map(|part| part.rate).filter(|rate| *rate > 0.0);
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -177,7 +177,8 @@
         if entry.passed_on > Tokens::ZERO {
             let left = (entry.req.max_output - entry.passed_on).0 as f64;
             let needed = super::span(decode.seconds(left)).as_micros() as u64;
-            entry.bound = Time(entry.req.deadline.0.saturating_sub(needed)).max(entry.bound);
+            entry.first_token_by =
+                Time(entry.req.deadline.0.saturating_sub(needed)).max(entry.first_token_by);
         }
         let at = now + backoff(entry.attempts + 1, &mut self.rng);
         entry.state = RequestState::BackingOff(at);
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -1,9 +1,10 @@
-//! The product's own scheduler.
+//! The adaptive scheduler, the default policy.
 //!
-//! Each module here answers one load pattern and says which. A request passes them in this order:
-//! [`workspaces`] and [`admit`] let it in or refuse it, [`queue`] holds it, [`dispatch`] or
-//! [`reserve`] sends it, [`failover`] sends it again, and [`learn`] makes the next prediction
-//! better. See `docs/decisions/scheduling.md` and `docs/decisions/long-beside-short.md`.
+//! Each module here handles one load pattern and describes it in its heading. A request passes
+//! through them in this order: [`workspaces`] and [`admit`] admit or refuse it, [`queue`] holds it,
+//! [`dispatch`] or [`reserve`] sends it, [`failover`] retries it after a failure, and [`learn`]
+//! uses the outcome to improve the next predictions. See `docs/decisions/scheduling.md` and
+//! `docs/decisions/long-beside-short.md`.
 
 mod admit;
 mod answers;
@@ -54,23 +55,24 @@
 use window::DecayedRate;
 use workspaces::{QUEUE_COUNT, TRAFFIC_HALF_LIFE_S, Workspaces};
 
-/// How often what waits is looked at even if nothing happens: modelled progress frees budget
-/// without an event, and a lost event must not strand anybody. A hundredth of a second is a tenth
-/// of the shortest budget.
+/// How often the queues are polled while requests wait, even without an event. Modelled progress
+/// frees budget without an event, and a lost event must not leave requests waiting forever. Ten
+/// milliseconds are a tenth of the shortest budget.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Half-life in seconds of the measured demand: a few long prompts' worth of time.
+/// Half-life in seconds of the measured demand: about the time that a few long prompts take.
 const DEMAND_HALF_LIFE_S: f64 = 20.0;
-/// Weighted tokens a second below which a workspace isn't told to the other instances.
+/// Weighted tokens per second below which a workspace with nothing waiting is left out of digests.
 const MIN_REPORTED_TOKENS_PER_S: f64 = 1.0;
-/// The most workspaces told in one digest, busiest first, so that digests stay within the
-/// instances' budget for talk among themselves.
+/// Maximum number of workspaces in one digest, busiest first. It keeps digests within the bandwidth
+/// budget for traffic between instances.
 const MAX_REPORTED_WORKSPACES: usize = 64;
 
-/// What a second of a long prompt's first token weighs against a second of a short one's, where a
-/// site weighs both alike. A second more is a small part of the one and many times the other; this
-/// balance is measured in `docs/decisions/long-beside-short.md`.
+/// Weight of one second of a long prompt's time to first token relative to one second of a short
+/// prompt's, if a site weighs both alike. An extra second is a small part of a long prompt's time
+/// and a multiple of a short one's. The value was measured in
+/// `docs/decisions/long-beside-short.md`.
 const LONG_FIRST_TOKEN_FACTOR: f64 = 0.4;
-/// Seconds between two judgements of the endpoints' health.
+/// Seconds between two assessments of the endpoints' health.
 const HEALTH_INTERVAL_S: f64 = 1.0;
 
 #[derive(Debug, Default)]
@@ -79,7 +81,7 @@
     limits: Limits,
 }
 
-/// The product's scheduler; see the module's documentation.
+/// The adaptive scheduler; see the module's documentation.
 #[derive(Debug)]
 pub struct AdaptiveScheduler {
     instance: InstanceId,
@@ -90,7 +92,7 @@
     fleet: Fleet,
     workspaces: Workspaces,
     queues: [FairQueue; QUEUE_COUNT],
-    /// Requests that wait in lanes.
+    /// Number of requests waiting in `queues`.
     waiting: usize,
     requests: IndexMap<RequestId, RequestEntry>,
     expiries: BTreeSet<RequestTimer>,
@@ -106,47 +108,50 @@
     band_limits: BandLimits,
     health: Health,
     health_assessed_at: f64,
-    /// Ejected endpoints whose probe is due.
+    /// Ejected endpoints that are due for a probe.
     probes: Vec<EndpointId>,
     cache: CacheIndex,
     prefix_holders: PrefixHolders,
     budgets: RetryBudgets,
     short_limiter: ShortRateLimiter,
-    /// Long prompts of this instance without a first token.
+    /// Long prompts of this instance that are still being prefilled.
     long_prefills: IndexSet<RequestId>,
-    /// Prefill speed that short prompts can count on.
+    /// Prefill rate available to short prompts, in tokens per second.
     short_rate: f64,
-    /// Seconds of work that others have likely sent to an endpoint that isn't this one's home.
+    /// Estimated seconds of work that other instances have sent to an endpoint but not reported
+    /// yet, for endpoints that this instance doesn't prefer.
     unreported_work: f64,
     quarantine: Quarantine,
     last_trial: f64,
-    /// Requests admitted before any speed was measured.
+    /// Requests admitted before the speed of any engine was measured.
     unmeasured_requests: IndexSet<RequestId>,
-    /// The last of them that was started.
+    /// The request in `unmeasured_requests` that was started last.
     unmeasured_trial: Option<RequestId>,
-    /// Prompt tokens a second of all instances, by band.
+    /// Demand of all instances by band, in prompt tokens per second.
     total_demand: PerBand,
-    /// Prefill speed of the engines open to long prompts and with memory for them.
+    /// Total prefill rate of the engines that are open to long prompts and have memory for them, in
+    /// tokens per second.
     long_rate: f64,
-    /// Prefill on the engines that goes before a prompt of each band, and the least on any one in
-    /// seconds.
+    /// Tokens on all engines that are prefilled before a new prompt of each band, and the shortest
+    /// such wait on a single engine, in seconds.
     inflight: PerBand,
     least_wait: PerBand,
 }
 
-/// Bytes that the scheduler keeps for one of each, without names and without what is queued.
+/// Memory per object in bytes, without names and queue entries.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
-    /// An endpoint, with its own load's history.
+    /// An endpoint, including its load history.
     pub endpoint: usize,
-    /// A workspace with nothing waiting.
+    /// A workspace without waiting requests.
     pub workspace: usize,
     /// An admitted request.
     pub request: usize,
 }
 
 impl AdaptiveScheduler {
-    /// What it keeps, for `decision_cost` and the page of capacities.
+    /// Sizes of the scheduler's objects, for the `decision_cost` example and the capacity
+    /// documentation.
     pub fn sizes() -> Sizes {
         Sizes {
             endpoint: endpoint::Endpoint::bytes(),
@@ -155,7 +160,7 @@
         }
     }
 
-    /// A scheduler for one life of `instance`; `seed` starts its generator.
+    /// Creates a scheduler for one incarnation of `instance`; `seed` seeds its random generator.
     pub fn new(instance: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         AdaptiveScheduler {
             instance,
@@ -200,7 +205,8 @@
         }
     }
 
-    /// Fails what is past its bound or deadline.
+    /// Fails waiting requests that can no longer meet their first-token deadline, and all requests
+    /// past their final deadline.
     fn expire(&mut self, now: Time) {
         while let Some(timer) = self.expiries.first().copied().filter(|timer| timer.at <= now) {
             self.expiries.remove(&timer);
@@ -210,13 +216,13 @@
                 self.fail(timer.request, FailCause::Deadline, now);
                 continue;
             }
-            // It backs off; its deadline is what counts until it waits again.
+            // While the request backs off, only its final deadline applies.
             entry.expires_at = entry.req.deadline;
             self.expiries.insert(RequestTimer { at: entry.expires_at, ..timer });
         }
     }
 
-    /// Takes over what another instance told.
+    /// Applies a load digest from another instance.
     fn apply_peer_digest(&mut self, digest: LoadDigest, now: Time) {
         if digest.instance == self.instance || !self.peers.is_new(&digest) {
             return;
@@ -383,12 +389,12 @@
     }
 }
 
-/// A point in time in seconds since the origin.
+/// Converts a point in time to seconds since the origin.
 fn seconds(at: Time) -> f64 {
     at.0 as f64 / 1e6
 }
 
-/// A span of so many seconds; the longest where the number has no meaning as one.
+/// Converts seconds to a duration; values that a duration can't represent become the maximum.
 fn span(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX)
 }
--- a/crates/policy/src/adaptive/queue.rs
+++ b/crates/policy/src/adaptive/queue.rs
@@ -1,20 +1,23 @@
-//! Who is next among the waiting: fair shares among workspaces, earliest bound within one.
+//! Queues: fair shares among workspaces, earliest deadline first within one.
 //!
-//! **Load pattern.** One workspace sends ten times its share, in bursts; others send little and
-//! want quick answers.
+//! **Load pattern.** One workspace sends ten times its share in bursts, while others send little
+//! and expect quick answers.
 //!
-//! **Without it.** One queue in order of arrival makes everybody wait for the loudest.
+//! **Without it.** In a single first-come-first-served queue, all requests wait behind the busiest
+//! workspace.
 //!
-//! **Rule.** Start-time fair queueing, a form of deficit round robin that needs no rounds: each
-//! workspace has a tag that rises by the weighted tokens it was served, divided by its weight; the
-//! lowest tag is next. A workspace that had nothing waiting starts at the lane's present tag, so
-//! an idle share is lent to the others and given back the moment its owner returns, but can't
-//! be saved up. Each band of prompt length is a lane of its own: a caller's dossier doesn't count
-//! against its short questions. Within a workspace the earliest bound goes first.
+//! **Rule.** Start-time fair queueing, a relative of deficit round robin without rounds. Each
+//! workspace has a start tag that grows by the weighted tokens it is served, divided by its weight,
+//! and the workspace with the lowest tag is served next. A workspace that had nothing waiting
+//! starts at the queue's current virtual time. Its unused share goes to the others and returns to
+//! it as soon as it sends again, but can't be saved up. Each band of prompt lengths has a queue of
+//! its own, so a caller's long prompts don't count against its short ones. Within a workspace, the
+//! request with the earliest first-token deadline goes first.
 //!
-//! **Grounds.** Deficit round robin needs a quantum: a small one costs many rounds for a
-//! million-token prompt, a large one lets a thousand-token prompt wait for a round of large ones.
-//! Tags need neither and cost a logarithm: measured in `docs/decisions/scheduling.md`.
+//! **Grounds.** Deficit round robin needs a quantum: a small one takes many rounds for a prompt of
+//! a million tokens, and a large one makes a prompt of a thousand tokens wait for a round of large
+//! ones. Tags need neither and cost logarithmic time, as measured in
+//! `docs/decisions/scheduling.md`.
 
 use std::collections::BTreeSet;
 
@@ -22,32 +25,32 @@
 
 use super::{learn::QueueWaitMargin, window::DecayedRate};
 
-/// Tags count in thousandths of a weighted token, so that large weights still tell apart.
+/// Tags count thousandths of a weighted token, so that small costs stay distinct after division by
+/// a large weight.
 const TAG_UNITS_PER_TOKEN: f64 = 1000.0;
 
-/// A workspace by its place in the table of workspaces.
+/// Index of a workspace in the table of workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct WorkspaceIndex(pub(super) u32);
 
-/// A request that waits.
+/// Key of a waiting request, ordered by deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Waiting {
-    /// By when it wants its first token.
-    pub(super) bound: Time,
-    /// The request.
+    /// Deadline of the first token.
+    pub(super) first_token_by: Time,
     pub(super) request: RequestId,
 }
 
-/// One workspace's part of one lane.
+/// One workspace's requests in one [`FairQueue`].
 #[derive(Debug, Default)]
 pub(super) struct WorkspaceQueue {
     start_tag: u64,
     requests: BTreeSet<Waiting>,
-    /// Prompt tokens that wait.
+    /// Prompt tokens of the waiting requests.
     tokens: f64,
-    /// Prompt tokens admitted of late.
+    /// Recently admitted prompt tokens.
     pub(super) demand: DecayedRate,
-    /// How far predictions of its waits are off.
+    /// Error of the predicted waits in this queue.
     pub(super) margin: QueueWaitMargin,
 }
 
@@ -65,7 +68,7 @@
     }
 }
 
-/// All waiting requests of one band.
+/// All waiting requests of one band, or those that need several engines.
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
     active: BTreeSet<QueuedWorkspace>,
@@ -81,32 +84,30 @@
     workspace: WorkspaceIndex,
 }
 
-/// What a queue operation needs to know of its workspace.
+/// The workspace that a queue operation applies to, and its weight.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WorkspaceWeight {
-    /// The workspace.
     pub(super) workspace: WorkspaceIndex,
-    /// Its weight.
     pub(super) weight: f64,
 }
 
 impl FairQueue {
-    /// Prompt tokens that wait.
+    /// Prompt tokens of all waiting requests.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Sum of the weights of workspaces with something waiting.
+    /// Sum of the weights of the workspaces with waiting requests.
     pub(super) fn weights(&self) -> f64 {
         self.weights
     }
 
-    /// Takes over the sum of weights after they have changed.
+    /// Sets the sum of the weights after they have been reconfigured.
     pub(super) fn set_weights(&mut self, weights: f64) {
         self.weights = weights;
     }
 
-    /// Puts a request into its workspace's `line`.
+    /// Adds a request to `workspace_queue`.
     pub(super) fn push(
         &mut self,
         owner: WorkspaceWeight,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes a request out, whether because it starts or because it is given up.
+    /// Removes a request that starts or is given up. Returns false if it wasn't queued.
     pub(super) fn remove(
         &mut self,
         owner: WorkspaceWeight,
@@ -158,7 +159,7 @@
         true
     }
 
-    /// Counts `cost` weighted tokens as served to a workspace.
+    /// Charges a workspace for `cost` weighted tokens.
     pub(super) fn charge(
         &mut self,
         owner: WorkspaceWeight,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Workspaces with something waiting, lowest tag first.
+    /// Workspaces with waiting requests, lowest start tag first.
     pub(super) fn workspaces_in_order(&self) -> impl Iterator<Item = WorkspaceIndex> + '_ {
         self.active.iter().map(|queued| queued.workspace)
     }
--- a/crates/policy/src/adaptive/request.rs
+++ b/crates/policy/src/adaptive/request.rs
@@ -23,7 +23,7 @@
     /// Weighted tokens, for shares.
     pub(super) cost: f64,
     /// By when the next first token has to be out.
-    pub(super) bound: Time,
+    pub(super) first_token_by: Time,
     /// When it has to be looked at even if nothing happens.
     pub(super) expires_at: Time,
     pub(super) state: RequestState,
@@ -110,7 +110,7 @@
 
 impl RequestEntry {
     pub(super) fn waiting(&self) -> Waiting {
-        Waiting { bound: self.bound, request: self.req.id }
+        Waiting { first_token_by: self.first_token_by, request: self.req.id }
     }
 
     pub(super) fn prompt(&self) -> f64 {
