--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -1,16 +1,16 @@
-//! What answers teach.
+//! Learning from answers.
 //!
 //! **Load pattern.** Engines change under load, and no report says how.
 //!
-//! **Without it.** Predictions stay as wrong as they were on the first day.
+//! **Without it.** Predictions never become better than the initial assumptions.
 //!
-//! **Rule.** An attempt's first token gives one sample of the engine's speed, of the error of the
-//! prediction made on admission and of the engine's health; a whole answer gives one of decoding and
-//! pays into the retry budgets. Word of an attempt that is over teaches nothing.
+//! **Rule.** An attempt's first token gives a sample of the engine's speed, of the error of the
+//! admission's prediction, and of the engine's health. A complete answer gives a sample of the
+//! decode speed and adds to the retry budgets. Events of ended attempts are ignored.
 //!
-//! **Grounds.** A first token after a retry says more of the failure than of the engine, so only
-//! first attempts count for the margin; a prompt over several engines says nothing of the speed of
-//! one.
+//! **Grounds.** A first token after a retry depends more on the failure than on the engine, so only
+//! first attempts count for the margin. A prompt over several engines says nothing about the speed
+//! of a single one.
 
 use crate::{Outcome, RequestId, Time, Tokens};
 
@@ -22,7 +22,7 @@
 };
 
 impl AdaptiveScheduler {
-    /// Takes note of an attempt's first token; `cached` as the engine counted it.
+    /// Handles an attempt's first token; `cached` is the engine's own count.
     pub(super) fn first_token(
         &mut self,
         request: RequestId,
@@ -36,7 +36,7 @@
         self.end_prefill(request, cached, now);
     }
 
-    /// Takes note of generated tokens: the endpoint is alive.
+    /// Handles generated tokens, which show that the endpoint is alive.
     pub(super) fn progressed(&mut self, request: RequestId, attempt: u32, now: Time) {
         if !self.is_running(request, attempt) {
             return;
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Takes note of a request's end and forgets it.
+    /// Handles a request's end and removes the request.
     pub(super) fn ended(&mut self, request: RequestId, outcome: &Outcome, now: Time) {
         if let Outcome::Finished { output, .. } = outcome {
-            // A plain service's answer comes whole, so it has no first token of its own.
+            // A plain service's answer arrives as a whole, without a first token of its own.
             self.end_prefill(request, None, now);
             self.finished(request, *output, now);
         }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Takes note of what became of the prediction made on admission. One that consisted mostly of
-    /// the wait for its own workspace's turn says something of that workspace alone.
+    /// Compares the admission's prediction with the actual time. If the prediction consisted mostly
+    /// of the wait in the workspace's own queue, it only affects the margin of that queue.
     pub(super) fn learn_margin(&mut self, request: RequestId, actual: f64, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let base = entry.predicted - entry.workspace_wait;
@@ -125,7 +125,7 @@
         let taken = now.since(attempt.sent);
         if entry.queue_index != MULTI_ENGINE_QUEUE {
             let mut elapsed = taken.as_secs_f64() - 2.0 * endpoint.distance;
-            if attempt.beside_long {
+            if attempt.shares_with_long_prefill {
                 let rate = endpoint.speed.rate().unwrap_or(typical);
                 self.long_prefill_delay.observe(work / rate, elapsed);
                 elapsed -= self.long_prefill_delay.seconds().min(elapsed / 2.0);
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -290,7 +290,7 @@
             cached,
             ahead: endpoint.modelled_prefill_ahead(band),
             short_done: endpoint.short_done,
-            beside_long: !band.is_long() && endpoint.prompts_delayed_by(band) > 0,
+            shares_with_long_prefill: !band.is_long() && endpoint.prompts_delayed_by(band) > 0,
             prefill,
             first_token: None,
             shards: shards.clone(),
--- a/crates/policy/src/adaptive/endpoint.rs
+++ b/crates/policy/src/adaptive/endpoint.rs
@@ -87,7 +87,7 @@
     /// The speed that it learned, in tokens per second, and when the digests last showed new
     /// prefilled tokens to learn from.
     rate: f64,
-    learned: f64,
+    learned_at: f64,
 }
 
 /// A period in which the engine was never idle.
@@ -101,15 +101,15 @@
 /// Load in a report that neither own requests nor digests explain.
 #[derive(Debug, Default)]
 struct UnexplainedLoad {
-    remaining: f64,
+    prefill: f64,
     held: f64,
 }
 
 #[derive(Debug)]
 struct LoadRecord {
     at: Time,
-    /// Remaining prefill known at that time, of all instances.
-    remaining: f64,
+    /// Outstanding prefill known at that time, of all instances.
+    prefill: f64,
     /// Held memory known at that time, of all instances.
     held: f64,
 }
--- a/crates/policy/src/adaptive/endpoint/reports.rs
+++ b/crates/policy/src/adaptive/endpoint/reports.rs
@@ -9,8 +9,8 @@
 impl Endpoint {
     /// Records the current load, to be compared with the next report.
     pub(in crate::adaptive) fn record_load(&mut self, now: Time) {
-        let remaining: f64 = self.own.sent.iter().chain(&self.others_remaining).sum();
-        let record = LoadRecord { at: now, remaining, held: self.own.held + self.others_held };
+        let prefill: f64 = self.own.sent.iter().chain(&self.others_remaining).sum();
+        let record = LoadRecord { at: now, prefill, held: self.own.held + self.others_held };
         if self.load_records.len() >= MAX_LOAD_RECORDS {
             self.load_records.pop_front();
         }
@@ -24,15 +24,15 @@
         }
         self.memory = report.kv_total.0 as f64;
         self.is_leaving = report.leaving;
-        let then_known = self.load_records.iter().rev().find(|record| record.at <= report.taken);
-        let Some(then_known) = then_known.or(self.load_records.front()) else { return };
-        let held = (report.kv_used.0 as f64 - then_known.held).max(0.0);
-        let remaining = (report.waiting_prefill.0 as f64 - then_known.remaining).max(0.0);
+        let known_load = self.load_records.iter().rev().find(|record| record.at <= report.taken);
+        let Some(known_load) = known_load.or(self.load_records.front()) else { return };
+        let held = (report.kv_used.0 as f64 - known_load.held).max(0.0);
+        let prefill = (report.waiting_prefill.0 as f64 - known_load.prefill).max(0.0);
         // Load in one report may have appeared and gone between two digests; only load that two
         // reports in a row show counts.
         self.unexplained_held = held.min(self.last_unexplained.held);
-        let unexplained = remaining.min(self.last_unexplained.remaining);
-        self.last_unexplained = UnexplainedLoad { remaining, held };
+        let unexplained = prefill.min(self.last_unexplained.prefill);
+        self.last_unexplained = UnexplainedLoad { prefill, held };
         // The report doesn't say whose prompts these are. A tenth of a second of prefill counts as
         // short, which is the budget of short prompts that an instance sends there in advance; the
         // rest counts as long.
@@ -52,18 +52,18 @@
             return;
         }
         let done = share.prefilled.0 as f64;
-        let known = self.peers.iter().find(|part| part.instance == *instance);
-        let more = known.map_or(0.0, |part| (done - part.done).max(0.0));
-        let learned = known.filter(|_| more <= 0.0).map_or(now, |part| part.learned);
+        let known = self.peers.iter().find(|peer| peer.instance == *instance);
+        let more = known.map_or(0.0, |peer| (done - peer.done).max(0.0));
+        let learned_at = known.filter(|_| more <= 0.0).map_or(now, |peer| peer.learned_at);
         self.others_done += more;
-        self.peers.retain(|part| part.instance != *instance);
+        self.peers.retain(|peer| peer.instance != *instance);
         self.peers.push(PeerLoad {
             instance: instance.clone(),
             remaining: share.waiting_bands.map(|tokens| tokens.0 as f64),
             held: share.held.0 as f64,
             done,
             rate: share.prefill_rate.0,
-            learned,
+            learned_at,
         });
         self.sum_peers();
         self.learn_from_peers(now);
@@ -71,11 +71,11 @@
 
     /// Clears the load of another instance whose digest doesn't list this endpoint any more.
     pub(in crate::adaptive) fn clear_peer_load(&mut self, instance: &InstanceId) {
-        let Some(part) = self.peers.iter_mut().find(|part| part.instance == *instance) else {
+        let Some(peer) = self.peers.iter_mut().find(|peer| peer.instance == *instance) else {
             return;
         };
-        part.remaining = PerBand::default();
-        part.held = 0.0;
+        peer.remaining = PerBand::default();
+        peer.held = 0.0;
         self.sum_peers();
     }
 
@@ -102,7 +102,7 @@
     /// Removes another instance's load.
     pub(in crate::adaptive) fn remove_peer(&mut self, instance: &InstanceId) {
         let known = self.peers.len();
-        self.peers.retain(|part| part.instance != *instance);
+        self.peers.retain(|peer| peer.instance != *instance);
         if self.peers.len() < known {
             self.sum_peers();
         }
@@ -132,19 +132,19 @@
     /// Takes the highest speed that another instance has learned recently. All measurements err
     /// towards slow, and an instance that sends little to an endpoint learns little by itself.
     pub(in crate::adaptive) fn learn_from_peers(&mut self, now: f64) {
-        let recent = self.peers.iter().filter(|part| now - part.learned <= PEER_RATE_MAX_AGE_S);
-        let rates = recent.map(|part| part.rate).filter(|rate| *rate > 0.0);
+        let recent = self.peers.iter().filter(|peer| now - peer.learned_at <= PEER_RATE_MAX_AGE_S);
+        let rates = recent.map(|peer| peer.rate).filter(|rate| *rate > 0.0);
         self.speed.peer_rate = rates.max_by(f64::total_cmp);
     }
 
     pub(super) fn sum_peers(&mut self) {
         self.others_remaining = PerBand::default();
         self.others_held = 0.0;
-        for part in &self.peers {
-            for (sum, remaining) in self.others_remaining.iter_mut().zip(part.remaining) {
+        for peer in &self.peers {
+            for (sum, remaining) in self.others_remaining.iter_mut().zip(peer.remaining) {
                 *sum += remaining;
             }
-            self.others_held += part.held;
+            self.others_held += peer.held;
         }
     }
 }
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -1,23 +1,25 @@
-//! What happens to a request whose attempt failed.
+//! Retries after failed attempts.
 //!
-//! **Load pattern.** One of four engines dies with everything on it; or an endpoint fails each
-//! call at once; or the answer to a call that must not be repeated is lost.
+//! **Load pattern.** One of four engines dies with all its requests; or an endpoint fails each call
+//! at once; or the answer to a call that must not be repeated is lost.
 //!
-//! **Without it.** Everything lost is sent again at the same moment and drowns the three engines
-//! left; calls that fail fast are repeated without end; a registration runs twice.
+//! **Without it.** All lost requests are sent again at the same moment and overload the remaining
+//! three engines. Calls that fail fast are retried endlessly. A registration runs twice.
 //!
-//! **Rule.** A request that may have begun to run is sent again only if it is repeatable, only to a
-//! life of an endpoint that it didn't run on before, at most [`MAX_FAILURES`] times, after a random
-//! backoff, and only if the retry budget pays; else its caller hears at once that it failed and
-//! whether it ran. It goes back into its workspace's queue under its old bound, so the nearest
-//! bound goes first, under the same budgets of prefill as all others: no rush. It resumes after
-//! the tokens that the caller has. What was surely not run (nothing sent, or rejected) may always
-//! be tried again until its bound.
+//! **Rule.** A request that may have started to run is retried only if it is repeatable, only on an
+//! incarnation of an endpoint that hasn't run it before, at most until it has failed
+//! [`MAX_FAILURES`] times, after a random back-off, and only if the retry budget allows it.
+//! Otherwise its caller learns at once that it failed and whether it ran. A retried request returns
+//! to its workspace's queue with its old first-token deadline, so the earliest deadline still goes
+//! first, and under the same prefill budgets as all other requests, so retries cause no burst. It
+//! resumes after the tokens that the caller already has. A request that certainly hasn't run (it
+//! wasn't sent, or was rejected) may always be retried until its deadline.
 //!
-//! **Grounds.** A retry budget bounds the load that failures add to a share of what succeeds. The
-//! first loss of an endpoint is outside it: a death takes a batch with it at once, which is no
-//! storm as it can't recur without another death. Three failures mean that the request, not the
-//! endpoints, is at fault.
+//! **Grounds.** A retry budget limits the load added by failures to a share of the successful
+//! requests. The first time a request is lost with its endpoint doesn't count against the budget: a
+//! death loses a batch of requests at once, but that is no retry storm, since it can't recur
+//! without another death. After three failures, the request is more likely to be the cause than the
+//! endpoints.
 
 use std::time::Duration;
 
@@ -34,13 +36,14 @@
 
 /// Failed attempts after which a request is given up.
 const MAX_FAILURES: u32 = 3;
-/// Rejections after which a request is given up: at backoffs that double up to a second, longer
-/// than most deadlines.
+/// Attempts, including rejected ones, after which a request is given up. With back-offs that double
+/// up to a second, they last longer than most deadlines.
 const MAX_ATTEMPTS: u32 = 200;
-/// How long an endpoint that refused for lack of room isn't asked again: a few decode steps.
+/// How long no requests are sent to an endpoint after it rejected one for lack of room: a few
+/// decode steps.
 const FULL_PAUSE: Duration = Duration::from_millis(50);
-/// How long one that couldn't be reached or died isn't asked again, until something better is
-/// known of it.
+/// How long no requests are sent to an endpoint after it couldn't be reached, fell silent or died,
+/// unless its state is updated before.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
 impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Fails an admitted request towards its caller and forgets it.
+    /// Reports the failure of an admitted request and removes the request.
     pub(super) fn fail(&mut self, request: RequestId, cause: FailCause, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let ran = Self::run_status(entry);
@@ -105,7 +108,7 @@
         self.decisions.push(Decision::Fail { request, failure });
     }
 
-    /// Drops all that is known of a request.
+    /// Removes a request and all its state.
     pub(super) fn forget(&mut self, request: RequestId, now: Time) {
         self.dequeue(request, false);
         if self.release(request, now).is_some()
@@ -123,7 +126,7 @@
         state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// Puts requests whose backoff is over back into their lanes.
+    /// Puts requests whose back-off has ended back into their queues.
     pub(super) fn end_backoffs(&mut self, now: Time) {
         while let Some(timer) = self.backoffs.first().copied().filter(|timer| timer.at <= now) {
             self.backoffs.remove(&timer);
@@ -137,7 +140,7 @@
         })
     }
 
-    /// Why a request isn't tried again; none where it is.
+    /// The reason why a request isn't retried; none if it is.
     fn give_up_cause(
         &mut self,
         request: RequestId,
@@ -185,8 +188,8 @@
         self.backoffs.insert(RequestTimer { at, request });
     }
 
-    /// Puts all requests of this instance under suspicion that ran on the life that died, once for
-    /// each death, before the first of them is released from it.
+    /// Reports the requests of this instance that ran on a dead incarnation to the quarantine, as
+    /// suspects. This happens once per death, before the first of them is released.
     fn record_death(&mut self, request: RequestId, now: Time) {
         let Some(shard) = self.requests.get(&request).and_then(RequestEntry::runs_on).cloned()
         else {
@@ -196,12 +199,12 @@
         if std::mem::replace(&mut endpoint.death_recorded, true) {
             return;
         }
-        let there = |entry: &&RequestEntry| {
+        let ran_there = |entry: &&RequestEntry| {
             entry.runs_on().is_some_and(|other| {
                 other.endpoint == shard.endpoint && other.incarnation == shard.incarnation
             })
         };
-        let entries = self.requests.values().filter(there);
+        let entries = self.requests.values().filter(ran_there);
         let present: Vec<Fingerprint> = entries.map(|entry| entry.req.fingerprint).collect();
         self.quarantine.died(&shard.endpoint, &present, now);
     }
@@ -212,7 +215,8 @@
             FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => UNREACHABLE_PAUSE,
             _ => return,
         };
-        // Which of several refused isn't known; the backoff covers that case.
+        // With several shards it isn't known which endpoint rejected the request; the back-off
+        // covers that case.
         let [shard] = shards else { return };
         if let Some(endpoint) = self.fleet.at_shard(shard) {
             endpoint.blocked_until = endpoint.blocked_until.max(now + pause);
--- a/crates/policy/src/adaptive/fleet.rs
+++ b/crates/policy/src/adaptive/fleet.rs
@@ -1,4 +1,4 @@
-//! All endpoints of the deployment and what is typical of them.
+//! All endpoints of the deployment, and aggregates over them.
 
 use indexmap::IndexMap;
 
@@ -9,27 +9,28 @@
 
 use super::{band::USABLE_MEMORY_SHARE, endpoint::Endpoint, learn::INITIAL_PREFILL_RATE, seconds};
 
-/// Seconds between two looks at the whole fleet. Typical speed and memory change slowly, and the
-/// look costs a pass over all endpoints.
+/// Seconds between two refreshes of the aggregates. Typical speed and memory change slowly, and a
+/// refresh iterates over all endpoints.
 const REFRESH_INTERVAL_S: f64 = 0.1;
 
-/// The deployment's endpoints, in the order of their ids: every instance walks them alike.
+/// The deployment's endpoints, sorted by id so that all instances iterate in the same order.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) endpoints: IndexMap<EndpointId, Endpoint>,
-    /// Median prefill speed, for endpoints without samples and for classes.
+    /// Median prefill speed in tokens per second, used for endpoints without samples and for the
+    /// limits of the bands.
     pub(super) typical_rate: f64,
-    /// Speed of the fastest usable endpoint.
+    /// Prefill speed of the fastest usable endpoint.
     pub(super) fastest_rate: f64,
-    /// Sum of the prefill speeds of usable endpoints.
+    /// Sum of the prefill speeds of the usable endpoints.
     pub(super) total_rate: f64,
-    /// Usable memory of the largest usable endpoint; without bound where none reports any.
+    /// Usable memory of the largest usable endpoint in tokens; infinite if one reports none.
     pub(super) largest_memory: f64,
-    /// Usable memory of all usable endpoints.
+    /// Usable memory of all usable endpoints in tokens.
     pub(super) total_memory: f64,
-    /// How many endpoints are usable.
+    /// Number of usable endpoints.
     pub(super) usable: usize,
-    /// Whether any endpoint gave a sample of its speed.
+    /// Whether the speed of any usable endpoint has been measured.
     pub(super) has_measured_speed: bool,
     refreshed_at: f64,
 }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Takes over a change, or a new endpoint.
+    /// Applies a change to an endpoint or adds a new one.
     pub(super) fn apply_change(&mut self, change: &EndpointChange, now: Time) {
         match self.endpoints.get_mut(&change.endpoint) {
             Some(endpoint) => endpoint.apply_change(change, now),
@@ -62,8 +63,8 @@
         self.refresh(now);
     }
 
-    /// Takes over the list of endpoints in force. One that isn't listed gets nothing new and is
-    /// dropped once it has nothing of ours. Returns those dropped.
+    /// Applies a new list of endpoints. An endpoint that isn't listed gets no new requests and is
+    /// removed once none of this instance's requests run on it. Returns the removed ones.
     pub(super) fn replace(&mut self, changes: &[EndpointChange], now: Time) -> Vec<EndpointId> {
         for endpoint in self.endpoints.values_mut() {
             if !changes.iter().any(|change| change.endpoint == endpoint.id) {
@@ -87,15 +88,15 @@
         self.endpoints.get_mut(endpoint)
     }
 
-    /// The endpoint of a shard, where its life is still the one that was sent to. What is known of
-    /// a later life has nothing to do with the shard.
+    /// The endpoint of a shard, if it is still the incarnation that the request was sent to. The
+    /// state of a later incarnation doesn't concern the shard.
     pub(super) fn at_shard(&mut self, shard: &Shard) -> Option<&mut Endpoint> {
         self.endpoints
             .get_mut(&shard.endpoint)
             .filter(|e| shard.incarnation == e.incarnation || shard.incarnation.0 == 0)
     }
 
-    /// The endpoint's learned speed, or the typical one.
+    /// The endpoint's learned speed, or else the typical one.
     pub(super) fn rate(&self, endpoint: &Endpoint) -> f64 {
         endpoint.speed.rate().unwrap_or(self.typical_rate)
     }
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Takes over another instance's parts. Where it tells of none any more, it has none.
+    /// Replaces another instance's loads by those in its digest; endpoints that aren't listed there
+    /// have none.
     pub(super) fn apply_peer_digest(&mut self, digest: &LoadDigest, now: Time) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.clear_peer_load(&digest.instance);
@@ -131,12 +133,12 @@
         }
     }
 
-    /// Whether the last look at the whole fleet is old.
+    /// Whether the aggregates are due for a refresh.
     pub(super) fn is_refresh_due(&self, now: Time) -> bool {
         seconds(now) - self.refreshed_at >= REFRESH_INTERVAL_S
     }
 
-    /// Computes what is typical, and models the work done since the last look.
+    /// Recomputes the aggregates, and models the work done since the last call.
     pub(super) fn refresh(&mut self, now: Time) {
         self.refreshed_at = seconds(now);
         for endpoint in self.endpoints.values_mut() {
--- a/crates/policy/src/adaptive/fleet_refresh.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -1,17 +1,17 @@
-//! What follows from a look at the whole fleet.
+//! Periodic computations over the whole fleet.
 //!
-//! **Load pattern.** Typical speed, demand and health change over seconds, requests come by the
-//! thousand a second.
+//! **Load pattern.** Typical speed, demand and health change within seconds, while thousands of
+//! requests arrive per second.
 //!
-//! **Without it.** Each decision would sum over all endpoints anew.
+//! **Without it.** Each decision would have to sum over all endpoints again.
 //!
-//! **Rule.** Every tenth of a second, and after each event that matters, one pass computes what the
-//! decisions in between take as given: limits of the bands, demand, which engines are open to long
-//! prompts, what stands on the engines, how fast short prompts may start, this instance's own part
-//! of the engines, and each endpoint's caution.
+//! **Rule.** Every tenth of a second, and after each relevant event, one pass computes the inputs
+//! of the following decisions: the limits of the bands, the demand, the engines that are open to
+//! long prompts, the prefill on the engines, the rate limit of short prompts, the endpoints that
+//! this instance prefers, and each endpoint's cost factor for health.
 //!
-//! **Grounds.** A tenth of a second is about the budget of short prefill on an engine: what changes
-//! in between is bounded by it.
+//! **Grounds.** A tenth of a second is about the budget of short prefill on an engine, which limits
+//! how much can change in between.
 
 use super::{
     AdaptiveScheduler, DEMAND_HALF_LIFE_S, HEALTH_INTERVAL_S, band,
@@ -24,8 +24,8 @@
 use crate::{BANDS, EndpointId, Time, health::HealthState};
 
 impl AdaptiveScheduler {
-    /// Looks at the whole fleet: what is typical, what stands on the engines, and which of them
-    /// are open to long prompts.
+    /// Refreshes everything that decisions derive from the whole fleet: aggregates, prefill on the
+    /// engines, and the engines that are open to long prompts.
     pub(super) fn refresh_fleet(&mut self, now: Time) {
         self.fleet.refresh(now);
         self.band_limits.update(self.fleet.typical_rate);
@@ -58,9 +58,9 @@
         self.choose_preferred(now);
     }
 
-    /// Shares the endpoints out among the instances, so that each goes first where the others
-    /// don't: what is unheard of the others' sends is then expected elsewhere. Those with long
-    /// prompts are nobody's, so that short ones go around them.
+    /// Divides the endpoints among the instances, so that each prefers endpoints that the others
+    /// avoid: work that they haven't reported yet is then expected elsewhere. Endpoints with long
+    /// prompts are preferred by no instance, so that short prompts avoid them.
     pub(super) fn choose_preferred(&mut self, now: Time) {
         let instances = self.peers.instances();
         let rank = self.peers.rank(&self.instance);
@@ -75,7 +75,7 @@
         self.unreported_work = self.peers.age(now).as_secs_f64().min(1.0) * busy.min(1.0);
     }
 
-    /// Sets how fast short prompts may start here, by what long ones claim.
+    /// Sets the rate limit of short prompts here, given what long ones claim.
     pub(super) fn limit_short_rate(&mut self, now: Time) {
         let total = self.fleet.total_rate.max(1.0);
         let long: f64 = self.total_demand[1..].iter().sum();
@@ -89,7 +89,7 @@
         self.short_limiter.set(self.short_rate * part, is_limited, seconds(now));
     }
 
-    /// Whether a long prompt of this instance is starved: its first token is far overdue.
+    /// Whether a long prompt of this instance is late: its first token is far overdue.
     pub(super) fn has_late_long_prompt(&self, now: Time) -> bool {
         self.long_prefills.iter().any(|request| {
             let entry = self.requests.get(request);
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Ejects what has to be ejected, and takes over how cautiously each endpoint may be used.
+    /// Ejects unhealthy endpoints, and updates each endpoint's cost factor.
     pub(super) fn assess_health(&mut self, now: Time) {
         if seconds(now) - self.health_assessed_at >= HEALTH_INTERVAL_S {
             self.health_assessed_at = seconds(now);
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Takes note of a probe. Of an ejected endpoint only those count that are due: the driver
-    /// probes all the time, and an endpoint that answers probes may still fail its calls.
+    /// Handles the result of a probe. For an ejected endpoint, only probes that were due count: the
+    /// driver probes all the time, and an endpoint that answers probes may still fail calls.
     pub(super) fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time) {
         self.probes.extend(self.health.due_probes(now));
         let is_out = self.health.state(endpoint, now) == HealthState::Ejected;
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Opens as many engines to long prompts as the cost says: the last by id, after those whose
-    /// memory a prompt over several engines takes.
+    /// Opens as many engines to long prompts as the cost function says: the last ones by id, and
+    /// those whose memory is taken by a prompt over several engines only after all others.
     pub(super) fn update_open_engines(&mut self, now: Time) {
         let typical = self.fleet.typical_rate.max(1.0);
         let long: f64 = self.total_demand[1..].iter().sum();
--- a/crates/policy/src/adaptive/learn.rs
+++ b/crates/policy/src/adaptive/learn.rs
@@ -1,66 +1,69 @@
-//! What an engine can do, learned from the answers seen.
+//! Learns what an engine can do from its answers.
 //!
-//! **Load pattern.** Operators state neither speed nor memory of their engines; engines differ, and
-//! one may be swapped for a slower one while requests run.
+//! **Load pattern.** Operators configure neither the speed nor the memory of their engines. Engines
+//! differ, and one may be replaced by a slower one while requests run.
 //!
-//! **Without it.** A slow engine gets as much work as a fast one and its callers wait longest;
-//! admission promises first tokens that nobody can deliver.
+//! **Without it.** A slow engine gets as much work as a fast one, and its callers wait longest.
+//! Admission promises first tokens that no engine can deliver in time.
 //!
-//! **Rule.** Each first token gives a sample of prefill speed: the work that stood before it when
-//! it was sent, what overtook it, and its own uncached prompt, over the time it took. The speed
-//! is the upper quantile [`QUANTILE`] of the last [`SAMPLES`] samples, or the throughput of all
-//! instances while the engine wasn't idle, if that is higher. Where an engine has given no
-//! sample in its present life the typical speed of the others counts, and failing that
-//! [`FIRST_GUESS`]. The error of predictions is learned in the same way: the quantile
-//! [`ERROR_QUANTILE`] of actual over predicted time to first token.
+//! **Rule.** Each first token gives a sample of the prefill speed: the work ahead of the request
+//! when it was sent, the work that overtook it, and its own uncached prompt, divided by the time
+//! taken. The speed is the quantile [`SPEED_QUANTILE`] of the last [`SPEED_SAMPLES`] samples, or
+//! the throughput of all instances while the engine was busy, if that is higher. For an engine
+//! without samples in its current incarnation, the typical speed of the other engines is used, and
+//! failing that [`INITIAL_PREFILL_RATE`]. Prediction errors are learned in the same way, as the
+//! quantile [`ERROR_QUANTILE`] of the ratio of actual to predicted time to first token.
 //!
-//! **Grounds.** Everything unforeseen (another's prompt, a chunk under way, the network) lengthens
-//! the time, so samples err towards slow and the truth lies in their upper part, the more so the
-//! busier the other instances keep the engine: with a quantile of 0.7 four instances at 75% load
-//! learned 5,500 tokens a second of engines that do 10,000. Sixteen samples with a quantile of 0.85
-//! notice a faster engine after three and a slower one after thirteen first tokens, which is seconds
-//! at the rate of short prompts; two wild samples change nothing. Until then the cost sees a slower
-//! engine by its lateness and its health. [`FIRST_GUESS`] is the low end of what one accelerator does
-//! with a mid-size model: too low refuses some requests in the first second, too high would break
-//! promises.
+//! **Grounds.** Everything unforeseen (another request's prompt, a chunk in progress, the network)
+//! lengthens the time. Samples therefore err towards slow, and the true speed lies in their upper
+//! part, the more so the busier the other instances keep the engine: with a quantile of 0.7, four
+//! instances at 75% load learned 5,500 tokens per second for engines that do 10,000. Sixteen
+//! samples with a quantile of 0.85 detect a faster engine after three first tokens and a slower one
+//! after thirteen, which takes seconds at the rate of short prompts; two outliers change nothing.
+//! Until then, the cost reflects a slower engine by its lateness and its health.
+//! [`INITIAL_PREFILL_RATE`] is at the low end of what one accelerator does with a mid-size model:
+//! too low a value refuses some requests in the first second, while too high a value would lead to
+//! broken promises.
 
 use super::window::Window;
 
-/// Samples of speed that are kept for each engine.
+/// Number of speed samples kept per engine.
 pub(super) const SPEED_SAMPLES: usize = 24;
-/// Which quantile of the samples counts as the speed.
+/// Quantile of the samples that is taken as the speed.
 const SPEED_QUANTILE: f64 = 0.92;
-/// Seconds after which own samples are old.
+/// Age in seconds above which the latest own sample is stale.
 const SAMPLE_MAX_AGE_S: f64 = 10.0;
-/// Seconds for which a measured throughput counts: until the next two would have come.
+/// Age in seconds up to which a measured throughput is used: by then the next two measurements
+/// should have been made.
 const THROUGHPUT_MAX_AGE_S: f64 = 15.0;
-/// Prefill speed before anything was seen, in tokens a second.
+/// Assumed prefill speed before any measurement, in tokens per second.
 pub(super) const INITIAL_PREFILL_RATE: f64 = 8_000.0;
-/// Decode speed of one stream before anything was seen, in tokens a second.
+/// Assumed decode speed of one stream before any measurement, in tokens per second.
 const INITIAL_DECODE_RATE: f64 = 30.0;
-/// Ratios of actual to predicted time that are kept.
+/// Number of ratios of actual to predicted time that are kept.
 const ERROR_SAMPLES: usize = 40;
-/// Which quantile of the ratios the margin covers: one promise in twenty may need the slack that
-/// the bound has over the prediction.
+/// Quantile of the ratios that the margin covers. One promise in twenty may exceed it and needs the
+/// slack between the predicted time and the deadline.
 const ERROR_QUANTILE: f64 = 0.95;
-/// The margin's bounds. Below one would promise more than is predicted; above four nearly nothing
-/// would be admitted, and nothing admitted means nothing learned.
+/// Range of the margin. Below one, more is promised than predicted. Above four, hardly any request
+/// would be admitted, and without admitted requests nothing is learned.
 const MARGIN_RANGE: std::ops::RangeInclusive<f64> = 0.5..=4.0;
-/// Seconds without news after which half of the margin is forgotten: an overload lasts longer, and
-/// so does a caller's patience.
+/// Seconds without a new ratio after which half of the margin is forgotten. An overload lasts
+/// longer than this, and so do callers' timeouts.
 const MARGIN_HALF_LIFE_S: f64 = 5.0;
-/// Share of the allowed output that is expected before any answer was seen.
+/// Assumed share of the allowed output before any answer was seen.
 const INITIAL_OUTPUT_SHARE: f64 = 0.5;
-/// Predictions below this many seconds aren't judged: scheduling noise, not a wrong model.
+/// Measured times below this many seconds aren't compared with predictions: they show scheduling
+/// noise, not errors of the model.
 const MIN_EVALUATED_S: f64 = 0.02;
 
-/// Prefill speed of one life of one engine.
+/// Prefill speed of one incarnation of an engine.
 #[derive(Debug, Clone)]
 pub(super) struct PrefillSpeed {
     samples: Window<SPEED_SAMPLES>,
     sample_rate: Option<f64>,
     throughput: Option<Throughput>,
-    /// The highest speed that other instances have learned of late.
+    /// The highest speed that other instances have learned recently, in tokens per second.
     pub(super) peer_rate: Option<f64>,
     last_sample_at: f64,
     is_stale: bool,
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Takes note that `tokens` of prefill took `seconds` up to `now`.
+    /// Records that `tokens` of prefill took `seconds` and ended at `now`.
     pub(super) fn observe(&mut self, tokens: f64, seconds: f64, now: f64) {
         if tokens < 1.0 || seconds <= 0.0 {
             return;
@@ -95,14 +98,13 @@
         self.sample_rate = self.samples.quantile(SPEED_QUANTILE);
     }
 
-    /// Takes note that all instances together had `tokens` prefilled in `seconds` up to `now`,
-    /// during which the engine wasn't idle.
+    /// Records that `tokens` were prefilled for all instances together in the `seconds` up to
+    /// `now`, in which the engine was never idle.
     pub(super) fn observe_throughput(&mut self, tokens: f64, seconds: f64, now: f64) {
         self.throughput = Some(Throughput { rate: tokens / seconds, at: now });
     }
 
-    /// Drops a throughput that is too old to count beside the samples, and notes when the samples
-    /// themselves are old.
+    /// Drops an outdated throughput, and updates whether the samples are stale.
     pub(super) fn age(&mut self, now: f64) {
         self.is_stale = now - self.last_sample_at > SAMPLE_MAX_AGE_S;
         if self.throughput.is_some_and(|throughput| now - throughput.at > THROUGHPUT_MAX_AGE_S) {
@@ -110,22 +112,23 @@
         }
     }
 
-    /// Tokens a second, once anything was seen here or by others. Where own samples are old, the
-    /// highest measure counts, as all err low: an instance that learned a speed far too low admits
-    /// nothing, and so would never learn better by itself.
+    /// Tokens per second, if measured here or by other instances. If the own samples are stale, the
+    /// highest measurement is used, because all of them err towards slow: an instance that learned
+    /// a speed far too low admits nothing, so it would never correct the speed by itself.
     pub(super) fn rate(&self) -> Option<f64> {
         let peers = self.peer_rate.filter(|_| self.is_stale);
         self.own_rate().into_iter().chain(peers).max_by(f64::total_cmp)
     }
 
-    /// Tokens a second as seen here; what is told to others, lest they echo one another.
+    /// Tokens per second as measured by this instance. Only this value is reported to the others,
+    /// so that instances don't repeat each other's measurements.
     pub(super) fn own_rate(&self) -> Option<f64> {
         let throughput = self.throughput.map(|throughput| throughput.rate);
         self.sample_rate.into_iter().chain(throughput).max_by(f64::total_cmp)
     }
 }
 
-/// How far predictions are off.
+/// Margin that is learned from the errors of predictions.
 #[derive(Debug, Clone)]
 pub(super) struct PredictionMargin {
     ratios: Window<ERROR_SAMPLES>,
@@ -138,7 +141,7 @@
         PredictionMargin { ratios: Window::new(), factor: 1.0, updated: 0.0 }
     }
 
-    /// Takes note at `now` of one prediction and what became of it, in seconds.
+    /// Records the actual time for a prediction, both in seconds.
     pub(super) fn observe(&mut self, predicted: f64, actual: f64, now: f64) {
         if actual < MIN_EVALUATED_S {
             return;
@@ -149,21 +152,22 @@
         self.factor = quantile.clamp(*MARGIN_RANGE.start(), *MARGIN_RANGE.end());
     }
 
-    /// What a prediction is multiplied by before it becomes a promise. Without news it returns to
-    /// one: a margin that lets nothing in would otherwise never hear that it is wrong.
+    /// Factor applied to a prediction before it is promised. Without new observations it returns to
+    /// one; otherwise a margin that lets no request in would never be corrected.
     pub(super) fn factor(&self, now: f64) -> f64 {
         let age = (now - self.updated).max(0.0);
         1.0 + (self.factor - 1.0) * (-age / MARGIN_HALF_LIFE_S).exp2()
     }
 }
 
-/// How far one workspace's waits for its turn are off: a quantile that follows each ratio by a small
-/// step, because a window for each of thousands of workspaces would cost too much memory.
+/// Margin for the predicted waits in one workspace's queue. It estimates a quantile by a small step
+/// per observed ratio, because a window for each of thousands of workspaces would take too much
+/// memory.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueueWaitMargin(f32);
 
-/// The step of [`TurnMargin`]: a workspace that starts to overrun its share is met by a doubled
-/// margin after about ten waits.
+/// Step of [`QueueWaitMargin`]: once a workspace overruns its share, its margin doubles within
+/// about ten waits.
 const QUEUE_WAIT_MARGIN_STEP: f64 = 0.1;
 
 impl Default for QueueWaitMargin {
@@ -173,7 +177,7 @@
 }
 
 impl QueueWaitMargin {
-    /// Takes note of a ratio of actual to predicted wait.
+    /// Records a ratio of actual to predicted wait.
     pub(super) fn observe(&mut self, ratio: f64) {
         let above = ratio > f64::from(self.0);
         let step = if above { ERROR_QUANTILE } else { ERROR_QUANTILE - 1.0 };
@@ -181,14 +185,14 @@
         self.0 = next.clamp(*MARGIN_RANGE.start(), *MARGIN_RANGE.end()) as f32;
     }
 
-    /// What a wait is multiplied by before it becomes a promise.
+    /// Factor applied to a predicted wait before it is promised.
     pub(super) fn factor(self) -> f64 {
         f64::from(self.0)
     }
 }
 
-/// What a short prompt loses on an engine that prefills a long one: the chunk under way isn't
-/// interrupted, and its length is the engine's own affair.
+/// Delay of a short prompt on an engine that prefills a long one. The chunk in progress isn't
+/// interrupted, and its length depends on the engine.
 #[derive(Debug, Clone)]
 pub(super) struct LongPrefillDelay {
     excess: Window<ERROR_SAMPLES>,
@@ -200,19 +204,19 @@
         LongPrefillDelay { excess: Window::new(), seconds: 0.0 }
     }
 
-    /// Takes note of a first token that took `actual` instead of `expected` seconds.
+    /// Records a first token that took `actual` instead of `expected` seconds.
     pub(super) fn observe(&mut self, expected: f64, actual: f64) {
         self.excess.push(actual - expected);
         self.seconds = self.excess.quantile(0.5).unwrap_or(0.0).max(0.0);
     }
 
-    /// The median loss.
+    /// The median delay.
     pub(super) fn seconds(&self) -> f64 {
         self.seconds
     }
 }
 
-/// How long answers take once their first token is out.
+/// Learned length and decode speed of answers.
 #[derive(Debug, Clone)]
 pub(super) struct DecodeModel {
     rates: Window<SPEED_SAMPLES>,
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Takes note of one whole answer: `output` of the `allowed` tokens in `seconds` after the
-    /// first token.
+    /// Records a complete answer that used `output` of its `allowed` tokens and took `seconds`
+    /// after the first token.
     pub(super) fn observe(&mut self, output: f64, allowed: f64, seconds: f64) {
         self.shares.push((output / allowed.max(1.0)).min(1.0));
         self.share = self.shares.quantile(ERROR_QUANTILE).unwrap_or(INITIAL_OUTPUT_SHARE);
@@ -247,7 +251,7 @@
         allowed * self.share / self.rate.max(0.1)
     }
 
-    /// Tokens expected of an answer of at most `allowed`.
+    /// Expected tokens of an answer of at most `allowed` tokens.
     pub(super) fn expected(&self, allowed: f64) -> f64 {
         allowed * self.share
     }
--- a/crates/policy/src/adaptive/open_engines.rs
+++ b/crates/policy/src/adaptive/open_engines.rs
@@ -1,44 +1,45 @@
-//! How many engines take long prompts.
+//! How many engines are open to long prompts.
 //!
-//! **Load pattern.** Dossiers come in bursts: five at once on four engines, between hundreds of
-//! short questions.
+//! **Load pattern.** Long prompts come in bursts: five at once on four engines, among hundreds of
+//! short ones.
 //!
-//! **Without it.** A burst of dossiers stands on every engine at once, and each short question
-//! shares its engine's steps and memory with one; or, with fixed engines for long prompts, either
-//! kind waits while the other's engines idle.
+//! **Without it.** A burst of long prompts occupies all engines at once, and each short prompt
+//! shares its engine's steps and memory with a long one. If fixed engines are set aside for long
+//! prompts instead, one kind waits while the other's engines are idle.
 //!
-//! **Rule.** Of n engines, k are open to long prompts, where k has the least cost
-//! `long_first_token * W(k) + short_slowdown * H(k)`. W(k) is the relative wait of a long prompt
-//! before k engines (Sakasegawa's approximation for k servers) at the measured long load, on the
-//! speed that short prompts leave there. H(k) is
-//! the share of engines on which a short prompt may meet a long one, times how far the short load
-//! fills the other n - k. Without shorts H is zero and all engines are open. A change of k has to
-//! lower the cost by [`WORTH`], and closing waits [`CLOSE_AFTER`] seconds.
+//! **Rule.** Of n engines, k are open to long prompts, where k has the least cost `long_first_token
+//! * W(k) + short_slowdown * H(k)`. W(k) is the relative wait of a long prompt for k engines
+//! (Sakasegawa's approximation for k servers) at the measured long load, at the speed that short
+//! prompts leave there. H(k) is the share of engines on which a short prompt may meet a long one,
+//! times the utilization of the other n - k engines by the short load. Without short prompts, H is
+//! zero and all engines are open. A change of k has to lower the cost by [`MIN_COST_REDUCTION`],
+//! and closing an engine takes [`CLOSE_DELAY_S`] seconds.
 //!
-//! **Grounds.** One cost with the site's two weights, so that no site has a policy of its own; the
-//! curve over the weight is in `docs/decisions/long-beside-short.md`. Hysteresis keeps a long prompt
-//! from finding the engine that holds its prefix closed a moment later.
+//! **Grounds.** A single cost with the site's two weights means that no site needs a policy of its
+//! own; its curve over the weight is in `docs/decisions/long-beside-short.md`. The hysteresis
+//! prevents that the engine that caches a long prompt's prefix is closed just before the prompt
+//! returns.
 
 use crate::config::Weights;
 
-/// Share by which another number of engines has to lower the cost.
+/// Share by which a different number of engines has to lower the cost.
 const MIN_COST_REDUCTION: f64 = 0.1;
 /// Seconds for which fewer engines have to be the better choice before one is closed: about the
-/// prefill of one long prompt, so that a gap between two of them closes nothing.
+/// prefill of one long prompt, so that a gap between two of them closes no engine.
 const CLOSE_DELAY_S: f64 = 10.0;
-/// Load to which short prompts fill the engines closed to long ones before they go to the others.
+/// Load per engine up to which short prompts fill the closed engines before they use the open ones.
 const FULL_LOAD: f64 = 0.8;
-/// Load per engine that the wait is computed with at most, so that costs stay finite.
+/// Maximum load per engine in the formula of the wait, which keeps costs finite.
 const MAX_LOAD: f64 = 0.98;
 
-/// Load in units of one engine's full prefill speed.
+/// Demand in units of one engine's full prefill speed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Demand {
     pub(super) short: f64,
     pub(super) long: f64,
 }
 
-/// The number of engines that are open to long prompts.
+/// Tracks the number of engines that are open to long prompts.
 #[derive(Debug)]
 pub(super) struct OpenEngines {
     open: usize,
@@ -50,7 +51,7 @@
         OpenEngines { open: usize::MAX, fewer_since: None }
     }
 
-    /// How many of `engines` are open at the measured demand.
+    /// Returns how many of `engines` are open at the measured demand.
     pub(super) fn update(
         &mut self,
         engines: usize,
@@ -99,7 +100,7 @@
     (1..=engines).min_by(by_cost).unwrap_or(engines)
 }
 
-/// Wait of a long prompt relative to its own prefill, before `open` engines.
+/// Wait of a long prompt for one of `open` engines, relative to its own prefill.
 fn long_wait(open: usize, long: f64) -> f64 {
     let servers = open as f64;
     let load = long / servers;
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -1,18 +1,18 @@
-//! What the other instances have queued and wish for.
+//! Queues and pending reservations of the other instances.
 //!
-//! **Load pattern.** Four instances stand before the same engines; the balancer spreads callers
-//! over them unevenly.
+//! **Load pattern.** Four instances send to the same engines, and the balancer distributes callers
+//! unevenly among them.
 //!
-//! **Without it.** Each instance promises the whole of the engines' speed to its own callers, and
-//! at full load three of four promises are broken.
+//! **Without it.** Each instance promises the full speed of the engines to its own callers, and at
+//! full load three of four promises are broken.
 //!
-//! **Rule.** Each instance's last digest counts until the next one or until the instance is gone.
-//! Queued tokens and demand are summed by band. A digest that is older than the one known, or of
-//! an older life, is ignored.
+//! **Rule.** An instance's last digest counts until the next one arrives or the instance is
+//! removed. Queued tokens and demand are summed up by band. A digest is ignored if it is older than
+//! the known one or of an older incarnation.
 //!
-//! **Grounds.** A digest replaces, it never adds, so that a repeated or late one can't be counted
-//! twice. [`STALE_AFTER`] bounds the harm of an instance whose loss nobody has told: its queue
-//! would otherwise be waited for until somebody does.
+//! **Grounds.** A digest replaces the one before and never adds to it, so repeated or late digests
+//! can't be counted twice. [`STALE_AFTER`] limits the harm of a lost instance whose removal hasn't
+//! been reported: until then, requests would wait for its queue.
 
 use std::time::Duration;
 
@@ -22,16 +22,17 @@
 
 use super::{endpoint::PerBand, workspaces::Workspaces};
 
-/// The age at which a digest no longer counts: many digest intervals, and above membership's lag.
+/// Age at which a digest no longer counts: many digest intervals, and more than the delay of
+/// membership changes.
 const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// The other instances' digests.
+/// The latest digests of the other instances, and sums over them.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     digests: IndexMap<InstanceId, ReceivedDigest>,
     pub(super) queued: PerBand,
     pub(super) demand: PerBand,
-    /// Whether a long prompt of another instance is starved.
+    /// Whether another instance has a late long prompt.
     pub(super) has_late_long_prompt: bool,
 }
 
@@ -41,7 +42,7 @@
     digest: LoadDigest,
 }
 
-/// Another instance's wish for several engines.
+/// Another instance's pending reservation of several engines.
 #[derive(Debug)]
 pub(super) struct PeerReservation<'a> {
     pub(super) instance: &'a InstanceId,
@@ -50,22 +51,22 @@
 }
 
 impl Peers {
-    /// Instances in all, this one included.
+    /// Number of instances, including this one.
     pub(super) fn instances(&self) -> usize {
         self.digests.len() + 1
     }
 
-    /// How old the oldest view of another instance is.
+    /// Age of the oldest digest among the other instances.
     pub(super) fn age(&self, now: Time) -> Duration {
         self.digests.values().map(|received| now.since(received.at)).max().unwrap_or_default()
     }
 
-    /// This instance's place among all in the order of their names.
+    /// This instance's position among all instances, sorted by name.
     pub(super) fn rank(&self, own: &InstanceId) -> usize {
         self.digests.keys().filter(|instance| *instance < own).count()
     }
 
-    /// Whether `digest` is news.
+    /// Whether `digest` is newer than the known one.
     pub(super) fn is_new(&self, digest: &LoadDigest) -> bool {
         self.digests.get(&digest.instance).is_none_or(|received| {
             (digest.incarnation, digest.sequence)
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Takes over a digest that is news.
+    /// Stores a digest that is newer than the known one.
     pub(super) fn accept(&mut self, digest: LoadDigest, workspaces: &mut Workspaces, now: Time) {
         let instance = digest.instance.clone();
         if let Some(old) = self.digests.swap_remove(&instance) {
@@ -84,7 +85,7 @@
         self.sum();
     }
 
-    /// Forgets an instance's life; true where it was known.
+    /// Removes an incarnation of an instance; returns whether it was known.
     pub(super) fn remove(
         &mut self,
         instance: &InstanceId,
@@ -114,7 +115,7 @@
             .collect()
     }
 
-    /// The wish that each instance has put first.
+    /// The first pending reservation of each instance.
     pub(super) fn pending_reservations(
         &self,
         now: Time,
@@ -142,7 +143,7 @@
     }
 }
 
-/// Adds a digest's part to the workspaces, or takes it away with a `sign` of minus one.
+/// Adds a digest's values to the workspaces, or subtracts them if `sign` is -1.
 fn count_workspaces(digest: &LoadDigest, workspaces: &mut Workspaces, sign: f64) {
     for share in &digest.workspaces {
         if let Some(index) = workspaces.find(&share.workspace) {
--- a/crates/policy/src/adaptive/request.rs
+++ b/crates/policy/src/adaptive/request.rs
@@ -1,4 +1,4 @@
-//! What is kept of one admitted request.
+//! State of an admitted request.
 
 use std::sync::Arc;
 
@@ -16,51 +16,51 @@
     pub(super) req: Arc<RequestSpec>,
     pub(super) workspace: WorkspaceIndex,
     pub(super) band: Band,
-    /// The lane it waits in: its band's, or [`SPREAD`].
+    /// Index of its queue: its band, or [`MULTI_ENGINE_QUEUE`].
     pub(super) queue_index: usize,
-    /// Prompt tokens that no engine is expected to have cached.
+    /// Prompt tokens that are expected in no engine's cache.
     pub(super) uncached: f64,
-    /// Weighted tokens, for shares.
+    /// Weighted tokens that its workspace is charged for.
     pub(super) cost: f64,
-    /// By when the next first token has to be out.
+    /// Deadline of the first token, or of the next one after a retry.
     pub(super) first_token_by: Time,
-    /// When it has to be looked at even if nothing happens.
+    /// When the scheduler has to check it even without an event.
     pub(super) expires_at: Time,
     pub(super) state: RequestState,
-    /// Attempts so far.
+    /// Number of attempts, including a running one.
     pub(super) attempts: u32,
-    /// Attempts that failed in a way that counts against the bound on attempts.
+    /// Number of failed attempts that count towards the limit.
     pub(super) failures: u32,
-    /// Where it isn't sent again.
+    /// Incarnations that it isn't sent to again.
     pub(super) excluded: Vec<EndpointIncarnation>,
-    /// Lives that fell silent once on this request; see [`Entry::note_tried`].
+    /// Incarnations that were silent on this request once; see [`RequestEntry::exclude`].
     pub(super) silent_once: Vec<EndpointIncarnation>,
-    /// Whether an endpoint may have begun to run it.
+    /// Whether an endpoint may have started to run it.
     pub(super) may_have_run: bool,
-    /// Tokens that the caller has.
+    /// Tokens already delivered to the caller.
     pub(super) passed_on: Tokens,
-    /// Seconds from arrival to first token, as predicted on admission.
+    /// Predicted seconds from arrival to first token, as of admission.
     pub(super) predicted: f64,
-    /// The part of it that is the wait for its own workspace's turn.
+    /// The part of `predicted` that is the wait in its workspace's queue.
     pub(super) workspace_wait: f64,
     pub(super) basis: AdmissionBasis,
 }
 
-/// What an admission rests on.
+/// Why a request was admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AdmissionBasis {
-    /// A prediction that keeps the bound.
+    /// The prediction meets the first-token deadline.
     Prediction,
-    /// The prediction said no by speeds that nobody has measured. It waits until they are, or is
-    /// the one request that tries them.
+    /// The prediction doesn't meet the deadline, but no engine's speed has been measured. The
+    /// request waits for a measurement, or is the one request that is tried to get one.
     Unmeasured,
-    /// The prediction said no by measured speeds, which may be wrong.
+    /// The prediction doesn't meet the deadline, but the measured speeds may be wrong.
     Trial,
 }
 
 impl AdmissionBasis {
-    /// Whether it goes to an engine although the prediction says no; `is_measured` where any
-    /// engine's speed is.
+    /// Whether the request is sent although its prediction doesn't meet the deadline; `is_measured`
+    /// if the speed of any engine is measured.
     pub(super) fn overrides_prediction(self, is_measured: bool) -> bool {
         match self {
             AdmissionBasis::Prediction => false,
@@ -73,37 +73,37 @@
 /// What an admitted request is doing.
 #[derive(Debug)]
 pub(super) enum RequestState {
-    /// It waits in its lane.
+    /// Waiting in its queue.
     Waiting,
-    /// It waits out a backoff.
+    /// Backing off until this time.
     BackingOff(Time),
-    /// An attempt is under way.
+    /// Running on an endpoint.
     Running(Attempt),
 }
 
-/// A life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct EndpointIncarnation {
     pub(super) endpoint: EndpointId,
     pub(super) incarnation: Incarnation,
 }
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) shards: Vec<Shard>,
     pub(super) sent: Time,
-    /// Seconds from then to the first token, as predicted.
+    /// Predicted seconds from `sent` to the first token.
     pub(super) predicted: f64,
-    /// Prompt tokens that the engine was expected to have cached.
+    /// Prompt tokens that were expected in the engine's cache.
     pub(super) cached: Tokens,
-    /// Work that stood before it there.
+    /// Prompt tokens ahead of it on the engine when it was sent.
     pub(super) ahead: f64,
-    /// The endpoint's count of short tokens done when it was sent.
+    /// The endpoint's `short_done` when it was sent.
     pub(super) short_done: f64,
-    /// Whether it is a short prompt that was sent to an engine with a long one.
-    pub(super) beside_long: bool,
-    /// Prompt tokens that have to be prefilled.
+    /// Whether it is a short prompt on an engine that prefills a long one.
+    pub(super) shares_with_long_prefill: bool,
+    /// Prompt tokens to prefill.
     pub(super) prefill: f64,
     pub(super) first_token: Option<Time>,
 }
@@ -121,7 +121,7 @@
         self.req.footprint().0 as f64
     }
 
-    /// The attempt under way.
+    /// The running attempt.
     pub(super) fn attempt(&self) -> Option<&Attempt> {
         match &self.state {
             RequestState::Running(attempt) => Some(attempt),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The shard that runs it, while an attempt is under way.
+    /// The shard that runs the current attempt.
     pub(super) fn runs_on(&self) -> Option<&Shard> {
         self.attempt()?.shards.first()
     }
@@ -138,12 +138,12 @@
         self.queue_index == MULTI_ENGINE_QUEUE
     }
 
-    /// Takes note of a life that has had this request, so that it doesn't get it again.
+    /// Records that an incarnation has had this request, so that it doesn't get it again.
     ///
-    /// The first silence doesn't count: an open connection can go silent for good while the
-    /// endpoint works and new connections reach it. At a site with one engine the caller would
-    /// otherwise lose an answer that the engine still makes. A second silence does count, so a
-    /// request can't go round a silent endpoint.
+    /// The first silence doesn't count, because a single open connection can go silent for good
+    /// while the endpoint works and accepts new connections. At a site with one engine, the caller
+    /// would otherwise lose an answer that the engine can still give. A second silence counts, so
+    /// that a request isn't sent to a silent endpoint again and again.
     pub(super) fn exclude(&mut self, incarnation: EndpointIncarnation, cause: FailCause) {
         if cause == FailCause::Silent && !self.silent_once.contains(&incarnation) {
             self.silent_once.push(incarnation);
@@ -160,7 +160,7 @@
     }
 }
 
-/// A request and a time at which something is to be done about it.
+/// A time at which a request has to be checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestTimer {
     pub(super) at: Time,
--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -1,23 +1,25 @@
 //! Prompts that need the memory of several engines.
 //!
-//! **Load pattern.** A dossier of a million tokens fits no engine; three of four together hold it.
-//! Short traffic takes every bit of memory the moment it is free, and another instance has such a
-//! dossier at the same time.
+//! **Load pattern.** A prompt of a million tokens fits on no engine, but three of four engines
+//! together can hold it. Short traffic takes any memory as soon as it is free, and another instance
+//! has such a prompt at the same time.
 //!
-//! **Without it.** The dossier waits for three engines to be free at once by luck, which never
-//! happens under load; two instances that each hold half of what they need wait for each other.
+//! **Without it.** The prompt would have to find three engines with free memory by chance, which
+//! never happens under load. Two instances that each hold half of what they need wait for each
+//! other.
 //!
-//! **Rule.** One such prompt at a time over all instances has the right to room: the one that has
-//! waited longest, as told in the digests. Its engines are chosen once, drained of room (no new
-//! long prompt, and short ones only beside what it needs), and reserved by the driver all or none
-//! in the order of their ids. A failed reservation gives all back and is tried again after a
-//! random time. Another such prompt may go at the same time only where it fits beside.
+//! **Rule.** Only one such prompt at a time, over all instances, may drain engines: the one that
+//! has waited longest according to the digests. Its engines are chosen once, drained (they get no
+//! new long prompts, and short ones only in the memory that it doesn't need) and then reserved by
+//! the driver, all or none, in the order of their ids. A failed reservation releases everything and
+//! is retried after a random time. Another such prompt may run at the same time only if it fits
+//! into the remaining memory.
 //!
-//! **Grounds.** Reserving in one order rules out a circle of waiters; all or none rules out holding
-//! half; the longest wait going first bounds each wait by those before it. Instances whose views
-//! differ for a moment may both try: one of them fails and backs off, no memory is lost. The
-//! engines keep [`SHORT_KEEP`] of their memory for short prompts, which are thousands of times
-//! smaller; so a drained engine goes on serving them.
+//! **Grounds.** Reserving in a fixed order rules out a cycle of waiting instances; reserving all or
+//! none rules out partial holds; serving the longest wait first limits each wait to the prompts
+//! ahead. Instances whose views differ for a moment may both try, in which case one fails and backs
+//! off without losing memory. The engines keep [`SHORT_MEMORY_SHARE`] of their memory for short
+//! prompts, which are thousands of times smaller, so a drained engine continues to serve them.
 
 use std::time::Duration;
 
@@ -35,10 +37,11 @@
     workspaces::MULTI_ENGINE_QUEUE,
 };
 
-/// For room beside what is drained for others, a prompt over several engines counts as long.
+/// A prompt over several engines counts as the longest band when it has to leave the memory free
+/// that is drained for another one.
 const LONGEST_BAND: Band = Band(BANDS as u8 - 1);
-/// How long a choice of engines that isn't free yet is kept. Long enough to drain by long
-/// prompts' answers; short enough to leave an engine that doesn't come free at all.
+/// How long a choice of engines is kept while they aren't free: long enough to drain them as long
+/// prompts' answers end, short enough to give up on an engine that never becomes free.
 const MAX_PLAN_AGE: Duration = Duration::from_secs(30);
 
 /// The engines chosen for a prompt.
@@ -50,7 +53,7 @@
 }
 
 impl AdaptiveScheduler {
-    /// Starts the first prompt that needs several engines if it has its room, else drains room.
+    /// Starts the next prompt that needs several engines if they have room, else drains them.
     pub(super) fn dispatch_multi_engine(&mut self, now: Time) {
         self.clear_drains();
         self.plan_next(now);
@@ -78,7 +81,7 @@
         self.start(plan.request, shards, Tokens::ZERO, predicted, now);
     }
 
-    /// This instance's wish, for the others.
+    /// This instance's pending reservation, for its digest.
     pub(super) fn pending_reservations(&self, now: Time) -> Vec<PendingReservation> {
         let reservation = |plan: &ReservationPlan| {
             let entry = self.requests.get(&plan.request)?;
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Chooses engines for the lane's first prompt, unless the present choice still holds.
+    /// Chooses engines for the first prompt in the queue, unless the current choice is still valid.
     fn plan_next(&mut self, now: Time) {
         let workspace = self.queues[MULTI_ENGINE_QUEUE].workspaces_in_order().next();
         let first = workspace.and_then(|workspace| {
@@ -120,8 +123,8 @@
         self.fleet.get(endpoint).is_some_and(|e| e.usable() && e.caution.is_finite())
     }
 
-    /// The fewest engines, those with the most room first, whose memory holds the prompt; in the
-    /// order of their ids.
+    /// The fewest engines whose memory holds the prompt, chosen by most free memory and sorted by
+    /// id.
     fn choose_parts(&self, request: RequestId) -> Option<Vec<PendingReservationPart>> {
         let entry = self.requests.get(&request)?;
         let mut engines: Vec<&Endpoint> = self
@@ -147,7 +150,7 @@
         Some(parts)
     }
 
-    /// Whether no other instance's wish has waited longer than this one's.
+    /// Whether no other instance's reservation has waited longer than this instance's.
     fn has_waited_longest(&self, now: Time) -> bool {
         let Some(own) =
             self.pending_reservations(now).first().map(|reservation| reservation.waited)
--- a/crates/policy/src/adaptive/short_rate_limit.rs
+++ b/crates/policy/src/adaptive/short_rate_limit.rs
@@ -1,32 +1,33 @@
-//! How fast short prompts may start while long ones are under way.
+//! Limits the rate of short prompts while long ones are late.
 //!
-//! **Load pattern.** An engine is lost, or a campaign doubles the short questions, while dossiers
-//! are being reviewed.
+//! **Load pattern.** An engine is lost, or a campaign doubles the number of short prompts, while
+//! long prompts are in flight.
 //!
-//! **Without it.** Engines serve short prompts first. Short ones alone can fill them, and a dossier
-//! that was admitted makes no progress until its deadline: its caller has waited for nothing.
+//! **Without it.** Engines serve short prompts first, so short prompts alone can fill them. An
+//! admitted long prompt then makes no progress until its deadline, and its caller has waited for
+//! nothing.
 //!
-//! **Rule.** While any instance has a long prompt whose first token is overdue by [`LATE_TIMES`] its
-//! predicted time, short ones start at no more than the part of the fleet's speed that long demand
-//! leaves. Long demand counts up to
-//! `long_first_token / (long_first_token + short_slowdown)` of the fleet, so each side keeps its
-//! weight's share. What is over waits, and admission sees the wait. Instances split the speed like
-//! the workspaces' limits: half evenly, half by traffic.
+//! **Rule.** While any instance has a long prompt whose first token takes more than [`LATE_RATIO`]
+//! times its predicted time, short prompts may only start at the part of the fleet's speed that the
+//! long demand leaves. The long demand counts up to `long_first_token / (long_first_token +
+//! short_slowdown)` of the fleet, so each kind keeps the share of its weight. Short prompts in
+//! excess of this rate wait, and admission takes the wait into account. Instances split the rate
+//! like the workspaces' limits: half evenly, half by traffic.
 //!
-//! **Grounds.** [`BURST`] lets the random bunches of ordinary traffic through; only a lasting excess
-//! is held back. Holding short ones back whenever there are long ones at all, on the learned
-//! speeds alone, refused a tenth of the short calls of four instances at 80% load, because learned
-//! speeds err low; what counts is whether long ones get on.
+//! **Grounds.** [`BURST_S`] allows the random bursts of ordinary traffic, so only a lasting excess
+//! is limited. Limiting short prompts whenever there were any long ones, by the learned speeds
+//! alone, refused a tenth of the short calls of four instances at 80% load, because learned speeds
+//! err towards slow. What matters is whether long prompts make progress.
 
-/// How many times its predicted time a long prompt may take before short ones make room.
+/// Multiple of its predicted time to first token after which a long prompt counts as late.
 pub(super) const LATE_RATIO: f64 = 1.5;
-/// Seconds on top, for the shortest of the long ones.
+/// Seconds of grace added to it, for the shortest of the long prompts.
 pub(super) const LATE_GRACE_S: f64 = 1.0;
 
-/// Seconds of the allowed speed that may start at once.
+/// Seconds of the allowed rate that may start at once.
 const BURST_S: f64 = 0.5;
 
-/// What short prompts may still start.
+/// Token bucket that limits the prefill of short prompts.
 #[derive(Debug, Default)]
 pub(super) struct ShortRateLimiter {
     rate: f64,
@@ -36,7 +37,7 @@
 }
 
 impl ShortRateLimiter {
-    /// Sets the allowed tokens a second, and whether it is in force.
+    /// Sets the allowed tokens per second, and whether the limit applies.
     pub(super) fn set(&mut self, rate: f64, is_limited: bool, now: f64) {
         self.refill(now);
         if self.rate <= 0.0 || !is_limited {
@@ -46,13 +47,13 @@
         self.is_limited = is_limited;
     }
 
-    /// Whether a short prompt may start.
+    /// Whether a short prompt may start now.
     pub(super) fn allows(&mut self, now: f64) -> bool {
         self.refill(now);
         !self.is_limited || self.level > 0.0
     }
 
-    /// Counts one that started.
+    /// Takes a started prompt's tokens from the bucket.
     pub(super) fn started(&mut self, prompt: f64) {
         if self.is_limited {
             self.level -= prompt;
@@ -66,7 +67,8 @@
     }
 }
 
-/// The part of the fleet that long prompts can claim, of `demand` (as a part of the fleet).
+/// Share of the fleet that long prompts may claim; `demand` is their demand as a share of the
+/// fleet.
 pub(super) fn long_claim(demand: f64, long_weight: f64, short_weight: f64) -> f64 {
     let share = long_weight / (long_weight + short_weight).max(f64::MIN_POSITIVE);
     demand.min(share)
--- a/crates/policy/src/adaptive/shortlist.rs
+++ b/crates/policy/src/adaptive/shortlist.rs
@@ -1,28 +1,29 @@
-//! The few endpoints worth a closer look.
+//! Preselects the endpoints that are compared in detail.
 //!
-//! **Load pattern.** Hundreds of endpoints, thousands of requests a second.
+//! **Load pattern.** Hundreds of endpoints and thousands of requests per second.
 //!
-//! **Without it.** Each decision weighs every endpoint's cache, name and cost in full: 41
-//! microseconds a request at 200 endpoints, most of it for endpoints that never come first.
+//! **Without it.** Each decision evaluates the cache, name and cost of every endpoint. That takes
+//! 41 microseconds per request at 200 endpoints, mostly for endpoints that are never chosen.
 //!
-//! **Rule.** One cheap pass over all endpoints keeps the [`LENGTH`] with the least wait; only
-//! these become candidates, and besides them the one that this prompt's beginning was last sent to.
-//! The pass begins at a random endpoint, so that among equals not everybody's list is the same.
+//! **Rule.** A cheap pass over all endpoints keeps the [`SHORTLIST_LENGTH`] endpoints with the
+//! shortest wait. Only these become candidates, plus the endpoint that last received a prompt with
+//! the same first block. The pass starts at a random endpoint, so that instances don't all select
+//! the same ones among equals.
 //!
-//! **Grounds.** Placement draws among near equals, of which a list of this length holds enough;
-//! at today's sites it leaves out a few of some 20. The last holder of a prefix is the one
-//! endpoint that can be worth more than its wait.
+//! **Grounds.** Selection draws at random among endpoints of similar cost, and a list of this
+//! length contains enough of them; at current sites it leaves out a few of about 20. The endpoint
+//! that last held the prefix is the only one that can be better than its wait suggests.
 
 use indexmap::IndexMap;
 
 use crate::EndpointId;
 
-/// Endpoints on the list.
+/// Maximum number of endpoints on the list.
 const SHORTLIST_LENGTH: usize = 16;
-/// Prefixes whose last holder is remembered, at some 50 bytes each.
+/// Maximum number of prefixes whose last holder is remembered, at about 50 bytes each.
 const MAX_PREFIX_HOLDERS: usize = 4_096;
 
-/// The endpoints with the least wait seen so far, by their place in the fleet.
+/// The endpoints with the shortest wait so far, by their index in the fleet.
 #[derive(Debug, Default)]
 pub(super) struct Shortlist {
     entries: Vec<Listed>,
@@ -36,7 +37,7 @@
 }
 
 impl Shortlist {
-    /// Takes note of an endpoint.
+    /// Adds an endpoint if its wait, in seconds, is among the shortest.
     pub(super) fn offer(&mut self, index: usize, wait: f64) {
         let listed = Listed { index, wait };
         if self.entries.len() < SHORTLIST_LENGTH {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The listed endpoints.
+    /// Indices of the listed endpoints in the fleet.
     pub(super) fn indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.entries.iter().map(|listed| listed.index)
     }
@@ -63,7 +64,7 @@
     }
 }
 
-/// Where the prompts that begin alike were last sent.
+/// The endpoints that last received prompts with the same first block.
 #[derive(Debug, Default)]
 pub(super) struct PrefixHolders {
     last: IndexMap<u64, EndpointId>,
@@ -71,7 +72,7 @@
 }
 
 impl PrefixHolders {
-    /// Takes note of a send; the oldest slot makes room.
+    /// Records a sent prompt; if the table is full, a slot chosen in turn is overwritten.
     pub(super) fn sent(&mut self, first_block: u64, endpoint: &EndpointId) {
         if let Some(last) = self.last.get_mut(&first_block) {
             *last = endpoint.clone();
@@ -84,7 +85,7 @@
         self.last.insert(first_block, endpoint.clone());
     }
 
-    /// Where prompts with this first block were last sent.
+    /// The endpoint that last received a prompt with this first block.
     pub(super) fn get(&self, first_block: u64) -> Option<&EndpointId> {
         self.last.get(&first_block)
     }
--- a/crates/policy/src/adaptive/window.rs
+++ b/crates/policy/src/adaptive/window.rs
@@ -1,7 +1,7 @@
-//! The last few values of a measure, and their quantiles.
+//! Sliding windows with quantiles, and decaying rates.
 
-/// The last `N` values. Whatever is older is forgotten, so that a quantile over them is right
-/// again at most `N` values after the world has changed, and no single value can move it far.
+/// The last `N` values. Older ones are forgotten, so after a change a quantile is correct again
+/// within `N` values, and no single value can move it far.
 #[derive(Debug, Clone)]
 pub(super) struct Window<const N: usize> {
     values: [f32; N],
@@ -23,7 +23,7 @@
         self.len = (self.len + 1).min(N);
     }
 
-    /// The value below which the share `q` of the window lies; none of an empty window.
+    /// The value below which the share `q` of the window lies; none if the window is empty.
     pub(super) fn quantile(&self, q: f64) -> Option<f64> {
         if self.len == 0 {
             return None;
@@ -36,7 +36,7 @@
     }
 }
 
-/// An average that halves the weight of the past every `half_life` seconds, of a count per second.
+/// Rate per second in which past counts lose half of their weight every `half_life` seconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DecayedRate {
     sum: f64,
@@ -44,13 +44,13 @@
 }
 
 impl DecayedRate {
-    /// Adds `amount` at `now` (seconds).
+    /// Adds `amount` at `now`, in seconds.
     pub(super) fn add(&mut self, amount: f64, now: f64, half_life: f64) {
         self.sum = self.decayed(now, half_life) + amount;
         self.updated = now;
     }
 
-    /// The rate a second at `now`.
+    /// The rate per second at `now`.
     pub(super) fn rate(&self, now: f64, half_life: f64) -> f64 {
         self.decayed(now, half_life) * std::f64::consts::LN_2 / half_life
     }
--- a/crates/policy/src/adaptive/workspaces.rs
+++ b/crates/policy/src/adaptive/workspaces.rs
@@ -1,18 +1,19 @@
-//! Workspaces: weights, limits and what each has waiting.
+//! Workspaces: weights, limits and queues.
 //!
-//! **Load pattern.** A script of one customer sends without pause; its contract allows a number of
-//! tokens a second and a number of requests at once.
+//! **Load pattern.** A customer's script sends without pause. Its contract allows a number of
+//! tokens per second and a number of concurrent requests.
 //!
-//! **Without it.** The customer uses whatever the fair share gives, however much that is at night,
-//! and the bill or the plain service behind it suffers.
+//! **Without it.** The customer uses whatever the fair share allows, which may be a lot at night,
+//! to the detriment of the bill or of the plain service behind it.
 //!
-//! **Rule.** A token bucket and a count for each workspace that has limits. The bucket may go into
-//! debt by one request, because a dossier is larger than any sensible burst. A limit that holds
-//! over all instances is split: half evenly, half by where the traffic is.
+//! **Rule.** Each workspace with limits has a token bucket and a count of requests. The bucket may
+//! go into debt by one request, because a single long prompt is larger than any sensible burst. A
+//! limit that applies to all instances together is split: half evenly, half by traffic.
 //!
-//! **Grounds.** Half evenly, so that traffic which moves to another instance finds room there at
-//! once; half by traffic, so that a balancer that favours one instance doesn't halve the limit.
-//! The parts sum to the limit. [`BURST`] is two seconds, the span of one page's worth of calls.
+//! **Grounds.** The even half gives traffic that moves to another instance some room there at once.
+//! The half by traffic ensures that a balancer that favours one instance doesn't halve the limit.
+//! The parts add up to the limit. [`BURST_S`] is two seconds, the time in which one web page makes
+//! its calls.
 
 use indexmap::IndexMap;
 
@@ -23,17 +24,17 @@
     window::DecayedRate,
 };
 
-/// Lanes of waiting requests: one a band, and one for prompts that need several engines.
+/// Number of queues: one per band, and one for prompts that need several engines.
 pub(super) const QUEUE_COUNT: usize = BANDS + 1;
-/// The lane of prompts that need several engines.
+/// Index of the queue of prompts that need several engines.
 pub(super) const MULTI_ENGINE_QUEUE: usize = BANDS;
 
-/// Seconds of its limit that a workspace may use at once.
+/// Seconds' worth of its limit that a workspace may use at once.
 const BURST_S: f64 = 2.0;
 /// Half-life in seconds of the measured traffic by which limits are split.
 pub(super) const TRAFFIC_HALF_LIFE_S: f64 = 5.0;
 
-/// One workspace's state.
+/// Limits, counters and queues of one workspace.
 #[derive(Debug)]
 pub(super) struct WorkspaceState {
     pub(super) name: Workspace,
@@ -41,14 +42,14 @@
     tokens_per_second: Option<f64>,
     max_concurrent: Option<u32>,
     is_listed: bool,
-    /// Weighted tokens that may still be admitted.
+    /// Weighted tokens in the bucket; negative while in debt.
     bucket_tokens: f64,
     updated: f64,
-    /// Admitted and not ended.
+    /// Number of requests admitted and not ended.
     pub(super) in_flight: u32,
     pub(super) queues: [WorkspaceQueue; QUEUE_COUNT],
     pub(super) served: DecayedRate,
-    /// Served and waiting on the other instances.
+    /// Traffic on the other instances in tokens per second, and prompt tokens waiting there.
     pub(super) peers_served: f64,
     pub(super) peers_waiting: f64,
 }
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Prompt tokens that wait here, in all lanes.
+    /// Prompt tokens waiting in all queues of this workspace.
     pub(super) fn waiting(&self) -> f64 {
         self.queues.iter().map(WorkspaceQueue::tokens).sum()
     }
 
-    /// Seconds until a request would be within the limits; none where it is.
+    /// Seconds until a request would be within the limits; none if it is now.
     pub(super) fn seconds_over_limit(&mut self, instances: usize, now: f64) -> Option<f64> {
         if self.max_concurrent.is_some_and(|most| self.in_flight >= most) {
             return Some(1.0);
@@ -92,7 +93,7 @@
         (self.bucket_tokens <= 0.0).then(|| (1.0 - self.bucket_tokens) / rate.max(0.001))
     }
 
-    /// Counts an admitted request.
+    /// Counts an admitted request of `cost` weighted tokens.
     pub(super) fn admitted(&mut self, cost: f64, now: f64) {
         self.in_flight += 1;
         self.served.add(cost, now, TRAFFIC_HALF_LIFE_S);
@@ -107,7 +108,7 @@
     }
 }
 
-/// All workspaces, in slots that are used again.
+/// All workspaces, in reusable slots.
 #[derive(Debug, Default)]
 pub(super) struct Workspaces {
     names: IndexMap<Workspace, WorkspaceIndex>,
@@ -116,8 +117,7 @@
 }
 
 impl Workspaces {
-    /// Takes over the table in force. Slots of workspaces that aren't listed and have nothing
-    /// under way are given to others.
+    /// Applies a new table of workspaces. Slots of idle workspaces that aren't listed are freed.
     pub(super) fn configure(&mut self, table: &WorkspaceTable, now: f64) {
         for state in &mut self.slots {
             state.is_listed = table.contains_key(&state.name);
@@ -138,7 +138,7 @@
         self.drop_unlisted();
     }
 
-    /// The workspace's slot; one that isn't listed gets one with weight one.
+    /// The workspace's slot; an unlisted workspace gets a new slot with weight one.
     pub(super) fn index(&mut self, name: &Workspace) -> WorkspaceIndex {
         if let Some(index) = self.names.get(name) {
             return *index;
@@ -174,7 +174,8 @@
         WorkspaceWeight { workspace: index, weight: self.get(index).weight }
     }
 
-    /// The workspace whose waiting tokens are most above its share, `extra` more counted for one.
+    /// The workspace with the most waiting tokens relative to its weight, where `extra` tokens are
+    /// added for `of`.
     pub(super) fn most_over_share(&self, extra: f64, of: WorkspaceIndex) -> WorkspaceIndex {
         let excess = |index: WorkspaceIndex| {
             let state = self.get(index);
