--- a/crates/policy/examples/arrange_cost.rs
+++ b/crates/policy/examples/arrange_cost.rs
@@ -42,7 +42,7 @@
     let step = EVERY_US / engines as u64;
     for index in 0..(WRITERS * engines + PLACED) as u64 {
         let now = Time(1_000_000 + index * step.max(1));
-        if let Ok(placed) = site.place(&ask(5_000, index), now) {
+        if let Ok(placed) = site.place(&request(5_000, index), now) {
             site.record_first_event(placed.job, now);
             written.push_back(placed.job);
         }
@@ -54,7 +54,7 @@
             continue;
         }
         let began = Instant::now();
-        let placed = site.place(&ask(prompt, u64::MAX - index), now);
+        let placed = site.place(&request(prompt, u64::MAX - index), now);
         took.push(began.elapsed().as_secs_f64() * 1e6);
         if let Ok(placed) = placed {
             site.finish(placed.job, None, now);
@@ -81,6 +81,6 @@
     arranging::scheduler(engines, engine, PlacementRules::default(), 1)
 }
 
-fn ask(prompt: u64, index: u64) -> PlacementRequest {
-    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
+fn request(prompt: u64, index: u64) -> PlacementRequest {
+    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::request(prompt) }
 }
--- a/crates/policy/src/placement/backoff.rs
+++ b/crates/policy/src/placement/backoff.rs
@@ -13,36 +13,36 @@
 
 /// The first time for which an engine is left out: what it takes to hear of one that leaves, at most
 /// sites.
-const FIRST_MS: f64 = 500.0;
+const FIRST_BACKOFF_MS: f64 = 500.0;
 
 /// The longest such time.
-const LONGEST_MS: f64 = 8_000.0;
+const MAX_BACKOFF_MS: f64 = 8_000.0;
 
 /// How many times as long without a refusal makes it as good as any other.
-const FORGOTTEN_AFTER: f64 = 4.0;
+const RESET_AFTER_FACTOR: f64 = 4.0;
 
 /// An engine's standing as a helper. Times are milliseconds of the instance's clock.
 #[derive(Debug, Default)]
 pub(super) struct HelperBackoff {
-    pause_ms: f64,
+    backoff_ms: f64,
     until: f64,
 }
 
 impl HelperBackoff {
     /// A request was refused for its sake. Refusals while it is left out are those of requests that
     /// were under way.
-    pub(super) fn refused(&mut self, now: f64) {
+    pub(super) fn record_refusal(&mut self, now: f64) {
         if now < self.until {
             return;
         }
-        let is_forgotten = now > self.until + FORGOTTEN_AFTER * self.pause_ms;
-        let longer = if is_forgotten { FIRST_MS } else { 2.0 * self.pause_ms };
-        self.pause_ms = longer.clamp(FIRST_MS, LONGEST_MS);
-        self.until = now + self.pause_ms;
+        let is_reset = now > self.until + RESET_AFTER_FACTOR * self.backoff_ms;
+        let longer = if is_reset { FIRST_BACKOFF_MS } else { 2.0 * self.backoff_ms };
+        self.backoff_ms = longer.clamp(FIRST_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.until = now + self.backoff_ms;
     }
 
     /// Whether it may read a part that reaches it then.
-    pub(super) fn may_help(&self, at: f64) -> bool {
-        at >= self.until
+    pub(super) fn may_help(&self, arrives_at: f64) -> bool {
+        arrives_at >= self.until
     }
 }
--- a/crates/policy/src/placement/decaying.rs
+++ b/crates/policy/src/placement/decaying.rs
@@ -6,29 +6,29 @@
 
 /// A sum that fades.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Decaying {
+pub(super) struct DecayingSum {
     value: f64,
-    at: Time,
+    updated_at: Time,
     half_life_s: f64,
 }
 
-impl Decaying {
-    pub(super) fn new(half_life: Duration) -> Decaying {
-        Decaying { value: 0.0, at: Time::ZERO, half_life_s: half_life.as_secs_f64() }
+impl DecayingSum {
+    pub(super) fn new(half_life: Duration) -> DecayingSum {
+        DecayingSum { value: 0.0, updated_at: Time::ZERO, half_life_s: half_life.as_secs_f64() }
     }
 
     pub(super) fn add(&mut self, amount: f64, now: Time) {
-        self.value = self.read(now) + amount;
-        self.at = now;
+        self.value = self.sum(now) + amount;
+        self.updated_at = now;
     }
 
     /// The sum as faded by now.
-    pub(super) fn read(&self, now: Time) -> f64 {
-        self.value * (-now.since(self.at).as_secs_f64() / self.half_life_s).exp2()
+    pub(super) fn sum(&self, now: Time) -> f64 {
+        self.value * (-now.since(self.updated_at).as_secs_f64() / self.half_life_s).exp2()
     }
 
     /// The mean of what was added a second.
     pub(super) fn rate(&self, now: Time) -> f64 {
-        self.read(now) * std::f64::consts::LN_2 / self.half_life_s
+        self.sum(now) * std::f64::consts::LN_2 / self.half_life_s
     }
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -17,21 +17,21 @@
 //! and 0.005 ms a request), while reading stops everybody, so gathering writers is nearly free.
 //! The figures stand in `docs/decisions/arrangement.md`.
 
-mod ask;
-mod awaited;
 mod backoff;
 mod choose;
 mod decaying;
 mod decoding;
-mod herd;
-mod mean;
 mod overdue;
 mod pauses;
-mod reading;
+mod prefill;
+mod request;
 mod rules;
+mod running_mean;
 mod server;
 mod slots;
 mod split;
+mod unanswered;
+mod unreported;
 mod updates;
 mod wire;
 
@@ -40,9 +40,9 @@
 use fastrand::Rng;
 use indexmap::{IndexMap, IndexSet};
 
-pub use ask::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
 pub use decoding::DecodingLoad;
-pub use reading::PartKey;
+pub use prefill::PartKey;
+pub use request::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
 pub use rules::{PlacementRules, PlacementStrategy};
 pub use updates::{EndpointLoad, EndpointUpdate, PartUpdate, update_interval};
 
@@ -58,20 +58,20 @@
 
 /// Time between two judgements of the endpoints' health: a broken endpoint gets no more than what
 /// comes meanwhile.
-const ASSESS_EVERY: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How many times longer than its figures a busy engine takes: it reads others' prompts meanwhile, while
 /// most answers are shorter than they may be.
-const BUSY: f64 = 1.15;
+const BUSY_SLOWDOWN: f64 = 1.15;
 
 /// Milliseconds until a busy engine begins: a few passes.
-const FIRST_PASSES_MS: f64 = 300.0;
+const START_DELAY_MS: f64 = 300.0;
 
 /// How much later than a peer's next word its news of a first event is expected at most: a pass, and its way.
-const TOLD_AFTER_MORE: Duration = Duration::from_millis(50);
+const UPDATE_DELAY_MARGIN: Duration = Duration::from_millis(50);
 
 /// Half-life of the share of long prompts: a burst begins and ends within seconds.
-const BURST: Duration = Duration::from_millis(1_500);
+const BURST_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
 /// An endpoint as the instance learned of it.
 #[derive(Debug, Clone, PartialEq)]
@@ -100,14 +100,14 @@
     next_job: u64,
     health: Health,
     quarantine: Quarantine,
-    assessed: Time,
+    health_assessed_at: Time,
     rng: Rng,
     /// Share of the engines' time that prompts too long to be read beside writers have taken of
     /// late.
-    long_share: decaying::Decaying,
-    pauses: pauses::Pauses,
-    slots: slots::Slots,
-    herd: herd::Herd,
+    long_share: decaying::DecayingSum,
+    pause_goals: pauses::PauseGoals,
+    slot_usage: slots::SlotUsage,
+    unreported: unreported::UnreportedPlacements,
 }
 
 impl GroupScheduler {
@@ -128,12 +128,12 @@
             next_job: 0,
             health: Health::new(),
             quarantine: Quarantine::new(),
-            assessed: Time::ZERO,
+            health_assessed_at: Time::ZERO,
             rng: Rng::with_seed(seed),
-            long_share: decaying::Decaying::new(BURST),
-            pauses: pauses::Pauses::default(),
-            slots: slots::Slots::default(),
-            herd: herd::Herd::default(),
+            long_share: decaying::DecayingSum::new(BURST_HALF_LIFE),
+            pause_goals: pauses::PauseGoals::default(),
+            slot_usage: slots::SlotUsage::default(),
+            unreported: unreported::UnreportedPlacements::default(),
         }
     }
 
@@ -163,7 +163,7 @@
         }
         self.tags = self.servers.keys().enumerate().map(|(i, id)| (id.into(), i)).collect();
         if !self.servers.is_empty() {
-            self.herd.begin(now);
+            self.unreported.record_start(now);
         }
     }
 
@@ -178,8 +178,8 @@
         let Some(rules) = &self.rules else { return Duration::ZERO };
         let passes = output.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let context = rules.usual_context.min(prompt + output / 2);
-        let writing = passes * rules.pass_ms(rules.slots, context);
-        let ms = BUSY * (rules.read_ms(prompt) + writing) + FIRST_PASSES_MS;
+        let decode_passes_ms = passes * rules.pass_ms(rules.slots, context);
+        let ms = BUSY_SLOWDOWN * (rules.read_ms(prompt) + decode_passes_ms) + START_DELAY_MS;
         Duration::from_secs_f64(ms / 1000.0)
     }
 
@@ -190,128 +190,134 @@
     /// Where no endpoint may run it.
     pub fn place(
         &mut self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         now: Time,
     ) -> Result<Placement, PlacementRefusal> {
-        self.assess(now);
-        if let QuarantineState::Refused(left) = self.quarantine.state(ask.fingerprint, now) {
+        self.assess_health(now);
+        if let QuarantineState::Refused(left) = self.quarantine.state(request.fingerprint, now) {
             return Err(PlacementRefusal::Quarantined(left));
         }
-        self.pauses.note(whole_ms(ask.max_pause_ms), now);
-        let spread = self.spread(now);
+        self.pause_goals.record(whole_ms(request.max_pause_ms), now);
+        let skipped = self.draw_skipped(now);
         if let Some(rules) = &self.rules {
             // Word of a first event goes with the teller's next one.
-            let told_after = updates::update_interval(self.peers.len()) + TOLD_AFTER_MORE;
+            let update_delay = updates::update_interval(self.peers.len()) + UPDATE_DELAY_MARGIN;
             for server in self.servers.values_mut() {
-                server.follow(rules, told_after, now);
+                server.refresh(rules, update_delay, now);
             }
-            if rules.read_ms(ask.prompt_tokens) > self.short_ms() {
-                overdue::assess(&mut self.servers, self.placement.overdue_ms, told_after, now);
+            if rules.read_ms(request.prompt_tokens) > self.short_prefill_ms() {
+                overdue::update_risks(
+                    &mut self.servers,
+                    self.placement.overdue_ms,
+                    update_delay,
+                    now,
+                );
             }
         }
-        let chosen = match &self.rules {
-            Some(rules) => self.choose_engine(rules, ask, spread, now),
-            None => self.choose_plain(ask, now),
+        let plan = match &self.rules {
+            Some(rules) => self.choose_engine(rules, request, skipped, now),
+            None => self.choose_least_loaded(request, now),
         };
-        let chosen = chosen.ok_or(PlacementRefusal::NoEndpoint)?;
-        if let Some(queues) = chosen.queues {
-            self.slots.note(!queues, now);
+        let plan = plan.ok_or(PlacementRefusal::NoEndpoint)?;
+        if let Some(waits_for_slot) = plan.waits_for_slot {
+            self.slot_usage.record_request(!waits_for_slot, now);
         }
-        let late_ms = chosen.late_ms(ask, &self.placement, self.slots.is_overloaded(now));
-        if late_ms > 0.0 {
-            return Err(PlacementRefusal::TooLate(Duration::from_secs_f64(late_ms / 1000.0)));
+        let excess_ms =
+            plan.excess_ms(request, &self.placement, self.slot_usage.is_overloaded(now));
+        if excess_ms > 0.0 {
+            return Err(PlacementRefusal::TooLate(Duration::from_secs_f64(excess_ms / 1000.0)));
         }
-        if chosen.is_crowding(ask, &self.placement) {
-            return Err(PlacementRefusal::Crowded(choose::CROWDED_FOR));
+        if plan.costs_others_too_much(request, &self.placement) {
+            return Err(PlacementRefusal::Crowded(choose::CROWDED_RETRY_DELAY));
         }
-        Ok(self.commit(chosen, ask, now))
+        Ok(self.commit(plan, request, now))
     }
 
     /// How many of the best places are passed over, as others may just have taken them.
-    fn spread(&mut self, now: Time) -> usize {
-        if self.herd.is_starting(now) {
+    fn draw_skipped(&mut self, now: Time) -> usize {
+        if self.unreported.is_starting(now) {
             return self.rng.usize(0..=self.servers.len());
         }
-        let unheard = self.herd.unheard(now) + self.rng.f64();
-        self.rng.usize(0..=unheard as usize)
+        let unreported = self.unreported.estimate(now) + self.rng.f64();
+        self.rng.usize(0..=unreported as usize)
     }
 
     /// A connection to an endpoint took so long to be made.
     pub fn record_connect_time(&mut self, endpoint: &EndpointId, took: Duration) {
         let ms = took.as_secs_f64() * 1000.0;
-        self.herd.round_trip(ms);
+        self.unreported.record_round_trip(ms);
         if let Some(server) = self.servers.get_mut(endpoint) {
-            server.round_trip(ms);
+            server.record_round_trip(ms);
         }
     }
 
     /// The first byte of an answer came.
     pub fn record_first_event(&mut self, job: JobId, now: Time) {
-        let Some(known) = self.jobs.get_mut(&job) else { return };
-        if known.began.is_some() {
+        let Some(job) = self.jobs.get_mut(&job) else { return };
+        if job.first_event_at.is_some() {
             return;
         }
-        known.began = Some(now);
-        let taken = now.since(known.placed);
-        let predicted = Duration::from_secs_f64(known.predicted_ms.max(0.0) / 1000.0);
+        job.first_event_at = Some(now);
+        let taken = now.since(job.placed_at);
+        let predicted = Duration::from_secs_f64(job.predicted_ms.max(0.0) / 1000.0);
         // Whatever was foretold, all of its parts have been read.
-        for reader in known.endpoints() {
-            if let Some(server) = self.servers.get_mut(reader) {
-                server.unread_own(known.key, true, now);
+        for endpoint in job.endpoints() {
+            if let Some(server) = self.servers.get_mut(endpoint) {
+                server.remove_own_part(job.key, true, now);
             }
         }
-        self.health.record_answer(&known.endpoint, taken, predicted);
-        if let Some(server) = self.servers.get_mut(&known.endpoint) {
-            server.answered();
-            server.untold_answer = true;
+        self.health.record_answer(&job.endpoint, taken, predicted);
+        if let Some(server) = self.servers.get_mut(&job.endpoint) {
+            server.clear_peer_failures();
+            server.unsent_answer = true;
             if let Some(rules) = &self.rules {
-                server.pass_began(rules, now);
+                server.record_pass_start(rules, now);
             }
         }
     }
 
     /// A pause between two events of an answer.
     pub fn record_pause(&mut self, job: JobId, pause: Duration, now: Time) {
-        let Some(known) = self.jobs.get(&job) else { return };
+        let Some(job) = self.jobs.get(&job) else { return };
         let Some(rules) = &self.rules else { return };
-        if let Some(server) = self.servers.get_mut(&known.endpoint) {
-            server.saw_pause(pause.as_secs_f64() * 1000.0, rules, now);
-            server.pass_began(rules, now);
+        if let Some(server) = self.servers.get_mut(&job.endpoint) {
+            server.record_pause(pause.as_secs_f64() * 1000.0, rules, now);
+            server.record_pass_start(rules, now);
         }
     }
 
     /// A request ended on its endpoint, whole or not.
     pub fn finish(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
-        let Some(known) = self.jobs.swap_remove(&job) else { return };
-        for endpoint in known.endpoints() {
+        let Some(job) = self.jobs.swap_remove(&job) else { return };
+        for endpoint in job.endpoints() {
             if let Some(server) = self.servers.get_mut(endpoint) {
-                server.release(&known, endpoint == &known.endpoint, now);
+                server.remove_job(&job, endpoint == &job.endpoint, now);
             }
         }
         match failed {
             None => {
-                self.quarantine.completed(known.fingerprint);
-                match known.began {
+                self.quarantine.completed(job.fingerprint);
+                match job.first_event_at {
                     Some(began) => {
-                        let writing_ms = now.since(began).as_secs_f64() * 1000.0;
-                        self.slots.freed(known.part_ms + writing_ms);
+                        let decode_ms = now.since(began).as_secs_f64() * 1000.0;
+                        self.slot_usage.record_held(job.part_prefill_ms + decode_ms);
                     }
                     None => {
-                        let span = now.since(known.placed);
-                        self.health.record_answer(&known.endpoint, span, span);
+                        let span = now.since(job.placed_at);
+                        self.health.record_answer(&job.endpoint, span, span);
                     }
                 }
-                if let Some(server) = self.servers.get_mut(&known.endpoint) {
-                    server.answered();
-                    server.untold_answer = true;
+                if let Some(server) = self.servers.get_mut(&job.endpoint) {
+                    server.clear_peer_failures();
+                    server.unsent_answer = true;
                 }
             }
             Some(cause) => {
-                self.quarantine.stopped(known.fingerprint);
-                let cause = as_seen(cause);
-                self.health.record_failure(&known.endpoint, cause);
-                if let Some(server) = self.servers.get_mut(&known.endpoint) {
-                    server.untold_failure |= counts(cause);
+                self.quarantine.stopped(job.fingerprint);
+                let cause = counted_cause(cause);
+                self.health.record_failure(&job.endpoint, cause);
+                if let Some(server) = self.servers.get_mut(&job.endpoint) {
+                    server.unsent_failure |= is_endpoint_failure(cause);
                 }
             }
         }
@@ -321,7 +327,7 @@
     pub fn record_helper_refusal(&mut self, endpoint: &EndpointId, now: Time) {
         if let Some(server) = self.servers.get_mut(endpoint) {
             server.refused_to_help(now);
-            server.untold_fault = true;
+            server.unsent_refusal = true;
         }
     }
 
@@ -342,31 +348,33 @@
     /// one of the prompts would wait for the other's parts, which it wasn't foretold. Both see the same
     /// two keys, so exactly one of them looks for another place.
     pub fn is_still_valid(&self, job: JobId, now: Time) -> bool {
-        let Some(known) = self.jobs.get(&job) else { return false };
-        known.endpoints().zip(&known.incarnations).all(|(endpoint, life)| {
+        let Some(job) = self.jobs.get(&job) else { return false };
+        job.endpoints().zip(&job.incarnations).all(|(endpoint, incarnation)| {
             let server = self.servers.get(endpoint);
             server.is_some_and(|server| {
                 !server.member.leaving
-                    && server.member.incarnation == *life
-                    && !self.is_taken(server, known, now)
+                    && server.member.incarnation == *incarnation
+                    && !self.is_displaced(server, job, now)
             })
         })
     }
 
     /// Whether a prompt with a higher claim makes the job's part on this engine late.
-    fn is_taken(&self, server: &Server, job: &Job, now: Time) -> bool {
+    fn is_displaced(&self, server: &Server, job: &Job, now: Time) -> bool {
         let Some(rules) = &self.rules else { return false };
-        let foretold = server::millis(job.placed) + job.read_in_ms;
-        let reads = server.reads(rules, now);
-        let mine = reads.iter().find(|read| read.part.key == job.key);
-        mine.is_some_and(|mine| mine.at > foretold + self.placement.collision_ms)
-            && reads.iter().any(|read| read.part.overtakes && read.part.key < job.key)
+        let expected_at = server::millis(job.placed_at) + job.prefilled_in_ms;
+        let completions = server.completions(rules, now);
+        let mine = completions.iter().find(|completion| completion.part.key == job.key);
+        mine.is_some_and(|mine| mine.done_at > expected_at + self.placement.collision_ms)
+            && completions
+                .iter()
+                .any(|completion| completion.part.is_split && completion.part.key < job.key)
     }
 
     /// A request was handed to its endpoint.
     pub fn mark_sent(&mut self, job: JobId) {
-        if let Some(known) = self.jobs.get_mut(&job) {
-            known.is_sent = true;
+        if let Some(job) = self.jobs.get_mut(&job) {
+            job.is_sent = true;
         }
     }
 
@@ -376,7 +384,7 @@
     }
 
     /// What another instance has under way.
-    pub fn apply_updates(&mut self, peer: &InstanceId, words: &[EndpointUpdate], now: Time) {
+    pub fn apply_updates(&mut self, peer: &InstanceId, updates: &[EndpointUpdate], now: Time) {
         if !self.peers.contains(peer) {
             self.peers.insert(peer.clone());
         }
@@ -387,22 +395,22 @@
             &mut self.health,
             rules,
             peer,
-            words,
+            updates,
             now,
         );
-        for pause_ms in words.iter().flat_map(|word| word.level.writers.pauses()) {
-            self.pauses.note(pause_ms, now);
+        for pause_ms in updates.iter().flat_map(|update| update.load.decoding.pause_goals_ms()) {
+            self.pause_goals.record(pause_ms, now);
         }
-        let heads = words.iter().flat_map(|word| &word.placed).filter(|part| part.is_head);
-        self.herd.heard(heads.count(), now);
-        self.long_share.add(updates::long_ms(words, self.short_ms()), now);
+        let heads = updates.iter().flat_map(|update| &update.placed).filter(|part| part.is_head);
+        self.unreported.record(heads.count(), now);
+        self.long_share.add(updates::long_prefill_ms(updates, self.short_prefill_ms()), now);
     }
 
     /// Another instance is gone, and what it had under way with it.
     pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.peers.swap_remove(peer);
         for server in self.servers.values_mut() {
-            server.forget(peer);
+            server.remove_peer(peer);
         }
     }
 
@@ -412,15 +420,15 @@
     }
 
     /// Milliseconds of reading up to which a prompt goes beside writers whole.
-    fn short_ms(&self) -> f64 {
-        self.placement.short_share * self.pauses.least()
+    fn short_prefill_ms(&self) -> f64 {
+        self.placement.short_share * self.pause_goals.shortest()
     }
 
-    fn assess(&mut self, now: Time) {
-        if now.since(self.assessed) < ASSESS_EVERY {
+    fn assess_health(&mut self, now: Time) {
+        if now.since(self.health_assessed_at) < HEALTH_CHECK_INTERVAL {
             return;
         }
-        self.assessed = now;
+        self.health_assessed_at = now;
         let needed = self.servers.len().div_ceil(2);
         self.health.assess(needed, now, &mut self.rng);
         self.quarantine.expire(now);
@@ -428,7 +436,7 @@
         // not be true.
         for endpoint in self.health.due_probes(now) {
             if let Some(server) = self.servers.get_mut(&endpoint) {
-                server.is_on_trial = true;
+                server.is_next_probe = true;
             }
         }
     }
@@ -437,7 +445,7 @@
 /// A silence that ends a run here was longer than another endpoint took to answer, so it counts
 /// like a failure. Health alone would not count it, because connections may fall silent while
 /// their endpoint lives; here each run has a fresh one.
-fn as_seen(cause: FailCause) -> FailCause {
+fn counted_cause(cause: FailCause) -> FailCause {
     match cause {
         FailCause::Silent => FailCause::Broken,
         other => other,
@@ -445,7 +453,7 @@
 }
 
 /// Whether a failure speaks against its endpoint, whoever met it.
-fn counts(cause: FailCause) -> bool {
+fn is_endpoint_failure(cause: FailCause) -> bool {
     matches!(
         cause,
         FailCause::NotSent
--- a/crates/policy/src/placement/overdue.rs
+++ b/crates/policy/src/placement/overdue.rs
@@ -23,12 +23,12 @@
 
 use crate::{EndpointId, Time};
 
-use super::{awaited::SplitWait, reading::PartKey, server::Server};
+use super::{prefill::PartKey, server::Server, unanswered::UnansweredSplit};
 
 /// A split prompt whose first event isn't known.
-struct Overdue {
+struct OverduePrompt {
     /// Milliseconds for which it has been overdue.
-    by_ms: f64,
+    overdue_ms: f64,
     /// Engines that read parts of it.
     engines: usize,
     /// One of its engines is known to refuse.
@@ -37,39 +37,40 @@
 
 /// Sets each server's chance that it doesn't read its parts. It is certain that one of a prompt's
 /// engines doesn't once the prompt is overdue by `certain_ms`.
-pub(super) fn assess(
+pub(super) fn update_risks(
     servers: &mut IndexMap<EndpointId, Server>,
     certain_ms: f64,
-    told_after: Duration,
+    update_delay: Duration,
     now: Time,
 ) {
-    let prompts = overdue(servers, told_after, now);
+    let prompts = overdue_prompts(servers, update_delay, now);
     for server in servers.values_mut() {
-        let risk = |wait: SplitWait| {
-            let prompt = prompts.get(&wait.key).filter(|prompt| !prompt.is_explained);
-            let prompt = prompt.filter(|_| !wait.is_cleared)?;
-            let certainty = (prompt.by_ms / certain_ms).clamp(0.0, 1.0);
+        let risk = |split: UnansweredSplit| {
+            let prompt = prompts.get(&split.key).filter(|prompt| !prompt.is_explained);
+            let prompt = prompt.filter(|_| !split.is_cleared)?;
+            let certainty = (prompt.overdue_ms / certain_ms).clamp(0.0, 1.0);
             Some(certainty / prompt.engines as f64)
         };
-        let risks = server.split_waits(told_after, now).filter_map(risk);
+        let risks = server.unanswered_splits(update_delay, now).filter_map(risk);
         server.risk = risks.fold(0.0, f64::max);
     }
 }
 
-fn overdue(
+fn overdue_prompts(
     servers: &IndexMap<EndpointId, Server>,
-    told_after: Duration,
+    update_delay: Duration,
     now: Time,
-) -> IndexMap<PartKey, Overdue> {
+) -> IndexMap<PartKey, OverduePrompt> {
     let mut prompts = IndexMap::new();
     for server in servers.values() {
-        let is_left_out = server.is_left_out(now);
-        for wait in server.split_waits(told_after, now) {
-            let unknown = Overdue { by_ms: f64::INFINITY, engines: 0, is_explained: false };
-            let prompt = prompts.entry(wait.key).or_insert(unknown);
-            prompt.by_ms = prompt.by_ms.min(wait.overdue_ms);
+        let is_backing_off = server.is_backing_off(now);
+        for split in server.unanswered_splits(update_delay, now) {
+            let unknown =
+                OverduePrompt { overdue_ms: f64::INFINITY, engines: 0, is_explained: false };
+            let prompt = prompts.entry(split.key).or_insert(unknown);
+            prompt.overdue_ms = prompt.overdue_ms.min(split.overdue_ms);
             prompt.engines += 1;
-            prompt.is_explained |= is_left_out;
+            prompt.is_explained |= is_backing_off;
         }
     }
     prompts
--- a/crates/policy/src/placement/pauses.rs
+++ b/crates/policy/src/placement/pauses.rs
@@ -13,36 +13,36 @@
 use std::time::Duration;
 
 /// How long callers of a kind are remembered.
-const KEEP: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// Different pauses that are remembered; a group serves few kinds of callers.
-const MOST: usize = 16;
+const MAX_PAUSE_GOALS: usize = 16;
 
 #[derive(Debug, Default)]
-pub(super) struct Pauses {
+pub(super) struct PauseGoals {
     /// Milliseconds, and when they were seen last.
     seen: Vec<(u16, Time)>,
 }
 
-impl Pauses {
-    pub(super) fn note(&mut self, pause_ms: u16, now: Time) {
-        if let Some((_, at)) = self.seen.iter_mut().find(|(ms, _)| *ms == pause_ms) {
-            *at = now;
+impl PauseGoals {
+    pub(super) fn record(&mut self, pause_goal_ms: u16, now: Time) {
+        if let Some((_, seen_at)) = self.seen.iter_mut().find(|(ms, _)| *ms == pause_goal_ms) {
+            *seen_at = now;
             return;
         }
-        self.seen.retain(|(_, at)| now.since(*at) < KEEP);
-        if self.seen.len() < MOST {
-            self.seen.push((pause_ms, now));
+        self.seen.retain(|(_, seen_at)| now.since(*seen_at) < RETENTION);
+        if self.seen.len() < MAX_PAUSE_GOALS {
+            self.seen.push((pause_goal_ms, now));
         }
     }
 
     /// The least pause that anybody bears, in milliseconds; infinite where nobody was seen.
-    pub(super) fn least(&self) -> f64 {
+    pub(super) fn shortest(&self) -> f64 {
         self.seen.iter().map(|(ms, _)| f64::from(*ms)).fold(f64::INFINITY, f64::min)
     }
 
     /// Whether somebody bears longer pauses than this one.
-    pub(super) fn is_below_longest(&self, pause_ms: u16) -> bool {
-        self.seen.iter().any(|(ms, _)| *ms > pause_ms)
+    pub(super) fn is_below_longest(&self, pause_goal_ms: u16) -> bool {
+        self.seen.iter().any(|(ms, _)| *ms > pause_goal_ms)
     }
 }
--- a/crates/policy/src/placement/ask.rs
+++ b/crates/policy/src/placement/request.rs
@@ -5,7 +5,7 @@
 use crate::{EndpointId, Fingerprint, Incarnation, Time};
 
 use super::{
-    reading::{Part, PartKey, Pass},
+    prefill::{Part, PartKey, Pass},
     server::millis,
 };
 
@@ -96,11 +96,11 @@
     /// The lives of the engine that runs it and of its helpers, in their order.
     pub incarnations: Vec<Incarnation>,
     /// Milliseconds of reading on each of them.
-    pub part_ms: f64,
+    pub part_prefill_ms: f64,
     /// Tokens read on each of them.
     pub part_tokens: f64,
     /// Tokens of memory that it takes where it runs.
-    pub memory: u64,
+    pub memory_tokens: u64,
     /// What its being late costs, relative to others.
     pub weight: f64,
     /// The pause that it bears, in milliseconds.
@@ -108,19 +108,19 @@
     /// Names the same request when it is sent again.
     pub fingerprint: Fingerprint,
     /// When it was placed.
-    pub placed: Time,
+    pub placed_at: Time,
     /// Milliseconds from then until its first byte is late.
     pub goal_ms: f64,
     /// When its first byte was expected, in milliseconds from then.
     pub predicted_ms: f64,
     /// When its parts were expected to have been read, in milliseconds from then.
-    pub read_in_ms: f64,
+    pub prefilled_in_ms: f64,
     /// How long it is held before it is sent.
     pub hold: Duration,
     /// It was handed to the endpoint.
     pub is_sent: bool,
     /// When its first byte came.
-    pub began: Option<Time>,
+    pub first_event_at: Option<Time>,
 }
 
 impl Job {
@@ -130,26 +130,26 @@
     }
 
     /// Its part on one engine.
-    pub(super) fn part(&self, way_ms: f64, is_head: bool) -> Part {
-        let placed = millis(self.placed);
+    pub(super) fn part(&self, one_way_ms: f64, is_head: bool) -> Part {
+        let placed_ms = millis(self.placed_at);
         let hold_ms = self.hold.as_secs_f64() * 1000.0;
         Part {
             key: self.key,
-            arrives: placed + hold_ms + way_ms,
-            ms: self.part_ms,
+            arrives_at: placed_ms + hold_ms + one_way_ms,
+            prefill_ms: self.part_prefill_ms,
             tokens: self.part_tokens,
-            overtakes: !self.helpers.is_empty(),
+            is_split: !self.helpers.is_empty(),
             is_head,
-            due: placed + self.goal_ms,
-            goal: self.goal_ms,
-            ready: placed + self.read_in_ms,
+            due_at: placed_ms + self.goal_ms,
+            goal_ms: self.goal_ms,
+            ready_at: placed_ms + self.prefilled_in_ms,
             weight: self.weight,
-            longest: Pass::default(),
+            longest_pass: Pass::default(),
         }
     }
 
     /// Tokens of memory that it reserves on a helper.
-    pub(super) fn reserved_at(&self, endpoint: &EndpointId) -> Option<u64> {
+    pub(super) fn reserved_tokens(&self, endpoint: &EndpointId) -> Option<u64> {
         self.helpers.iter().find(|helper| helper.endpoint == *endpoint)?.reserve_tokens
     }
 }
--- a/crates/policy/src/placement/rules.rs
+++ b/crates/policy/src/placement/rules.rs
@@ -143,7 +143,7 @@
             ("idle_factor", self.idle_factor),
             ("overdue_ms", self.overdue_ms),
         ];
-        let others = [
+        let non_negative = [
             ("weight_power", self.weight_power),
             ("ramp_from", self.ramp_from),
             ("first_from", self.first_from),
@@ -164,16 +164,16 @@
             ("collision_ms", self.collision_ms),
             ("broken_loss", self.broken_loss),
         ];
-        let too_small = |(name, value): &(&'static str, f64)| (*value < 0.0).then_some(*name);
+        let is_negative = |(name, value): &(&'static str, f64)| (*value < 0.0).then_some(*name);
         let not_positive = positive.iter().find(|(_, value)| *value <= 0.0).map(|(name, _)| *name);
         let ramp = (self.ramp_to <= self.ramp_from.max(self.first_from)).then_some("ramp_to");
-        not_positive.or(others.iter().find_map(too_small)).or(ramp)
+        not_positive.or(non_negative.iter().find_map(is_negative)).or(ramp)
     }
 
     /// A prompt's rank on an engine: what is read soonest goes first, which delays the others least.
-    pub(super) fn rank(&self, read_ms: f64, short_ms: f64) -> u8 {
-        match read_ms {
-            ms if ms <= short_ms => SHORT_RANK,
+    pub(super) fn rank(&self, prefill_ms: f64, short_prefill_ms: f64) -> u8 {
+        match prefill_ms {
+            ms if ms <= short_prefill_ms => SHORT_RANK,
             ms if ms <= self.middle_ms => MIDDLE_RANK,
             _ => LONG_RANK,
         }
@@ -191,24 +191,25 @@
     }
 
     /// What the lateness of a prompt that takes `read_ms` alone weighs.
-    pub(super) fn weight(&self, read_ms: f64) -> f64 {
-        (read_ms / self.unit_ms).max(0.2).powf(self.weight_power)
+    pub(super) fn weight(&self, prefill_ms: f64) -> f64 {
+        (prefill_ms / self.unit_ms).max(0.2).powf(self.weight_power)
     }
 
     /// The chance that a pause of `expected_ms` is longer than `bears_ms`, from 0 to 1.
-    pub(super) fn miss(&self, expected_ms: f64, bears_ms: f64) -> f64 {
-        ramp(expected_ms / bears_ms.max(1.0), self.ramp_from, self.ramp_to)
+    pub(super) fn miss_probability(&self, expected_ms: f64, pause_goal_ms: f64) -> f64 {
+        ramp(expected_ms / pause_goal_ms.max(1.0), self.ramp_from, self.ramp_to)
     }
 
     /// The chance that a first event comes later than `goal_ms`, and a little for each millisecond.
-    pub(super) fn lateness(&self, expected_ms: f64, goal_ms: f64) -> f64 {
-        let part = expected_ms / goal_ms.max(1.0);
-        ramp(part, self.first_from, self.ramp_to) + self.per_bound * part
+    pub(super) fn lateness_cost(&self, expected_ms: f64, goal_ms: f64) -> f64 {
+        let fraction = expected_ms / goal_ms.max(1.0);
+        ramp(fraction, self.first_from, self.ramp_to) + self.per_bound * fraction
     }
 
     /// What those who write lose by a pass that takes `pass_ms` where they bear `bears_ms`.
-    pub(super) fn disturbance(&self, pass_ms: f64, bears_ms: f64) -> f64 {
-        self.miss(pass_ms, bears_ms) + self.per_longer_pause * pass_ms / bears_ms.max(1.0)
+    pub(super) fn disturbance_cost(&self, pass_ms: f64, pause_goal_ms: f64) -> f64 {
+        self.miss_probability(pass_ms, pause_goal_ms)
+            + self.per_longer_pause * pass_ms / pause_goal_ms.max(1.0)
     }
 }
 
--- a/crates/policy/src/placement/mean.rs
+++ b/crates/policy/src/placement/running_mean.rs
@@ -2,21 +2,21 @@
 
 /// A running mean.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Mean {
+pub(super) struct RunningMean {
     value: Option<f64>,
     /// Values over which it is taken.
-    over: f64,
+    window: f64,
 }
 
-impl Mean {
-    pub(super) const fn over(values: f64) -> Mean {
-        Mean { value: None, over: values }
+impl RunningMean {
+    pub(super) const fn new(window: f64) -> RunningMean {
+        RunningMean { value: None, window }
     }
 
     /// Takes one more value in.
     pub(super) fn add(&mut self, value: f64) {
         let mean = self.value.get_or_insert(value);
-        *mean += (value - *mean) / self.over;
+        *mean += (value - *mean) / self.window;
     }
 
     /// The mean; none before the first value.
--- a/crates/policy/src/placement/server.rs
+++ b/crates/policy/src/placement/server.rs
@@ -23,75 +23,75 @@
 
 use super::{
     Member, PlacementRules,
-    ask::Job,
-    awaited::{Awaited, SplitWait},
     backoff::HelperBackoff,
     decoding::{DecodingLoad, TotalDecodingLoad},
-    herd::ROUND_TRIPS,
-    mean::Mean,
-    reading::{Part, PartKey, Pass, Read, Reading, Tempo},
+    prefill::{EngineSpeed, Part, PartCompletion, PartKey, Pass, PrefillQueue},
+    request::Job,
+    running_mean::RunningMean,
+    unanswered::{UnansweredParts, UnansweredSplit},
+    unreported::AVERAGED_ROUND_TRIPS,
     updates::{EndpointLoad, PartUpdate},
 };
 
 /// Milliseconds over which the shortest pause shows how fast an engine is: a second holds fifteen
 /// passes, and some of them are free of reading.
-const PAUSES_OVER_MS: f64 = 1_000.0;
+const PAUSE_WINDOW_MS: f64 = 1_000.0;
 
 /// Paces below this count as ordinary: servers of one service differ somewhat.
-const ORDINARY_PACE: f64 = 1.3;
+const NORMAL_SLOWDOWN: f64 = 1.3;
 
 /// The highest pace that is believed, so that one engine can't look as if it never ended.
-const MAX_PACE: f64 = 20.0;
+const MAX_SLOWDOWN: f64 = 20.0;
 
 /// One endpoint.
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) member: Member,
-    reading: Reading,
-    awaited: Awaited,
+    prefill_queue: PrefillQueue,
+    unanswered: UnansweredParts,
     /// For how long it had stalled when it was last followed.
     stalled_ms: f64,
     /// The chance that it doesn't read; see [`super::overdue`].
     pub(super) risk: f64,
-    as_helper: HelperBackoff,
-    pub(super) own: EndpointLoad,
-    peers: IndexMap<InstanceId, EndpointLoad>,
+    helper_backoff: HelperBackoff,
+    pub(super) own_load: EndpointLoad,
+    peer_loads: IndexMap<InstanceId, EndpointLoad>,
     /// What `own` and `peers` make together.
-    all: Total,
+    total_load: TotalLoad,
     /// Parts placed by this instance and not told yet.
-    pub(super) untold: Vec<PartUpdate>,
+    pub(super) unsent_parts: Vec<PartUpdate>,
     /// Parts told that wait no more: they aren't wanted, or were read sooner than foretold.
-    pub(super) untold_gone: Vec<PartKey>,
-    pub(super) told: EndpointLoad,
+    pub(super) unsent_removals: Vec<PartKey>,
+    pub(super) sent_load: EndpointLoad,
     /// A request failed, or was answered, since the last word.
-    pub(super) untold_failure: bool,
-    pub(super) untold_answer: bool,
+    pub(super) unsent_failure: bool,
+    pub(super) unsent_answer: bool,
     /// A request was refused for its sake since the last word.
-    pub(super) untold_fault: bool,
+    pub(super) unsent_refusal: bool,
     /// Instances that told of failures since anybody had an answer.
-    failing_for: IndexSet<InstanceId>,
+    failing_peers: IndexSet<InstanceId>,
     /// It is out, and the next request shows whether it is back.
-    pub(super) is_on_trial: bool,
+    pub(super) is_next_probe: bool,
     /// Milliseconds that a connection takes to be made, as soon as one was.
-    round_trip_ms: Mean,
+    round_trip_ms: RunningMean,
     /// The shortest pause since `pauses_since`, and in the span before.
-    shortest: f64,
-    shortest_before: f64,
-    pauses_since: f64,
-    pace: f64,
+    shortest_pause_ms: f64,
+    previous_shortest_pause_ms: f64,
+    pause_window_start_ms: f64,
+    slowdown: f64,
 }
 
 /// What a part meets on an engine.
 #[derive(Debug, Clone)]
-pub(super) struct Outlook {
+pub(super) struct PartEstimate {
     /// Milliseconds until it has been read, from now.
-    pub(super) read_in_ms: f64,
+    pub(super) prefilled_in_ms: f64,
     /// The longest pause that is known to come once its request writes there.
     pub(super) pause_ms: f64,
     /// What those who write there lose by it.
-    pub(super) harm: f64,
+    pub(super) cost_to_others: f64,
     /// What waits there and is read later because of it, with the time at which it will have been.
-    pub(super) delayed: Vec<Read>,
+    pub(super) delayed: Vec<PartCompletion>,
 }
 
 pub(super) fn millis(now: Time) -> f64 {
@@ -102,184 +102,201 @@
     pub(super) fn new(member: Member, now: Time) -> Server {
         Server {
             member,
-            reading: Reading::new(millis(now)),
-            awaited: Awaited::default(),
+            prefill_queue: PrefillQueue::new(millis(now)),
+            unanswered: UnansweredParts::default(),
             stalled_ms: 0.0,
             risk: 0.0,
-            as_helper: HelperBackoff::default(),
-            own: EndpointLoad::default(),
-            peers: IndexMap::new(),
-            all: Total::default(),
-            untold: Vec::new(),
-            untold_gone: Vec::new(),
-            told: EndpointLoad::default(),
-            untold_failure: false,
-            untold_answer: false,
-            untold_fault: false,
-            failing_for: IndexSet::new(),
-            is_on_trial: false,
-            round_trip_ms: Mean::over(ROUND_TRIPS),
-            shortest: f64::INFINITY,
-            shortest_before: f64::INFINITY,
-            pauses_since: millis(now),
-            pace: 1.0,
+            helper_backoff: HelperBackoff::default(),
+            own_load: EndpointLoad::default(),
+            peer_loads: IndexMap::new(),
+            total_load: TotalLoad::default(),
+            unsent_parts: Vec::new(),
+            unsent_removals: Vec::new(),
+            sent_load: EndpointLoad::default(),
+            unsent_failure: false,
+            unsent_answer: false,
+            unsent_refusal: false,
+            failing_peers: IndexSet::new(),
+            is_next_probe: false,
+            round_trip_ms: RunningMean::new(AVERAGED_ROUND_TRIPS),
+            shortest_pause_ms: f64::INFINITY,
+            previous_shortest_pause_ms: f64::INFINITY,
+            pause_window_start_ms: millis(now),
+            slowdown: 1.0,
         }
     }
 
-    fn tempo<'a>(&self, rules: &'a EngineRules) -> Tempo<'a> {
-        Tempo { rules, pace: self.pace, running: self.running() }
+    fn speed<'a>(&self, rules: &'a EngineRules) -> EngineSpeed<'a> {
+        EngineSpeed { rules, slowdown: self.slowdown, running: self.running() }
     }
 
     /// Follows what it reads, and for how long it has answered nobody. Word of others' first events
     /// takes `told_after`.
-    pub(super) fn follow(&mut self, rules: &EngineRules, told_after: Duration, now: Time) {
+    pub(super) fn refresh(&mut self, rules: &EngineRules, update_delay: Duration, now: Time) {
         self.advance(rules, now);
-        let told_after_ms = told_after.as_secs_f64() * 1000.0;
-        self.stalled_ms = self.awaited.stalled_ms(told_after_ms, millis(now));
+        let update_delay_ms = update_delay.as_secs_f64() * 1000.0;
+        self.stalled_ms = self.unanswered.stalled_ms(update_delay_ms, millis(now));
     }
 
     fn advance(&mut self, rules: &EngineRules, now: Time) {
-        let (tempo, awaited) = (self.tempo(rules), &mut self.awaited);
-        self.reading.run(tempo, millis(now), |read| awaited.has_been_read(read.part.key, read.at));
+        let (speed, unanswered) = (self.speed(rules), &mut self.unanswered);
+        self.prefill_queue.simulate(speed, millis(now), |completion| {
+            unanswered.record_prefilled(completion.part.key, completion.done_at)
+        });
     }
 
     /// When each waiting part will have been read, as things stand.
-    pub(super) fn reads(&self, rules: &EngineRules, now: Time) -> Vec<Read> {
-        self.reading.foretell(self.tempo(rules), millis(now), None)
+    pub(super) fn completions(&self, rules: &EngineRules, now: Time) -> Vec<PartCompletion> {
+        self.prefill_queue.predict(self.speed(rules), millis(now), None)
     }
 
     /// What `part` meets there; `base` are the [reads](Self::reads) without it.
-    pub(super) fn outlook(
+    pub(super) fn estimate(
         &self,
         rules: &EngineRules,
         placement: &PlacementRules,
         part: Part,
-        base: &[Read],
+        base: &[PartCompletion],
         now: Time,
-    ) -> Outlook {
-        let part = Part { ms: part.ms * self.pace, ..part };
-        let reads = self.reading.foretell(self.tempo(rules), millis(now), Some(part));
-        let mine = reads.iter().find(|read| read.part.key == part.key);
-        let mine = mine.copied().unwrap_or(Read { part, at: f64::MAX });
-        let Pass { ms, part_ms } = mine.part.longest;
-        let harm = (self.harm(placement, ms) - self.harm(placement, ms - part_ms)).max(0.0);
-        let delayed = reads.iter().filter_map(|read| {
-            let before = base.iter().find(|before| before.part.key == read.part.key)?;
-            let ready = read.part.ready.max(before.at);
-            (before.at < read.at).then_some(Read { part: Part { ready, ..read.part }, ..*read })
+    ) -> PartEstimate {
+        let part = Part { prefill_ms: part.prefill_ms * self.slowdown, ..part };
+        let completions = self.prefill_queue.predict(self.speed(rules), millis(now), Some(part));
+        let mine = completions.iter().find(|completion| completion.part.key == part.key);
+        let mine = mine.copied().unwrap_or(PartCompletion { part, done_at: f64::MAX });
+        let Pass { duration_ms, part_ms } = mine.part.longest_pass;
+        let cost_to_others = (self.disturbance_cost(placement, duration_ms)
+            - self.disturbance_cost(placement, duration_ms - part_ms))
+        .max(0.0);
+        let delayed = completions.iter().filter_map(|completion| {
+            let before = base.iter().find(|before| before.part.key == completion.part.key)?;
+            let ready_at = completion.part.ready_at.max(before.done_at);
+            (before.done_at < completion.done_at).then_some(PartCompletion {
+                part: Part { ready_at, ..completion.part },
+                ..*completion
+            })
         });
-        let later = reads.iter().filter(|read| read.at > mine.at).map(|read| &read.part);
-        let together: f64 =
-            later.clone().filter(|part| part.arrives <= mine.at).map(|p| p.ms).sum();
-        let alone = later.filter(|part| part.arrives > mine.at).map(|part| part.ms);
-        let pause_ms = self.writing_ms(rules) + alone.fold(together, f64::max);
-        let read_in_ms = mine.at - millis(now) + self.stalled_ms;
-        Outlook { pause_ms, read_in_ms, harm, delayed: delayed.collect() }
+        let later = completions
+            .iter()
+            .filter(|completion| completion.done_at > mine.done_at)
+            .map(|completion| &completion.part);
+        let together: f64 = later
+            .clone()
+            .filter(|part| part.arrives_at <= mine.done_at)
+            .map(|p| p.prefill_ms)
+            .sum();
+        let alone = later.filter(|part| part.arrives_at > mine.done_at).map(|part| part.prefill_ms);
+        let pause_ms = self.decode_pass_ms(rules) + alone.fold(together, f64::max);
+        let prefilled_in_ms = mine.done_at - millis(now) + self.stalled_ms;
+        PartEstimate { pause_ms, prefilled_in_ms, cost_to_others, delayed: delayed.collect() }
     }
 
     /// Milliseconds of a pass that reads nothing; zero where nobody writes.
-    pub(super) fn writing_ms(&self, rules: &EngineRules) -> f64 {
-        match self.reading.writers(self.running()) {
+    pub(super) fn decode_pass_ms(&self, rules: &EngineRules) -> f64 {
+        match self.prefill_queue.decoding_count(self.running()) {
             0 => 0.0,
-            writers => rules.pass_ms(writers, rules.usual_context) * self.pace,
+            decoding => rules.pass_ms(decoding, rules.usual_context) * self.slowdown,
         }
     }
 
     /// An event arrived: a pass has just ended, and the next one reads what had arrived by then.
-    pub(super) fn pass_began(&mut self, rules: &EngineRules, now: Time) {
+    pub(super) fn record_pass_start(&mut self, rules: &EngineRules, now: Time) {
         self.advance(rules, now);
-        let began = millis(now) - self.way_ms();
-        self.reading.pass_began(began, self.tempo(rules));
+        let pass_start = millis(now) - self.one_way_ms();
+        self.prefill_queue.record_pass_start(pass_start, self.speed(rules));
     }
 
-    pub(super) fn round_trip(&mut self, ms: f64) {
+    pub(super) fn record_round_trip(&mut self, ms: f64) {
         self.round_trip_ms.add(ms);
     }
 
     /// Milliseconds that bytes take to get there.
-    pub(super) fn way_ms(&self) -> f64 {
+    pub(super) fn one_way_ms(&self) -> f64 {
         self.round_trip_ms.get().unwrap_or_default() / 2.0
     }
 
     /// Weight of those who write there and bear such a pause.
-    pub(super) fn writers(&self, counts: impl Fn(u16) -> bool) -> f64 {
-        let each = self.all.writers.by_pause();
-        each.filter(|(bears_ms, _)| counts(*bears_ms)).map(|(_, weight)| weight).sum()
+    pub(super) fn decoding_weight(&self, includes: impl Fn(u16) -> bool) -> f64 {
+        let each = self.total_load.decoding.by_pause_goal();
+        each.filter(|(pause_goal_ms, _)| includes(*pause_goal_ms)).map(|(_, weight)| weight).sum()
     }
 
     /// Parts of split prompts there whose first events aren't known.
-    pub(super) fn split_waits(
+    pub(super) fn unanswered_splits(
         &self,
-        told_after: Duration,
+        update_delay: Duration,
         now: Time,
-    ) -> impl Iterator<Item = SplitWait> {
-        self.awaited.split(told_after.as_secs_f64() * 1000.0, millis(now))
+    ) -> impl Iterator<Item = UnansweredSplit> {
+        self.unanswered.splits(update_delay.as_secs_f64() * 1000.0, millis(now))
     }
 
     /// Whether requests were refused for its sake of late.
-    pub(super) fn is_left_out(&self, now: Time) -> bool {
-        !self.as_helper.may_help(millis(now))
+    pub(super) fn is_backing_off(&self, now: Time) -> bool {
+        !self.helper_backoff.may_help(millis(now))
     }
 
     /// Requests that run or wait there.
     pub(super) fn running(&self) -> u32 {
-        self.all.running
+        self.total_load.running
     }
 
     /// Whether it may read a part that reaches it then, in milliseconds of the instance's clock, where
     /// engines help up to `most` others.
-    pub(super) fn may_help(&self, most: usize, at: f64, now: Time) -> bool {
-        self.as_helper.may_help(at) && self.awaited.helping(at, millis(now)) < most
+    pub(super) fn may_help(&self, max_helping: usize, arrives_at: f64, now: Time) -> bool {
+        self.helper_backoff.may_help(arrives_at)
+            && self.unanswered.count_helping(arrives_at, millis(now)) < max_helping
     }
 
     /// A request was refused for its sake, here or at another instance.
     pub(super) fn refused_to_help(&mut self, now: Time) {
-        self.as_helper.refused(millis(now));
+        self.helper_backoff.record_refusal(millis(now));
     }
 
     /// Tokens of memory in use.
-    pub(super) fn memory(&self) -> u64 {
-        self.all.memory
+    pub(super) fn memory_tokens(&self) -> u64 {
+        self.total_load.memory_tokens
     }
 
     /// What those who write there lose by a pass of `pass_ms`.
-    pub(super) fn harm(&self, placement: &PlacementRules, pass_ms: f64) -> f64 {
-        let each = self.all.writers.by_pause();
-        each.map(|(bears, weight)| weight * placement.disturbance(pass_ms, bears.into())).sum()
+    pub(super) fn disturbance_cost(&self, placement: &PlacementRules, pass_ms: f64) -> f64 {
+        let each = self.total_load.decoding.by_pause_goal();
+        each.map(|(pause_goal_ms, weight)| {
+            weight * placement.disturbance_cost(pass_ms, pause_goal_ms.into())
+        })
+        .sum()
     }
 
     /// Notes a part that an instance placed there; none stands for this one.
-    pub(super) fn read(
+    pub(super) fn add_part(
         &mut self,
         rules: &EngineRules,
         part: Part,
         placed_by: Option<&InstanceId>,
         now: Time,
     ) {
-        self.awaited.note(&part, placed_by, millis(now));
+        self.unanswered.add(&part, placed_by, millis(now));
         self.advance(rules, now);
-        self.reading.add(Part { ms: part.ms * self.pace, ..part });
+        self.prefill_queue.add(Part { prefill_ms: part.prefill_ms * self.slowdown, ..part });
     }
 
     /// A part waits no more, and nor does its request for a first event; true where either was thought.
-    pub(super) fn unread(&mut self, key: PartKey, was_read: bool, now: Time) -> bool {
-        let was_awaited = self.awaited.over(key, was_read);
-        self.reading.take_back(key, millis(now)) || was_awaited
+    pub(super) fn remove_part(&mut self, key: PartKey, was_prefilled: bool, now: Time) -> bool {
+        let was_unanswered = self.unanswered.remove(key, was_prefilled);
+        self.prefill_queue.remove(key, millis(now)) || was_unanswered
     }
 
     /// The same for a part of this instance's own, of which the others have to hear.
-    pub(super) fn unread_own(&mut self, key: PartKey, was_read: bool, now: Time) {
-        if !self.unread(key, was_read, now) {
+    pub(super) fn remove_own_part(&mut self, key: PartKey, was_prefilled: bool, now: Time) {
+        if !self.remove_part(key, was_prefilled, now) {
             return;
         }
-        let untold = self.untold.len();
-        self.untold.retain(|part| part.key != key);
-        if self.untold.len() == untold {
-            self.untold_gone.push(key);
+        let unsent_parts = self.unsent_parts.len();
+        self.unsent_parts.retain(|part| part.key != key);
+        if self.unsent_parts.len() == unsent_parts {
+            self.unsent_removals.push(key);
         }
     }
 
-    pub(super) fn take(
+    pub(super) fn add_job(
         &mut self,
         rules: Option<&EngineRules>,
         job: &Job,
@@ -287,53 +304,53 @@
         now: Time,
     ) {
         if let Some(rules) = rules {
-            let part = job.part(self.way_ms(), is_head);
-            self.read(rules, part, None, now);
-            self.untold.push(PartUpdate::of(&part, now));
+            let part = job.part(self.one_way_ms(), is_head);
+            self.add_part(rules, part, None, now);
+            self.unsent_parts.push(PartUpdate::new(&part, now));
         }
-        let mut own = self.own;
-        if let Some(reserved) = job.reserved_at(&self.member.endpoint) {
-            own.memory += reserved;
+        let mut own_load = self.own_load;
+        if let Some(reserved) = job.reserved_tokens(&self.member.endpoint) {
+            own_load.memory_tokens += reserved;
         }
         if is_head {
-            own.running = own.running.saturating_add(1);
-            own.memory += job.memory;
-            own.writers.add(job.max_pause_ms, job.weight);
+            own_load.running = own_load.running.saturating_add(1);
+            own_load.memory_tokens += job.memory_tokens;
+            own_load.decoding.add(job.max_pause_ms, job.weight);
         }
-        self.set_own(own);
+        self.set_own_load(own_load);
     }
 
-    pub(super) fn release(&mut self, job: &Job, is_head: bool, now: Time) {
-        if job.began.is_none() {
-            self.unread_own(job.key, false, now);
+    pub(super) fn remove_job(&mut self, job: &Job, is_head: bool, now: Time) {
+        if job.first_event_at.is_none() {
+            self.remove_own_part(job.key, false, now);
         }
-        let mut own = self.own;
-        if let Some(reserved) = job.reserved_at(&self.member.endpoint) {
-            own.memory = own.memory.saturating_sub(reserved);
+        let mut own_load = self.own_load;
+        if let Some(reserved) = job.reserved_tokens(&self.member.endpoint) {
+            own_load.memory_tokens = own_load.memory_tokens.saturating_sub(reserved);
         }
         if is_head {
-            own.running = own.running.saturating_sub(1);
-            own.memory = own.memory.saturating_sub(job.memory);
-            own.writers.remove(job.max_pause_ms, job.weight);
-            if own.running == 0 {
-                own.writers = DecodingLoad::default();
+            own_load.running = own_load.running.saturating_sub(1);
+            own_load.memory_tokens = own_load.memory_tokens.saturating_sub(job.memory_tokens);
+            own_load.decoding.remove(job.max_pause_ms, job.weight);
+            if own_load.running == 0 {
+                own_load.decoding = DecodingLoad::default();
             }
         }
-        self.set_own(own);
+        self.set_own_load(own_load);
     }
 
-    fn set_own(&mut self, own: EndpointLoad) {
-        self.all.remove(&self.own);
-        self.all.add(&own);
-        self.own = own;
+    fn set_own_load(&mut self, own_load: EndpointLoad) {
+        self.total_load.remove(&self.own_load);
+        self.total_load.add(&own_load);
+        self.own_load = own_load;
     }
 
     /// Takes over what another instance has there now.
-    pub(super) fn set_peer(&mut self, peer: &InstanceId, level: EndpointLoad) {
-        self.forget_level(peer);
-        if level != EndpointLoad::default() {
-            self.all.add(&level);
-            self.peers.insert(peer.clone(), level);
+    pub(super) fn set_peer_load(&mut self, peer: &InstanceId, load: EndpointLoad) {
+        self.remove_peer_load(peer);
+        if load != EndpointLoad::default() {
+            self.total_load.add(&load);
+            self.peer_loads.insert(peer.clone(), load);
         }
     }
 
@@ -342,63 +359,63 @@
     ///
     /// Guards against one instance whose own connections break: it fails everywhere at once, and if
     /// each of its failures counted here, it would take every endpoint out of service for all.
-    pub(super) fn fails_for(&mut self, peer: &InstanceId) -> bool {
-        self.failing_for.insert(peer.clone())
+    pub(super) fn record_peer_failure(&mut self, peer: &InstanceId) -> bool {
+        self.failing_peers.insert(peer.clone())
     }
 
     /// Somebody had an answer.
-    pub(super) fn answered(&mut self) {
-        self.failing_for.clear();
+    pub(super) fn clear_peer_failures(&mut self) {
+        self.failing_peers.clear();
     }
 
     /// Another instance is gone, and what it had there with it.
-    pub(super) fn forget(&mut self, peer: &InstanceId) {
-        self.awaited.forget(peer);
-        self.forget_level(peer);
+    pub(super) fn remove_peer(&mut self, peer: &InstanceId) {
+        self.unanswered.remove_peer(peer);
+        self.remove_peer_load(peer);
     }
 
-    fn forget_level(&mut self, peer: &InstanceId) {
-        if let Some(level) = self.peers.swap_remove(peer) {
-            self.all.remove(&level);
+    fn remove_peer_load(&mut self, peer: &InstanceId) {
+        if let Some(load) = self.peer_loads.swap_remove(peer) {
+            self.total_load.remove(&load);
         }
     }
 
     /// Learns from a pause between two events how fast the engine is.
-    pub(super) fn saw_pause(&mut self, pause_ms: f64, rules: &EngineRules, now: Time) {
+    pub(super) fn record_pause(&mut self, pause_ms: f64, rules: &EngineRules, now: Time) {
         let now = millis(now);
-        if now - self.pauses_since > PAUSES_OVER_MS {
-            self.shortest_before = self.shortest;
-            self.shortest = f64::INFINITY;
-            self.pauses_since = now;
+        if now - self.pause_window_start_ms > PAUSE_WINDOW_MS {
+            self.previous_shortest_pause_ms = self.shortest_pause_ms;
+            self.shortest_pause_ms = f64::INFINITY;
+            self.pause_window_start_ms = now;
         }
-        self.shortest = self.shortest.min(pause_ms);
-        if !self.shortest_before.is_finite() {
+        self.shortest_pause_ms = self.shortest_pause_ms.min(pause_ms);
+        if !self.previous_shortest_pause_ms.is_finite() {
             return;
         }
-        let shortest = self.shortest.min(self.shortest_before);
-        let pace = shortest / rules.pass_ms(self.running().max(1), 0);
-        self.pace = if pace < ORDINARY_PACE { 1.0 } else { pace.min(MAX_PACE) };
+        let shortest_pause_ms = self.shortest_pause_ms.min(self.previous_shortest_pause_ms);
+        let slowdown = shortest_pause_ms / rules.pass_ms(self.running().max(1), 0);
+        self.slowdown = if slowdown < NORMAL_SLOWDOWN { 1.0 } else { slowdown.min(MAX_SLOWDOWN) };
     }
 }
 
 /// All instances' work on one endpoint.
 #[derive(Debug, Default)]
-struct Total {
+struct TotalLoad {
     running: u32,
-    memory: u64,
-    writers: TotalDecodingLoad,
+    memory_tokens: u64,
+    decoding: TotalDecodingLoad,
 }
 
-impl Total {
-    fn add(&mut self, level: &EndpointLoad) {
-        self.running += u32::from(level.running);
-        self.memory += level.memory;
-        self.writers.add(&level.writers);
+impl TotalLoad {
+    fn add(&mut self, load: &EndpointLoad) {
+        self.running += u32::from(load.running);
+        self.memory_tokens += load.memory_tokens;
+        self.decoding.add(&load.decoding);
     }
 
-    fn remove(&mut self, level: &EndpointLoad) {
-        self.running = self.running.saturating_sub(u32::from(level.running));
-        self.memory = self.memory.saturating_sub(level.memory);
-        self.writers.remove(&level.writers);
+    fn remove(&mut self, load: &EndpointLoad) {
+        self.running = self.running.saturating_sub(u32::from(load.running));
+        self.memory_tokens = self.memory_tokens.saturating_sub(load.memory_tokens);
+        self.decoding.remove(&load.decoding);
     }
 }
--- a/crates/policy/src/placement/slots.rs
+++ b/crates/policy/src/placement/slots.rs
@@ -11,36 +11,36 @@
 
 use crate::Time;
 
-use super::{BURST, decaying::Decaying, mean::Mean};
+use super::{BURST_HALF_LIFE, decaying::DecayingSum, running_mean::RunningMean};
 
 /// Answers over which the time that slots are held is averaged.
-const AVERAGED: f64 = 50.0;
+const AVERAGED_ANSWERS: f64 = 50.0;
 
 /// Share of the latest requests that found no slot free from which on the queue is taken to stand. At
 /// twice what the slots can bear it is a half.
-const STANDING: f64 = 0.3;
+const OVERLOAD_SHARE: f64 = 0.3;
 
 #[derive(Debug)]
-pub(super) struct Slots {
-    held_ms: Mean,
-    asked: Decaying,
+pub(super) struct SlotUsage {
+    held_ms: RunningMean,
+    requests: DecayingSum,
     /// Of these, the ones that found no slot free.
-    queued: Decaying,
+    queued: DecayingSum,
 }
 
-impl Default for Slots {
-    fn default() -> Slots {
-        Slots {
-            held_ms: Mean::over(AVERAGED),
-            asked: Decaying::new(BURST),
-            queued: Decaying::new(BURST),
+impl Default for SlotUsage {
+    fn default() -> SlotUsage {
+        SlotUsage {
+            held_ms: RunningMean::new(AVERAGED_ANSWERS),
+            requests: DecayingSum::new(BURST_HALF_LIFE),
+            queued: DecayingSum::new(BURST_HALF_LIFE),
         }
     }
 }
 
-impl Slots {
+impl SlotUsage {
     /// An answer is whole that held a slot for so long.
-    pub(super) fn freed(&mut self, held_ms: f64) {
+    pub(super) fn record_held(&mut self, held_ms: f64) {
         self.held_ms.add(held_ms);
     }
 
@@ -50,13 +50,13 @@
     }
 
     /// Notes whether the best place for a request has a slot free.
-    pub(super) fn note(&mut self, is_free: bool, now: Time) {
-        self.asked.add(1.0, now);
+    pub(super) fn record_request(&mut self, is_free: bool, now: Time) {
+        self.requests.add(1.0, now);
         self.queued.add(if is_free { 0.0 } else { 1.0 }, now);
     }
 
     /// Whether requests queue for longer than a burst lasts.
     pub(super) fn is_overloaded(&self, now: Time) -> bool {
-        self.queued.read(now) > STANDING * self.asked.read(now).max(1.0)
+        self.queued.sum(now) > OVERLOAD_SHARE * self.requests.sum(now).max(1.0)
     }
 }
--- a/crates/policy/src/placement/split.rs
+++ b/crates/policy/src/placement/split.rs
@@ -14,17 +14,17 @@
 
 use super::{
     GroupScheduler, PlacementRequest,
-    choose::{Chosen, tried_part},
+    choose::{PlacementPlan, candidate_part},
     decoding::whole_ms,
-    reading::Read,
-    server::{Outlook, Server, millis},
+    prefill::PartCompletion,
+    server::{PartEstimate, Server, millis},
 };
 
 /// Tokens by which an engine's memory is planned too small: engines allocate in blocks.
-const MEMORY_SLACK: u64 = 2_000;
+const MEMORY_SLACK_TOKENS: u64 = 2_000;
 
 /// Numbers of parts that are tried. Beyond these the gain of one more is below a pass.
-const PARTS: [usize; 12] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16, 17];
+const PART_COUNTS: [usize; 12] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16, 17];
 
 /// How a prompt's memory is spread over the engines that read it.
 struct MemoryShares {
@@ -35,7 +35,7 @@
 }
 
 /// The engines for one split, in the order in which they are taken.
-struct Parts<'a> {
+struct SplitEngines<'a> {
     candidates: Vec<&'a Candidate>,
     /// Which of them runs it, where that is settled.
     head: Option<usize>,
@@ -44,23 +44,26 @@
 /// An engine that may read a part, in the order in which they are taken.
 struct Candidate {
     index: usize,
-    outlook: Outlook,
+    estimate: PartEstimate,
     /// Milliseconds until its part would let a first event come.
     first_ms: f64,
-    key: f64,
+    cost: f64,
 }
 
 /// An engine, and when it will have read what waits there.
 struct Engine<'a> {
     index: usize,
     server: &'a Server,
-    reads: Vec<Read>,
+    completions: Vec<PartCompletion>,
 }
 
 impl Engine<'_> {
     /// Milliseconds until it has read all that waits there.
-    fn free_in_ms(&self, now: Time) -> f64 {
-        self.reads.iter().map(|read| read.at - millis(now)).fold(0.0, f64::max)
+    fn idle_in_ms(&self, now: Time) -> f64 {
+        self.completions
+            .iter()
+            .map(|completion| completion.done_at - millis(now))
+            .fold(0.0, f64::max)
     }
 }
 
@@ -74,138 +77,165 @@
     pub(super) fn split(
         &self,
         rules: &EngineRules,
-        ask: &PlacementRequest,
-        base: Chosen,
-        read_ms: f64,
+        request: &PlacementRequest,
+        base: PlacementPlan,
+        prefill_ms: f64,
         now: Time,
-    ) -> Option<Chosen> {
+    ) -> Option<PlacementPlan> {
         let engines: Vec<Engine<'_>> = self
-            .candidates(ask, now)
-            .map(|(index, server)| Engine { index, server, reads: server.reads(rules, now) })
+            .candidates(request, now)
+            .map(|(index, server)| Engine {
+                index,
+                server,
+                completions: server.completions(rules, now),
+            })
             .collect();
-        let mut free: Vec<f64> = engines.iter().map(|engine| engine.free_in_ms(now)).collect();
-        free.sort_by(f64::total_cmp);
-        let most = engines.len().min(rules.max_helpers + 1);
-        let mut best: Option<(f64, Chosen)> = None;
-        for parts in PARTS.into_iter().filter(|parts| *parts <= most) {
-            let held = free[parts - 1];
-            let may_hold = self.placement.holds && held > 0.0;
-            let holds = [0.0, held].into_iter().take(if may_hold { 2 } else { 1 });
+        let mut idle_in_ms: Vec<f64> =
+            engines.iter().map(|engine| engine.idle_in_ms(now)).collect();
+        idle_in_ms.sort_by(f64::total_cmp);
+        let max_parts = engines.len().min(rules.max_helpers + 1);
+        let mut best: Option<(f64, PlacementPlan)> = None;
+        for parts in PART_COUNTS.into_iter().filter(|parts| *parts <= max_parts) {
+            let hold_until_idle_ms = idle_in_ms[parts - 1];
+            let may_hold = self.placement.holds && hold_until_idle_ms > 0.0;
+            let holds = [0.0, hold_until_idle_ms].into_iter().take(if may_hold { 2 } else { 1 });
             for hold_ms in holds {
-                let tried = Chosen { part_ms: read_ms / parts as f64, hold_ms, ..base.clone() };
-                let sorted = self.sorted(rules, ask, &engines, parts, &tried, now);
-                if sorted.len() < parts {
+                let trial = PlacementPlan {
+                    part_prefill_ms: prefill_ms / parts as f64,
+                    hold_ms,
+                    ..base.clone()
+                };
+                let ranked = self.ranked(rules, request, &engines, parts, &trial, now);
+                if ranked.len() < parts {
                     continue;
                 }
-                for parts in self.ways(rules, ask, &sorted, parts, &tried) {
-                    let Some((total, chosen)) = self.try_split(rules, ask, parts, &tried) else {
+                for engine_set in self.engine_sets(rules, request, &ranked, parts, &trial) {
+                    let Some((cost, plan)) =
+                        self.evaluate_split(rules, request, engine_set, &trial)
+                    else {
                         continue;
                     };
-                    if best.as_ref().is_none_or(|(least, _)| total < *least) {
-                        best = Some((total, chosen));
+                    if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+                        best = Some((cost, plan));
                     }
                 }
             }
         }
-        best.map(|(_, chosen)| chosen)
+        best.map(|(_, plan)| plan)
     }
 
     /// All engines that may read a part of this size, the cheapest first.
-    fn sorted(
+    fn ranked(
         &self,
         rules: &EngineRules,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         engines: &[Engine<'_>],
         parts: usize,
-        tried: &Chosen,
+        trial: &PlacementPlan,
         now: Time,
     ) -> Vec<Candidate> {
-        let most_helped = rules.slots.saturating_sub(self.placement.slots_left) as usize;
-        let arrives = millis(now) + tried.hold_ms;
-        let may_help = |engine: &&Engine<'_>| engine.server.may_help(most_helped, arrives, now);
-        let may_read = engines.iter().filter(|engine| parts == 1 || may_help(engine));
+        let max_helping = rules.slots.saturating_sub(self.placement.slots_left) as usize;
+        let arrives_at = millis(now) + trial.hold_ms;
+        let may_help = |engine: &&Engine<'_>| engine.server.may_help(max_helping, arrives_at, now);
+        let eligible = engines.iter().filter(|engine| parts == 1 || may_help(engine));
         let candidates =
-            may_read.map(|engine| self.candidate(rules, engine, parts, tried, ask, now));
-        let mut sorted: Vec<Candidate> = candidates.collect();
-        sorted.sort_by(|a, b| a.key.total_cmp(&b.key));
-        sorted
+            eligible.map(|engine| self.candidate(rules, engine, parts, trial, request, now));
+        let mut ranked: Vec<Candidate> = candidates.collect();
+        ranked.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        ranked
     }
 
     /// The engines for a number of parts: for whoever bears only short pauses those with a head where
     /// others write, and in any case those that are cheapest.
-    fn ways<'a>(
+    fn engine_sets<'a>(
         &self,
         rules: &EngineRules,
-        ask: &PlacementRequest,
-        sorted: &'a [Candidate],
+        request: &PlacementRequest,
+        ranked: &'a [Candidate],
         parts: usize,
-        tried: &Chosen,
-    ) -> impl Iterator<Item = Parts<'a>> {
-        let gathers = self.gathers(ask);
-        let gathered = gathers.then(|| self.gathered(rules, sorted, parts, tried)).flatten();
-        let cheapest = Parts { candidates: sorted.iter().take(parts).collect(), head: None };
-        gathered.into_iter().chain(std::iter::once(cheapest))
+        trial: &PlacementPlan,
+    ) -> impl Iterator<Item = SplitEngines<'a>> {
+        let prefers_shared_head = self.prefers_shared_head(request);
+        let with_shared_head = prefers_shared_head
+            .then(|| self.with_shared_head(rules, ranked, parts, trial))
+            .flatten();
+        let cheapest = SplitEngines { candidates: ranked.iter().take(parts).collect(), head: None };
+        with_shared_head.into_iter().chain(std::iter::once(cheapest))
     }
 
     /// Whether it writes where others write: all but those who bear the longest pauses.
-    fn gathers(&self, ask: &PlacementRequest) -> bool {
-        self.placement.gathers && self.pauses.is_below_longest(whole_ms(ask.max_pause_ms))
+    fn prefers_shared_head(&self, request: &PlacementRequest) -> bool {
+        self.placement.gathers && self.pause_goals.is_below_longest(whole_ms(request.max_pause_ms))
     }
 
     /// The cheapest engine to write on, and the cheapest others to read.
-    fn gathered<'a>(
+    fn with_shared_head<'a>(
         &self,
         rules: &EngineRules,
-        sorted: &'a [Candidate],
+        ranked: &'a [Candidate],
         parts: usize,
-        tried: &Chosen,
-    ) -> Option<Parts<'a>> {
+        trial: &PlacementPlan,
+    ) -> Option<SplitEngines<'a>> {
         let server = |c: &Candidate| &self.servers[c.index];
-        let cost = |c: &Candidate| c.key + tried.weight * self.alone(tried.apart, server(c));
-        let with_slot = sorted.iter().filter(|c| server(c).running() < rules.slots);
+        let cost = |c: &Candidate| {
+            c.cost + trial.weight * self.isolation_cost(trial.base_isolation_cost, server(c))
+        };
+        let with_slot = ranked.iter().filter(|c| server(c).running() < rules.slots);
         let head = with_slot.min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
-        let others = sorted.iter().filter(|c| c.index != head.index);
+        let others = ranked.iter().filter(|c| c.index != head.index);
         let candidates = std::iter::once(head).chain(others).take(parts).collect();
-        Some(Parts { candidates, head: Some(0) })
+        Some(SplitEngines { candidates, head: Some(0) })
     }
 
     /// What one split costs; none where the memory of its engines is too small.
-    fn try_split(
+    fn evaluate_split(
         &self,
         rules: &EngineRules,
-        ask: &PlacementRequest,
-        parts: Parts<'_>,
-        tried: &Chosen,
-    ) -> Option<(f64, Chosen)> {
-        let Parts { candidates, head } = parts;
-        let head =
-            head.or_else(|| self.best_head(rules, &candidates, tried.memory, ask.max_pause_ms))?;
+        request: &PlacementRequest,
+        engine_set: SplitEngines<'_>,
+        trial: &PlacementPlan,
+    ) -> Option<(f64, PlacementPlan)> {
+        let SplitEngines { candidates, head } = engine_set;
+        let head = head.or_else(|| {
+            self.choose_head(rules, &candidates, trial.memory_tokens, request.max_pause_ms)
+        })?;
         let MemoryShares { at_head, reserve } =
-            self.memory(rules, &candidates, head, tried.memory)?;
-        let outlooks = || candidates.iter().map(|c| &c.outlook);
+            self.spread_memory(rules, &candidates, head, trial.memory_tokens)?;
+        let estimates = || candidates.iter().map(|c| &c.estimate);
         let predicted_ms = candidates.iter().map(|c| c.first_ms).fold(0.0, f64::max);
-        let read_in_ms = outlooks().map(|outlook| outlook.read_in_ms).fold(0.0, f64::max);
-        let harm =
-            outlooks().map(|outlook| outlook.harm).sum::<f64>() + self.delay_cost(outlooks());
-        let alone = match self.gathers(ask) {
-            true => self.alone(tried.apart, &self.servers[candidates[head].index]),
+        let prefilled_in_ms =
+            estimates().map(|estimate| estimate.prefilled_in_ms).fold(0.0, f64::max);
+        let cost_to_others = estimates().map(|estimate| estimate.cost_to_others).sum::<f64>()
+            + self.delay_cost(estimates());
+        let isolation_cost = match self.prefers_shared_head(request) {
+            true => self
+                .isolation_cost(trial.base_isolation_cost, &self.servers[candidates[head].index]),
             false => 0.0,
         };
-        let own = self.placement.lateness(predicted_ms, ask.goal_ms)
-            + self.placement.miss(candidates[head].outlook.pause_ms, ask.max_pause_ms);
+        let own = self.placement.lateness_cost(predicted_ms, request.goal_ms)
+            + self
+                .placement
+                .miss_probability(candidates[head].estimate.pause_ms, request.max_pause_ms);
         let risk = candidates.iter().map(|c| self.servers[c.index].risk).sum();
-        let broken = self.broken_cost(candidates.len(), risk);
-        let total = tried.weight * (own + alone + broken) + harm;
+        let helper_failure = self.helper_failure_cost(candidates.len(), risk);
+        let cost = trial.weight * (own + isolation_cost + helper_failure) + cost_to_others;
         let mut servers: Vec<usize> = candidates.iter().map(|c| c.index).collect();
         servers.swap(0, head);
-        let tried = tried.clone();
-        let chosen =
-            Chosen { servers, predicted_ms, read_in_ms, harm, memory: at_head, reserve, ..tried };
-        Some((total, chosen))
+        let trial = trial.clone();
+        let plan = PlacementPlan {
+            servers,
+            predicted_ms,
+            prefilled_in_ms,
+            cost_to_others,
+            memory_tokens: at_head,
+            reserve_tokens: reserve,
+            ..trial
+        };
+        Some((cost, plan))
     }
 
     /// What a split costs its request by the chance that an engine doesn't read its part, in weights.
-    fn broken_cost(&self, parts: usize, risk: f64) -> f64 {
+    fn helper_failure_cost(&self, parts: usize, risk: f64) -> f64 {
         if parts > 1 { self.placement.broken_loss * risk.min(1.0) } else { 0.0 }
     }
 
@@ -214,72 +244,75 @@
         rules: &EngineRules,
         engine: &Engine<'_>,
         parts: usize,
-        tried: &Chosen,
-        ask: &PlacementRequest,
+        trial: &PlacementPlan,
+        request: &PlacementRequest,
         now: Time,
     ) -> Candidate {
-        let Engine { index, server, reads } = engine;
-        let part = tried_part(tried, server, parts, ask, now);
-        let outlook = server.outlook(rules, &self.placement, part, reads, now);
-        let first_ms = self.first_ms(rules, tried, server, &outlook);
-        let own = tried.weight * self.placement.lateness(first_ms, ask.goal_ms);
-        let harm = outlook.harm + self.delay_cost(std::iter::once(&outlook));
-        let broken = tried.weight * self.broken_cost(parts, server.risk);
-        let key = self.caution(server, now) * (own + harm + broken);
-        Candidate { index: *index, outlook, first_ms, key }
+        let Engine { index, server, completions } = engine;
+        let part = candidate_part(trial, server, parts, request, now);
+        let estimate = server.estimate(rules, &self.placement, part, completions, now);
+        let first_ms = self.first_ms(rules, trial, server, &estimate);
+        let own = trial.weight * self.placement.lateness_cost(first_ms, request.goal_ms);
+        let cost_to_others = estimate.cost_to_others + self.delay_cost(std::iter::once(&estimate));
+        let helper_failure = trial.weight * self.helper_failure_cost(parts, server.risk);
+        let cost = self.health_penalty(server, now) * (own + cost_to_others + helper_failure);
+        Candidate { index: *index, estimate, first_ms, cost }
     }
 
     /// Which of the engines runs the request: one whose memory takes it and that won't read for long
     /// while it writes, and of those the one with the most memory left.
-    fn best_head(
+    fn choose_head(
         &self,
         rules: &EngineRules,
         candidates: &[&Candidate],
-        needed: u64,
+        needed_tokens: u64,
         pause_ms: f64,
     ) -> Option<usize> {
-        let merit = |c: &Candidate| {
-            let free = self.free_memory(rules, c);
+        let suitability = |c: &Candidate| {
+            let free = self.free_memory_tokens(rules, c);
             let has_slot = self.servers[c.index].running() < rules.slots;
-            let undisturbed = self.placement.miss(c.outlook.pause_ms, pause_ms) <= 0.0;
-            (has_slot, free >= needed, undisturbed, free)
+            let undisturbed = self.placement.miss_probability(c.estimate.pause_ms, pause_ms) <= 0.0;
+            (has_slot, free >= needed_tokens, undisturbed, free)
         };
-        (0..candidates.len()).max_by_key(|i| merit(candidates[*i]))
+        (0..candidates.len()).max_by_key(|i| suitability(candidates[*i]))
     }
 
     /// Tokens that an engine's memory takes.
-    fn free_memory(&self, rules: &EngineRules, c: &Candidate) -> u64 {
-        rules.memory_tokens.saturating_sub(self.servers[c.index].memory() + MEMORY_SLACK)
+    fn free_memory_tokens(&self, rules: &EngineRules, c: &Candidate) -> u64 {
+        rules
+            .memory_tokens
+            .saturating_sub(self.servers[c.index].memory_tokens() + MEMORY_SLACK_TOKENS)
     }
 
     /// How a prompt's memory is spread. What doesn't fit at its head is reserved on the others, those with
     /// the most memory first, so that few have to be asked; none where all together have too little.
-    fn memory(
+    fn spread_memory(
         &self,
         rules: &EngineRules,
         candidates: &[&Candidate],
         head: usize,
-        needed: u64,
+        needed_tokens: u64,
     ) -> Option<MemoryShares> {
-        let mut rest: Vec<u64> = candidates.iter().map(|c| self.free_memory(rules, c)).collect();
-        rest.swap(0, head);
-        let at_head = needed.min(rest[0]);
-        let mut missing = needed - at_head;
-        let mut reserve = vec![None; rest.len() - 1];
-        if needed < rules.memory_tokens && rest.iter().sum::<u64>() < needed {
+        let mut free_tokens: Vec<u64> =
+            candidates.iter().map(|c| self.free_memory_tokens(rules, c)).collect();
+        free_tokens.swap(0, head);
+        let at_head = needed_tokens.min(free_tokens[0]);
+        let mut missing_tokens = needed_tokens - at_head;
+        let mut reserve = vec![None; free_tokens.len() - 1];
+        if needed_tokens < rules.memory_tokens && free_tokens.iter().sum::<u64>() < needed_tokens {
             // It fits an engine, but none has the room now: it waits where it runs.
-            return Some(MemoryShares { at_head: needed, reserve });
+            return Some(MemoryShares { at_head: needed_tokens, reserve });
         }
-        let mut by_room: Vec<usize> = (0..reserve.len()).collect();
-        by_room.sort_by_key(|i| std::cmp::Reverse(rest[i + 1]));
-        for index in by_room {
-            let part = missing.min(rest[index + 1]);
+        let mut by_free_memory: Vec<usize> = (0..reserve.len()).collect();
+        by_free_memory.sort_by_key(|i| std::cmp::Reverse(free_tokens[i + 1]));
+        for index in by_free_memory {
+            let part = missing_tokens.min(free_tokens[index + 1]);
             if part == 0 {
                 break;
             }
             reserve[index] = Some(part);
-            missing -= part;
+            missing_tokens -= part;
         }
-        (missing == 0).then_some(MemoryShares { at_head, reserve })
+        (missing_tokens == 0).then_some(MemoryShares { at_head, reserve })
     }
 }
--- a/crates/policy/src/placement/herd.rs
+++ b/crates/policy/src/placement/unreported.rs
@@ -16,62 +16,66 @@
 
 use crate::Time;
 
-use super::{decaying::Decaying, mean::Mean};
+use super::{decaying::DecayingSum, running_mean::RunningMean};
 
 /// Half-life of the rate: a herd comes within tens of milliseconds.
-const HALF_LIFE: Duration = Duration::from_millis(20);
+const PLACEMENT_RATE_HALF_LIFE: Duration = Duration::from_millis(20);
 
 /// The time that word of a placement takes until anything was measured: a round trip between machines
 /// of one site.
-const USUAL_ROUND_TRIP: Duration = Duration::from_millis(1);
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(1);
 
 /// Round trips over which the mean is taken, as TCP does.
-pub(super) const ROUND_TRIPS: f64 = 8.0;
+pub(super) const AVERAGED_ROUND_TRIPS: f64 = 8.0;
 
 /// How long after its first endpoints an instance may not have found the others, who may have started
 /// with it: the directory has to be written and read by all, and everybody greeted.
-const STARTING: Duration = Duration::from_millis(500);
+const STARTUP_PERIOD: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-pub(super) struct Herd {
+pub(super) struct UnreportedPlacements {
     /// When the first endpoints were known.
-    began: Option<Time>,
-    placed: Decaying,
-    round_trip_ms: Mean,
+    started_at: Option<Time>,
+    placed: DecayingSum,
+    round_trip_ms: RunningMean,
 }
 
-impl Default for Herd {
-    fn default() -> Herd {
-        let mut round_trip_ms = Mean::over(ROUND_TRIPS);
-        round_trip_ms.add(USUAL_ROUND_TRIP.as_secs_f64() * 1000.0);
-        Herd { began: None, placed: Decaying::new(HALF_LIFE), round_trip_ms }
+impl Default for UnreportedPlacements {
+    fn default() -> UnreportedPlacements {
+        let mut round_trip_ms = RunningMean::new(AVERAGED_ROUND_TRIPS);
+        round_trip_ms.add(DEFAULT_ROUND_TRIP.as_secs_f64() * 1000.0);
+        UnreportedPlacements {
+            started_at: None,
+            placed: DecayingSum::new(PLACEMENT_RATE_HALF_LIFE),
+            round_trip_ms,
+        }
     }
 }
 
-impl Herd {
+impl UnreportedPlacements {
     /// Endpoints are known.
-    pub(super) fn begin(&mut self, now: Time) {
-        self.began.get_or_insert(now);
+    pub(super) fn record_start(&mut self, now: Time) {
+        self.started_at.get_or_insert(now);
     }
 
     /// Whether the others may not be known yet.
     pub(super) fn is_starting(&self, now: Time) -> bool {
-        self.began.is_some_and(|began| now.since(began) < STARTING)
+        self.started_at.is_some_and(|started_at| now.since(started_at) < STARTUP_PERIOD)
     }
 
     /// Heard of other instances' placements.
-    pub(super) fn heard(&mut self, placements: usize, now: Time) {
+    pub(super) fn record(&mut self, placements: usize, now: Time) {
         if placements > 0 {
             self.placed.add(placements as f64, now);
         }
     }
 
-    pub(super) fn round_trip(&mut self, ms: f64) {
+    pub(super) fn record_round_trip(&mut self, ms: f64) {
         self.round_trip_ms.add(ms);
     }
 
     /// Placements of others that aren't known here yet.
-    pub(super) fn unheard(&self, now: Time) -> f64 {
+    pub(super) fn estimate(&self, now: Time) -> f64 {
         self.placed.rate(now) * self.round_trip_ms.get().unwrap_or_default() / 1000.0
     }
 }
--- a/crates/policy/src/placement/wire.rs
+++ b/crates/policy/src/placement/wire.rs
@@ -8,24 +8,24 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{decoding, reading::PartKey, updates::PartUpdate};
+use super::{decoding, prefill::PartKey, updates::PartUpdate};
 
 /// Steps of a millisecond of reading: predictions err by far more.
-const READING_STEPS: f32 = 10.0;
+const PREFILL_STEPS_PER_MS: f32 = 10.0;
 
 const WEIGHT_STEPS: f32 = decoding::WEIGHT_STEPS as f32;
 
 #[derive(Serialize, Deserialize)]
 pub(super) struct WirePart {
     key: PartKey,
-    reading: u32,
+    prefill_steps: u32,
     tokens: u32,
-    arrives: i32,
+    arrives_steps: i32,
     due_ms: i32,
     goal_ms: u32,
     ready_ms: i32,
-    weight: u32,
-    overtakes: bool,
+    weight_steps: u32,
+    is_split: bool,
     is_head: bool,
 }
 
@@ -33,14 +33,14 @@
     fn from(part: PartUpdate) -> WirePart {
         WirePart {
             key: part.key,
-            reading: (part.ms * READING_STEPS).round() as u32,
+            prefill_steps: (part.prefill_ms * PREFILL_STEPS_PER_MS).round() as u32,
             tokens: part.tokens.round() as u32,
-            arrives: (part.arrives_ms * READING_STEPS).round() as i32,
+            arrives_steps: (part.arrives_ms * PREFILL_STEPS_PER_MS).round() as i32,
             due_ms: part.due_ms.round() as i32,
             goal_ms: part.goal_ms.round() as u32,
             ready_ms: part.ready_ms.round() as i32,
-            weight: (part.weight * WEIGHT_STEPS).round() as u32,
-            overtakes: part.overtakes,
+            weight_steps: (part.weight * WEIGHT_STEPS).round() as u32,
+            is_split: part.is_split,
             is_head: part.is_head,
         }
     }
@@ -50,14 +50,14 @@
     fn from(wire: WirePart) -> PartUpdate {
         PartUpdate {
             key: wire.key,
-            ms: wire.reading as f32 / READING_STEPS,
+            prefill_ms: wire.prefill_steps as f32 / PREFILL_STEPS_PER_MS,
             tokens: wire.tokens as f32,
-            arrives_ms: wire.arrives as f32 / READING_STEPS,
+            arrives_ms: wire.arrives_steps as f32 / PREFILL_STEPS_PER_MS,
             due_ms: wire.due_ms as f32,
             goal_ms: wire.goal_ms as f32,
             ready_ms: wire.ready_ms as f32,
-            weight: wire.weight as f32 / WEIGHT_STEPS,
-            overtakes: wire.overtakes,
+            weight: wire.weight_steps as f32 / WEIGHT_STEPS,
+            is_split: wire.is_split,
             is_head: wire.is_head,
         }
     }
--- a/crates/policy/tests/arrange.rs
+++ b/crates/policy/tests/arrange.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use arranging::{ask, id};
+use arranging::{id, request};
 use engines::engine;
 use policy::{
     EndpointId, FailCause, Incarnation, InstanceId, Time,
@@ -38,7 +38,7 @@
 }
 
 fn place(scheduler: &mut GroupScheduler, prompt: u64, now: Time) -> Placement {
-    scheduler.place(&ask(prompt), now).unwrap()
+    scheduler.place(&request(prompt), now).unwrap()
 }
 
 /// A burst of questions alone: writing together costs next to nothing, so they gather on few
@@ -190,14 +190,14 @@
     scheduler.set_members(vec![member(0, true), member(1, false), member(2, false)], at(1));
     let tried = vec![(id(1), Incarnation(1))];
     for _ in 0..5 {
-        let ask = PlacementRequest { tried: tried.clone(), ..ask(QUESTION) };
-        assert_eq!(scheduler.place(&ask, at(2)).unwrap().endpoint, id(2));
+        let request = PlacementRequest { tried: tried.clone(), ..request(QUESTION) };
+        assert_eq!(scheduler.place(&request, at(2)).unwrap().endpoint, id(2));
     }
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         tried: vec![(id(1), Incarnation(1)), (id(2), Incarnation(1))],
-        ..ask(QUESTION)
+        ..request(QUESTION)
     };
-    assert_eq!(scheduler.place(&ask, at(2)), Err(PlacementRefusal::NoEndpoint));
+    assert_eq!(scheduler.place(&request, at(2)), Err(PlacementRefusal::NoEndpoint));
 }
 
 /// Whatever is placed is given back: after all has ended nothing is left to tell, and an idle site
@@ -209,7 +209,7 @@
     let mut jobs: Vec<JobId> = vec![fresh.job];
     for i in 0..100 {
         let prompt = [QUESTION, 45_000, DOSSIER][i % 3];
-        let patient = PlacementRequest { goal_ms: 60_000.0, ..ask(prompt) };
+        let patient = PlacementRequest { goal_ms: 60_000.0, ..request(prompt) };
         // Some are refused, because those who write would lose more by them.
         jobs.extend(scheduler.place(&patient, at(i as u64)).map(|placement| placement.job));
     }
@@ -221,7 +221,10 @@
         scheduler.finish(job, failed, at(200));
     }
     let told = scheduler.take_updates(true);
-    assert!(told.iter().all(|word| word.level.running == 0 && word.level.memory == 0), "{told:?}");
+    assert!(
+        told.iter().all(|update| update.load.running == 0 && update.load.memory_tokens == 0),
+        "{told:?}"
+    );
     let again = place(&mut scheduler, DOSSIER, at(60_000));
     assert!((again.predicted_ms - fresh.predicted_ms).abs() < 1.0, "{again:?} {fresh:?}");
 }
@@ -235,10 +238,12 @@
     let reserved: u64 = placement.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum();
     assert!(reserved >= 900_000 + 1_500 - 450_000, "{placement:?}");
     assert!(placement.helpers.iter().filter(|helper| helper.reserve_tokens.is_some()).count() <= 2);
-    let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
+    let level: u64 =
+        scheduler.take_updates(true).iter().map(|update| update.load.memory_tokens).sum();
     assert_eq!(level, 901_500);
     scheduler.finish(placement.job, None, at(9_000));
-    let level: u64 = scheduler.take_updates(true).iter().map(|word| word.level.memory).sum();
+    let level: u64 =
+        scheduler.take_updates(true).iter().map(|update| update.load.memory_tokens).sum();
     assert_eq!(level, 0);
 }
 
@@ -247,9 +252,9 @@
 #[test]
 fn what_cannot_fit_is_refused_at_once() {
     let mut two = scheduler(2);
-    assert_eq!(two.place(&ask(1_000_000), Time::ZERO), Err(PlacementRefusal::NoEndpoint));
-    let late =
-        scheduler(2).place(&PlacementRequest { remaining_ms: 2_000.0, ..ask(600_000) }, Time::ZERO);
+    assert_eq!(two.place(&request(1_000_000), Time::ZERO), Err(PlacementRefusal::NoEndpoint));
+    let late = scheduler(2)
+        .place(&PlacementRequest { remaining_ms: 2_000.0, ..request(600_000) }, Time::ZERO);
     assert!(matches!(late, Err(PlacementRefusal::TooLate(_))), "{late:?}");
 }
 
@@ -270,7 +275,8 @@
                 scheduler.finish(job, None, answered);
             }
         }
-        match scheduler.place(&PlacementRequest { remaining_ms: 15_000.0, ..ask(DOSSIER) }, now) {
+        match scheduler.place(&PlacementRequest { remaining_ms: 15_000.0, ..request(DOSSIER) }, now)
+        {
             Ok(placement) => {
                 assert!(placement.predicted_ms <= 3_000.0, "{placement:?}");
                 let answered = now + Duration::from_secs_f64(placement.predicted_ms / 1000.0);
@@ -306,7 +312,7 @@
 fn fail_at(scheduler: &mut GroupScheduler, engines: usize, endpoint: &EndpointId, now: Time) {
     let others = (0..engines).map(id).filter(|other| other != endpoint);
     let tried = others.map(|other| (other, Incarnation(1))).collect();
-    let placement = scheduler.place(&PlacementRequest { tried, ..ask(QUESTION) }, now).unwrap();
+    let placement = scheduler.place(&PlacementRequest { tried, ..request(QUESTION) }, now).unwrap();
     scheduler.finish(placement.job, Some(FailCause::Broken), now);
 }
 
@@ -342,7 +348,7 @@
     for wanted in 0..4 {
         let others = (0..4).filter(|other| *other != wanted);
         let tried = others.map(|other| (id(other), Incarnation(1))).collect();
-        let placed = here.place(&PlacementRequest { tried, ..ask(QUESTION) }, at(1_000));
+        let placed = here.place(&PlacementRequest { tried, ..request(QUESTION) }, at(1_000));
         assert!(placed.is_ok(), "{wanted}: {placed:?}");
     }
 }
@@ -359,7 +365,7 @@
         scheduler.record_first_event(placement.job, at(i * 12 + 10));
         writing.push(placement.job);
     }
-    let dossier = PlacementRequest { goal_ms: 6_000.0, ..ask(DOSSIER) };
+    let dossier = PlacementRequest { goal_ms: 6_000.0, ..request(DOSSIER) };
     let refused = scheduler.place(&dossier, at(1_500));
     assert!(matches!(refused, Err(PlacementRefusal::Crowded(_))), "{refused:?}");
     for job in writing {
@@ -402,9 +408,10 @@
 #[test]
 fn what_was_begun_goes_on_under_load() {
     let mut scheduler = scheduler(8);
-    while scheduler.place(&ask(DOSSIER), at(0)).is_ok() {}
+    while scheduler.place(&request(DOSSIER), at(0)).is_ok() {}
     let tried = vec![(id(0), Incarnation(1))];
-    let going_on = PlacementRequest { tried, goal_ms: 0.0, remaining_ms: 9_000.0, ..ask(DOSSIER) };
+    let going_on =
+        PlacementRequest { tried, goal_ms: 0.0, remaining_ms: 9_000.0, ..request(DOSSIER) };
     let placed = scheduler.place(&going_on, at(1));
     assert!(placed.is_ok(), "{placed:?}");
 }
@@ -415,7 +422,7 @@
 fn words_are_short_and_tell_all() {
     let (mut one, mut two) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("one").unwrap();
-    one.place(&ask(QUESTION), at(0)).unwrap();
+    one.place(&request(QUESTION), at(0)).unwrap();
     let words = one.take_updates(false);
     let bytes = bincode::serde::encode_to_vec(&words, bincode::config::standard()).unwrap();
     assert!(bytes.len() <= 45, "{} bytes for a question", bytes.len());
@@ -423,10 +430,10 @@
         bincode::serde::decode_from_slice(&bytes, bincode::config::standard()).unwrap();
     let (told, heard_of) = (&words[0], &heard[0]);
     assert_eq!(told.endpoint, heard_of.endpoint);
-    assert_eq!(told.level.running, heard_of.level.running);
+    assert_eq!(told.load.running, heard_of.load.running);
     assert_eq!(told.placed[0].key, heard_of.placed[0].key);
-    assert!((told.placed[0].ms - heard_of.placed[0].ms).abs() < 0.1);
-    assert!((told.level.writers.weight() - heard_of.level.writers.weight()).abs() < 0.01);
+    assert!((told.placed[0].prefill_ms - heard_of.placed[0].prefill_ms).abs() < 0.1);
+    assert!((told.load.decoding.weight() - heard_of.load.decoding.weight()).abs() < 0.01);
     two.apply_updates(&peer, &heard, at(2));
     assert!(two.take_updates(true).is_empty());
 }
@@ -439,7 +446,7 @@
     scheduler.finish(dossier.job, None, at(0));
     for (engine, pause_ms) in [(0, 90.0), (1, 250.0)] {
         let other = vec![(id(1 - engine), Incarnation(1))];
-        let writer = PlacementRequest { max_pause_ms: pause_ms, tried: other, ..ask(QUESTION) };
+        let writer = PlacementRequest { max_pause_ms: pause_ms, tried: other, ..request(QUESTION) };
         let placed = scheduler.place(&writer, at(0)).unwrap();
         assert_eq!(placed.endpoint, id(engine));
         scheduler.record_first_event(placed.job, at(40));
@@ -456,8 +463,8 @@
     let read_ms = engine().read_ms(prompt);
     for (pause_ms, is_split) in [(read_ms * 3.0, false), (read_ms, true)] {
         let mut scheduler = scheduler(8);
-        let ask = PlacementRequest { max_pause_ms: pause_ms, ..ask(prompt) };
-        let placed = scheduler.place(&ask, at(0)).unwrap();
+        let request = PlacementRequest { max_pause_ms: pause_ms, ..request(prompt) };
+        let placed = scheduler.place(&request, at(0)).unwrap();
         assert_eq!(!placed.helpers.is_empty(), is_split, "{pause_ms} ms: {placed:?}");
     }
 }
@@ -484,7 +491,7 @@
             }
             *ends > now
         });
-        match scheduler.place(&ask(QUESTION), at(now)) {
+        match scheduler.place(&request(QUESTION), at(now)) {
             Ok(placed) => {
                 let slot = free_at.iter_mut().min().unwrap();
                 let begins = (*slot).max(now) + 25;
--- a/crates/policy/tests/arranging/mod.rs
+++ b/crates/policy/tests/arranging/mod.rs
@@ -36,7 +36,7 @@
 }
 
 /// A question, a summary or a dossier, by its length.
-pub fn ask(prompt: u64) -> PlacementRequest {
+pub fn request(prompt: u64) -> PlacementRequest {
     let (goal_ms, pause_ms) = match prompt {
         0..=30_000 => (300.0, 200.0),
         30_001..=120_000 => (1_500.0, 500.0),
--- a/crates/policy/tests/helpers.rs
+++ b/crates/policy/tests/helpers.rs
@@ -28,7 +28,7 @@
         goal_ms,
         remaining_ms: 10_000.0,
         fingerprint,
-        ..arranging::ask(60_000)
+        ..arranging::request(60_000)
     }
 }
 
@@ -111,9 +111,9 @@
         jobs.push(placement.job);
     }
     let mut words = one.take_updates(false);
-    for word in &mut words {
+    for update in &mut words {
         // Who runs and writes there makes an engine unattractive as well.
-        word.level = EndpointLoad::default();
+        update.load = EndpointLoad::default();
     }
     two.apply_updates(&name, &words, Time(200));
     let mut full = helping.into_iter().filter(|(_, count)| *count >= few_slots.slots - 1);
--- a/crates/policy/tests/herd.rs
+++ b/crates/policy/tests/herd.rs
@@ -36,13 +36,13 @@
     scheduler
 }
 
-fn ask(index: u64) -> PlacementRequest {
+fn request(index: u64) -> PlacementRequest {
     let fingerprint = Fingerprint(u128::from(index));
     PlacementRequest {
         goal_ms: GOAL_MS,
         remaining_ms: 10_000.0,
         fingerprint,
-        ..arranging::ask(QUESTION)
+        ..arranging::request(QUESTION)
     }
 }
 
@@ -67,7 +67,7 @@
             }
         }
         let from = index * 7 % INSTANCES;
-        let Ok(placed) = instances[from].place(&ask(index as u64), now) else { continue };
+        let Ok(placed) = instances[from].place(&request(index as u64), now) else { continue };
         words.push_back((now_us + WORD_US, from, instances[from].take_updates(false)));
         let engine = arranging::index(&placed.endpoint);
         let now_ms = now_us as f64 / 1_000.0;
@@ -88,7 +88,7 @@
     let mut on_engine = [0_u32; ENGINES];
     for index in 0..300 {
         let now = Time(index * EVERY_US);
-        let placed = instances[index as usize % INSTANCES].place(&ask(index), now).unwrap();
+        let placed = instances[index as usize % INSTANCES].place(&request(index), now).unwrap();
         let engine = arranging::index(&placed.endpoint);
         on_engine[engine] += 1;
     }
--- a/crates/policy/tests/stalls.rs
+++ b/crates/policy/tests/stalls.rs
@@ -90,22 +90,22 @@
         }
     }
 
-    fn place(&mut self, from: usize, ask: &PlacementRequest, now: u64) -> Option<Placement> {
+    fn place(&mut self, from: usize, request: &PlacementRequest, now: u64) -> Option<Placement> {
         let now = Time::from_millis(now);
-        let placement = self.instances[from].place(ask, now).ok()?;
+        let placement = self.instances[from].place(request, now).ok()?;
         self.tell(from, false, now);
         Some(placement)
     }
 }
 
-fn ask(prompt: u64, index: u64) -> PlacementRequest {
-    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::ask(prompt) }
+fn request(prompt: u64, index: u64) -> PlacementRequest {
+    PlacementRequest { fingerprint: Fingerprint(u128::from(index)), ..arranging::request(prompt) }
 }
 
 /// A question that only one of two engines may run.
 fn question_for(engine: usize, index: u64) -> PlacementRequest {
     let tried = vec![(arranging::id(1 - engine), Incarnation(1))];
-    PlacementRequest { tried, is_hedge: true, ..ask(5_000, index) }
+    PlacementRequest { tried, is_hedge: true, ..request(5_000, index) }
 }
 
 /// Guards against an engine that died without a word: it looks idle, as what was sent there counts as
@@ -126,7 +126,7 @@
         to(&mut two, 1, index, now);
     }
     let place = |two: &mut GroupScheduler, index| {
-        two.place(&ask(5_000, index), Time::from_millis(now)).unwrap()
+        two.place(&request(5_000, index), Time::from_millis(now)).unwrap()
     };
     assert_eq!(place(&mut two, 10).endpoint, arranging::id(1));
     // Its first event comes after all.
@@ -161,7 +161,7 @@
                 twice += 1;
                 continue;
             }
-            let Some(placed) = site.place(from, &ask(60_000, index), now) else { continue };
+            let Some(placed) = site.place(from, &request(60_000, index), now) else { continue };
             tries.push((from, placed.job, index, nth));
             let engine = arranging::index(&placed.endpoint);
             runs[engine] += 1;
@@ -188,7 +188,7 @@
     let mut scheduler = arranging::scheduler(3, engine(), rules, 1);
     let other = arranging::id(1);
     let helps = |scheduler: &mut GroupScheduler, now: Time| {
-        let placed = scheduler.place(&ask(210_000, 1), now).unwrap();
+        let placed = scheduler.place(&request(210_000, 1), now).unwrap();
         scheduler.finish(placed.job, None, now);
         let mut all = placed.helpers.iter().map(|helper| &helper.endpoint);
         placed.endpoint == other || all.any(|helper| *helper == other)
@@ -230,7 +230,7 @@
     fn new() -> Pair {
         let rules = PlacementRules::default();
         let [mut one, two] = [1, 2].map(|seed| arranging::scheduler(20, engine(), rules, seed));
-        let first = one.place(&ask(210_000, 1), Time::from_millis(1)).unwrap();
+        let first = one.place(&request(210_000, 1), Time::from_millis(1)).unwrap();
         let mut pair = Pair { one, two, first };
         pair.tell(Time::from_millis(1));
         pair
@@ -249,7 +249,7 @@
     /// How many of its engines the other instance takes for the next one.
     fn shared(mut self, now: Time) -> usize {
         self.tell(now);
-        let second = self.two.place(&ask(210_000, 2), now).unwrap();
+        let second = self.two.place(&request(210_000, 2), now).unwrap();
         let first = engines(&self.first);
         engines(&second).iter().filter(|engine| first.contains(engine)).count()
     }
@@ -287,7 +287,7 @@
     /// Guards against engines that are avoided although they have read a later dossier.
     dossiers_share_engines_that_read_a_later_one: 1_000, |pair, now| {
         let soon = Time::from_millis(10);
-        let later = pair.one.place(&ask(210_000, 3), soon).unwrap();
+        let later = pair.one.place(&request(210_000, 3), soon).unwrap();
         pair.tell(soon);
         pair.one.record_first_event(later.job, now);
     }, (8..);
