--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -7,7 +7,7 @@
     routes::RouteTable,
 };
 
-use super::Contact;
+use super::SourceAccess;
 use crate::{
     clock::BootTime,
     freshness::{FreshnessTracker, QueryTarget, ReceivedReply, Source},
@@ -19,12 +19,12 @@
 
 /// Time between two questions to a peer. News are told at once; where such a word is lost, this is how
 /// much later a change is in force.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A peer's knowledge older than this is no reason not to read for oneself: a held reading and its way.
 /// With the time to the next question it stays below the two seconds within which a change has to be in
 /// force, also where the peer's way to the log falls silent.
-const YOUNG: Duration = Duration::from_millis(1_100);
+const MAX_PEER_AGE: Duration = Duration::from_millis(1_100);
 
 /// The configuration, as a peer or the log knows it.
 pub struct Follower<S> {
@@ -32,7 +32,7 @@
     configuration: Arc<Configuration>,
     groups: Arc<Groups>,
     tracker: Arc<FreshnessTracker>,
-    contact: Contact,
+    access: SourceAccess,
 }
 
 impl<S: ConfigSource> Follower<S> {
@@ -44,87 +44,89 @@
         tracker: Arc<FreshnessTracker>,
         snapshots: SnapshotClient,
     ) -> Self {
-        let contact = Contact::new(Source::Configuration, tracker.clone(), snapshots);
-        Follower { source, configuration, groups, tracker, contact }
+        let access = SourceAccess::new(Source::Configuration, tracker.clone(), snapshots);
+        Follower { source, configuration, groups, tracker, access }
     }
 
     /// Reads on until it is dropped.
     pub async fn run(mut self) {
         loop {
-            let pause = self.follow().await;
-            if self.tracker.news(Source::Configuration, pause).await {
-                self.contact.hear_news().await;
+            let pause = self.refresh().await;
+            if self.tracker.wait_for_announcement(Source::Configuration, pause).await {
+                self.access.prepare_update().await;
             }
         }
     }
 
     /// Learns what is new, and tells how long to wait then.
-    async fn follow(&mut self) -> Duration {
-        if self.ask_readers().await && self.has_all_news().await {
-            return ASK_EVERY;
+    async fn refresh(&mut self) -> Duration {
+        if self.query_readers().await && self.has_all_updates().await {
+            return QUERY_INTERVAL;
         }
-        let until_retry = self.contact.until_retry();
-        if until_retry.is_zero() {
+        let time_until_retry = self.access.time_until_retry();
+        if time_until_retry.is_zero() {
             return self.read().await;
         }
-        self.ask_anybody().await;
-        until_retry.min(ASK_EVERY)
+        self.query_any_peer().await;
+        time_until_retry.min(QUERY_INTERVAL)
     }
 
     /// Guards against news that come from another peer than those that are asked first, and are in force
     /// late.
-    async fn has_all_news(&mut self) -> bool {
+    async fn has_all_updates(&mut self) -> bool {
         if self.tracker.is_behind(Source::Configuration) {
-            self.ask_anybody().await;
+            self.query_any_peer().await;
         }
         !self.tracker.is_behind(Source::Configuration)
     }
 
     /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
-    async fn ask_readers(&mut self) -> bool {
-        let Some(word) = self.tracker.ask_readers(self.judge()).await else { return false };
-        let is_taken = self.take(&word).await;
-        if is_taken {
-            self.contact.answered();
+    async fn query_readers(&mut self) -> bool {
+        let Some(reply) = self.tracker.query_readers(self.reply_check()).await else {
+            return false;
+        };
+        let is_applied = self.apply_reply(&reply).await;
+        if is_applied {
+            self.access.record_success();
         }
-        is_taken
+        is_applied
     }
 
     /// Guards against an instance that alone can't reach the log and refuses all that need a key, while
     /// its peers have read a moment ago.
-    async fn ask_anybody(&mut self) -> bool {
-        match self.tracker.ask_any(QueryTarget::Anybody, self.judge()).await {
-            Some(word) => self.take(&word).await,
+    async fn query_any_peer(&mut self) -> bool {
+        match self.tracker.query_peers(QueryTarget::AnyLive, self.reply_check()).await {
+            Some(reply) => self.apply_reply(&reply).await,
             None => false,
         }
     }
 
     /// Judges answers by what this instance has read so far.
-    fn judge(&self) -> impl Fn(ReceivedReply) -> Option<PeerWord> + use<S> {
-        let (configuration, mine) = (self.configuration.clone(), self.source.position());
-        move |heard| judge(&configuration, &heard, mine)
+    fn reply_check(&self) -> impl Fn(ReceivedReply) -> Option<CheckedReply> + use<S> {
+        let (configuration, own_position) = (self.configuration.clone(), self.source.position());
+        move |received| check_reply(&configuration, &received, own_position)
     }
 
     /// Makes use of a peer's answer; false where that came to nothing.
-    async fn take(&mut self, word: &PeerWord) -> bool {
-        match *word {
-            PeerWord::Complete(position, as_of) => {
-                self.tracker.know_configuration(position, as_of, None);
+    async fn apply_reply(&mut self, reply: &CheckedReply) -> bool {
+        match *reply {
+            CheckedReply::Complete(position, as_of) => {
+                self.tracker.update_configuration(position, as_of, None);
                 true
             }
-            PeerWord::Behind(peer) => self.transfer(peer).await,
+            CheckedReply::Behind(peer) => self.adopt_snapshot(peer).await,
         }
     }
 
-    async fn transfer(&mut self, peer: SocketAddr) -> bool {
+    async fn adopt_snapshot(&mut self, peer: SocketAddr) -> bool {
         let after = self.source.position().unwrap_or_default();
-        let transfer = self.contact.transfer(peer, after).await;
+        let transfer = self.access.fetch_snapshot(peer, after).await;
         let Some(Transfer { position, as_of, content }) = transfer else { return false };
         match self.source.adopt(&content, position) {
             Ok(table) => {
-                self.put(table);
+                self.put_in_force(table);
                 self.configuration.confirm(as_of);
-                self.tracker.know_configuration(position, as_of, Some(content));
+                self.tracker.update_configuration(position, as_of, Some(content));
                 true
             }
             Err(e) => {
@@ -137,41 +139,42 @@
     async fn read(&mut self) -> Duration {
         match self.source.read().await {
             Ok(reading) => {
-                self.contact.answered();
-                let bytes = reading.update.as_ref().map(|news| news.bytes.clone());
-                let is_news = reading.update.is_some_and(|news| self.put(news.table));
-                self.contact.log_read(reading.position, is_news);
+                self.access.record_success();
+                let bytes = reading.update.as_ref().map(|published| published.bytes.clone());
+                let is_newer =
+                    reading.update.is_some_and(|published| self.put_in_force(published.table));
+                self.access.log_read(reading.position, is_newer);
                 self.configuration.confirm(reading.as_of);
-                self.tracker.know_configuration(reading.position, reading.as_of, bytes);
-                if is_news {
+                self.tracker.update_configuration(reading.position, reading.as_of, bytes);
+                if is_newer {
                     self.tracker.announce();
                 }
                 Duration::ZERO
             }
             Err(e) => {
-                self.contact.failed(&e);
-                self.ask_anybody().await;
-                self.contact.until_retry().min(ASK_EVERY)
+                self.access.record_failure(&e);
+                self.query_any_peer().await;
+                self.access.time_until_retry().min(QUERY_INTERVAL)
             }
         }
     }
 
-    fn put(&self, table: RouteTable) -> bool {
+    fn put_in_force(&self, table: RouteTable) -> bool {
         let version = table.version;
-        let is_news = self.configuration.replace_if_newer(table);
-        if is_news {
+        let is_newer = self.configuration.replace_if_newer(table);
+        if is_newer {
             log::info!(version = version.0; "config_in_force");
             for (name, rules) in &self.configuration.table().groups {
                 let group = self.groups.get_or_create(name);
                 lock(&group.scheduler).set_rules(rules.engine.clone());
             }
         }
-        is_news
+        is_newer
     }
 }
 
 /// What a peer's answer says of what this instance has.
-enum PeerWord {
+enum CheckedReply {
     /// Nothing was missing of it up to here, at this moment.
     Complete(Position, BootTime),
     /// The peer there has more.
@@ -179,19 +182,19 @@
 }
 
 /// Confirms what was read up to `mine`, and judges what else the answer is good for.
-fn judge(
+fn check_reply(
     configuration: &Configuration,
-    heard: &ReceivedReply,
-    mine: Option<Position>,
-) -> Option<PeerWord> {
-    let freshness = heard.answer.configuration?;
-    let behind = Some(PeerWord::Behind(heard.from));
-    let Some(mine) = mine else { return behind };
-    match freshness.check(mine, heard.asked.age()) {
+    received: &ReceivedReply,
+    own_position: Option<Position>,
+) -> Option<CheckedReply> {
+    let freshness = received.reply.configuration?;
+    let behind = Some(CheckedReply::Behind(received.from));
+    let Some(own_position) = own_position else { return behind };
+    match freshness.check(own_position, received.query_sent.age()) {
         FreshnessCheck::Complete(age) => {
             let as_of = BootTime::now().before(age);
             configuration.confirm(as_of);
-            (age <= YOUNG).then_some(PeerWord::Complete(mine, as_of))
+            (age <= MAX_PEER_AGE).then_some(CheckedReply::Complete(own_position, as_of))
         }
         FreshnessCheck::Behind => behind,
     }
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use policy::{EndpointGroup, EndpointId, freshness::Position, placement::Member, roster::Roster};
 
-use super::Contact;
+use super::SourceAccess;
 use crate::{
     clock::{BootTime, Clock},
     freshness::{EndpointChange, FreshnessTracker, QueryTarget, ReceivedReply, Source},
@@ -21,17 +21,17 @@
 
 /// Time between two readings, as a part of the time within which a leaving endpoint may get nothing
 /// new. What varies about it, a retry and the way there fit into the rest; each reading has a price.
-const PERIOD: f64 = 0.42;
+const READ_INTERVAL_SHARE: f64 = 0.42;
 
 /// Time between two questions to a peer, as such a part.
-const ASK_PERIOD: f64 = 0.25;
+const QUERY_INTERVAL_SHARE: f64 = 0.25;
 
 /// A peer's knowledge older than this part is no reason not to read for oneself: with the time to the next
 /// question and the way there it stays below the whole.
-const YOUNG: f64 = 0.5;
+const MAX_PEER_AGE_SHARE: f64 = 0.5;
 
 /// Time between two readings while what an outage left is kept.
-const SETTLING_PERIOD: Duration = Duration::from_millis(200);
+const SETTLING_READ_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The endpoints, as a peer or the log knows them.
 pub struct Follower<S> {
@@ -39,11 +39,11 @@
     groups: Arc<Groups>,
     clock: Clock,
     /// Within this a leaving endpoint gets nothing new any more.
-    leave: Duration,
+    leave_within: Duration,
     tracker: Arc<FreshnessTracker>,
-    contact: Contact,
+    access: SourceAccess,
     roster: Roster<EndpointId, EndpointEntry>,
-    found: Arc<IndexMap<EndpointId, EndpointEntry>>,
+    registered: Arc<IndexMap<EndpointId, EndpointEntry>>,
 }
 
 impl<S: EndpointSource> Follower<S> {
@@ -52,7 +52,7 @@
         source: S,
         groups: Arc<Groups>,
         clock: Clock,
-        leave: Duration,
+        leave_within: Duration,
         tracker: Arc<FreshnessTracker>,
         snapshots: SnapshotClient,
     ) -> Self {
@@ -60,22 +60,22 @@
             source,
             groups,
             clock,
-            leave,
-            contact: Contact::new(Source::Endpoints, tracker.clone(), snapshots),
+            leave_within,
+            access: SourceAccess::new(Source::Endpoints, tracker.clone(), snapshots),
             tracker,
             roster: Roster::default(),
-            found: Arc::default(),
+            registered: Arc::default(),
         }
     }
 
     /// Reads on until it is dropped.
     pub async fn run(mut self) {
         loop {
-            let pause = self.follow().await;
+            let pause = self.refresh().await;
             // What is kept after an outage is dropped by a reading, so that one has to come soon.
-            let pause = if self.roster.is_settling() { SETTLING_PERIOD } else { pause };
+            let pause = if self.roster.is_settling() { SETTLING_READ_INTERVAL } else { pause };
             let pause = pause.mul_f64(0.85 + 0.3 * fastrand::f64());
-            self.wait(Instant::now() + pause).await;
+            self.wait_until(Instant::now() + pause).await;
         }
     }
 
@@ -83,81 +83,96 @@
     ///
     /// Guards against readings of the log for each change by the reader of every data centre: it takes the
     /// change from whoever told of it, and reads on at its own pace.
-    async fn wait(&mut self, until: Instant) {
+    async fn wait_until(&mut self, until: Instant) {
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            if !self.tracker.news(Source::Endpoints, left).await {
+            if !self.tracker.wait_for_announcement(Source::Endpoints, left).await {
                 return;
             }
-            self.contact.hear_news().await;
-            if !self.contact.is_reader() || !self.ask(QueryTarget::Informant).await {
+            self.access.prepare_update().await;
+            if !self.access.is_active_reader() || !self.query(QueryTarget::LastAnnouncer).await {
                 return;
             }
         }
     }
 
     /// Learns what has changed, and tells how long to wait then.
-    async fn follow(&mut self) -> Duration {
-        let ask_period = self.leave.mul_f64(ASK_PERIOD);
-        if self.ask_readers().await {
-            return ask_period;
+    async fn refresh(&mut self) -> Duration {
+        let query_interval = self.leave_within.mul_f64(QUERY_INTERVAL_SHARE);
+        if self.query_readers().await {
+            return query_interval;
         }
-        let until_retry = self.contact.until_retry();
-        if until_retry.is_zero() {
+        let time_until_retry = self.access.time_until_retry();
+        if time_until_retry.is_zero() {
             return self.read().await;
         }
-        if self.ask(QueryTarget::Anybody).await {
-            return ask_period;
+        if self.query(QueryTarget::AnyLive).await {
+            return query_interval;
         }
         self.roster.failed();
-        until_retry.min(ask_period)
+        time_until_retry.min(query_interval)
     }
 
     /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
-    async fn ask_readers(&mut self) -> bool {
-        let oldest = self.leave.mul_f64(YOUNG);
-        let told = self.tracker.ask_readers(|heard| Told::of(heard, oldest)).await;
-        let Some(told) = told else { return false };
-        let is_taken = self.take(&told).await;
-        if is_taken {
-            self.contact.answered();
+    async fn query_readers(&mut self) -> bool {
+        let max_age = self.leave_within.mul_f64(MAX_PEER_AGE_SHARE);
+        let reply = self
+            .tracker
+            .query_readers(|received| PeerEndpoints::from_reply(received, max_age))
+            .await;
+        let Some(reply) = reply else { return false };
+        let is_applied = self.apply_reply(&reply).await;
+        if is_applied {
+            self.access.record_success();
         }
-        is_taken
+        is_applied
     }
 
     /// Takes over what other peers than the readers know; false where that comes to nothing.
     ///
     /// Guards against an instance that alone can't reach the log, and goes on with what it knew.
-    async fn ask(&mut self, whom: QueryTarget) -> bool {
-        let oldest = self.leave.mul_f64(YOUNG);
-        match self.tracker.ask_any(whom, |heard| Told::of(heard, oldest)).await {
-            Some(told) => self.take(&told).await,
+    async fn query(&mut self, target: QueryTarget) -> bool {
+        let max_age = self.leave_within.mul_f64(MAX_PEER_AGE_SHARE);
+        match self
+            .tracker
+            .query_peers(target, |received| PeerEndpoints::from_reply(received, max_age))
+            .await
+        {
+            Some(reply) => self.apply_reply(&reply).await,
             None => false,
         }
     }
 
     /// Takes over what a peer has read; false where it comes to nothing.
-    async fn take(&mut self, told: &Told) -> bool {
-        let Some(mine) = self.source.position() else { return self.transfer(told.from).await };
-        let Told { position, as_of, .. } = *told;
-        let changes = match &told.changes {
+    async fn apply_reply(&mut self, reply: &PeerEndpoints) -> bool {
+        let Some(own_position) = self.source.position() else {
+            return self.adopt_snapshot(reply.from).await;
+        };
+        let PeerEndpoints { position, as_of, .. } = *reply;
+        let changes = match &reply.changes {
             // This instance has read as far, so what the peer has of changes is old.
-            _ if position <= mine => &[][..],
+            _ if position <= own_position => &[][..],
             Some(changes) => changes,
-            None => return self.transfer(told.from).await,
+            None => return self.adopt_snapshot(reply.from).await,
         };
-        if position > mine {
+        if position > own_position {
             self.apply(changes, position);
         }
-        let position = position.max(mine);
-        self.tracker.know_endpoints(Some(mine), position, as_of, changes, &self.found);
-        self.update();
+        let position = position.max(own_position);
+        self.tracker.update_endpoints(
+            Some(own_position),
+            position,
+            as_of,
+            changes,
+            &self.registered,
+        );
+        self.apply_registrations();
         true
     }
 
-    async fn transfer(&mut self, peer: SocketAddr) -> bool {
+    async fn adopt_snapshot(&mut self, peer: SocketAddr) -> bool {
         let after = self.source.position().unwrap_or_default();
-        let transfer = self.contact.transfer(peer, after).await;
+        let transfer = self.access.fetch_snapshot(peer, after).await;
         let Some(Transfer { position, as_of, content }) = transfer else { return false };
         let entries = match snapshot::decode(&content) {
             Ok(entries) => entries,
@@ -167,19 +182,19 @@
             }
         };
         self.source.adopt(&entries, position);
-        self.found = Arc::new(entries);
-        self.tracker.know_endpoints(None, position, as_of, &[], &self.found);
-        self.update();
+        self.registered = Arc::new(entries);
+        self.tracker.update_endpoints(None, position, as_of, &[], &self.registered);
+        self.apply_registrations();
         true
     }
 
     fn apply(&mut self, changes: &[EndpointChange], position: Position) {
         self.source.advance(changes, position);
-        let found = Arc::make_mut(&mut self.found);
+        let registered = Arc::make_mut(&mut self.registered);
         for EndpointChange { id, entry } in changes {
             match entry {
-                Some(entry) => found.insert(id.clone(), entry.clone()),
-                None => found.shift_remove(id),
+                Some(entry) => registered.insert(id.clone(), entry.clone()),
+                None => registered.shift_remove(id),
             };
         }
     }
@@ -189,54 +204,54 @@
         let before = self.source.position();
         match self.source.read().await {
             Ok(reading) => {
-                self.contact.answered();
+                self.access.record_success();
                 let changes = match reading.update {
-                    Some(entries) => self.replace(entries),
+                    Some(entries) => self.replace_all(entries),
                     None => Vec::new(),
                 };
                 let (position, as_of) = (reading.position, reading.as_of);
-                self.contact.log_read(position, !changes.is_empty());
-                self.tracker.know_endpoints(before, position, as_of, &changes, &self.found);
+                self.access.log_read(position, !changes.is_empty());
+                self.tracker.update_endpoints(before, position, as_of, &changes, &self.registered);
                 if before.is_some() && !changes.is_empty() {
                     self.tracker.announce();
                 }
-                self.update();
-                self.leave.mul_f64(PERIOD)
+                self.apply_registrations();
+                self.leave_within.mul_f64(READ_INTERVAL_SHARE)
             }
             Err(e) => {
-                self.contact.failed(&e);
-                let ask_period = self.leave.mul_f64(ASK_PERIOD);
-                if self.ask(QueryTarget::Anybody).await {
-                    return ask_period;
+                self.access.record_failure(&e);
+                let query_interval = self.leave_within.mul_f64(QUERY_INTERVAL_SHARE);
+                if self.query(QueryTarget::AnyLive).await {
+                    return query_interval;
                 }
                 self.roster.failed();
-                self.contact.until_retry().min(ask_period)
+                self.access.time_until_retry().min(query_interval)
             }
         }
     }
 
     /// Puts all endpoints in place of those found before, and tells what changed.
-    fn replace(&mut self, entries: Vec<EndpointEntry>) -> Vec<EndpointChange> {
-        let found: IndexMap<_, _> = entries.into_iter().map(|e| (e.id.clone(), e)).collect();
-        let gone = self.found.keys().filter(|id| !found.contains_key(*id));
-        let gone = gone.map(|id| EndpointChange { id: id.clone(), entry: None });
-        let new = found.iter().filter(|(id, entry)| self.found.get(*id) != Some(entry));
+    fn replace_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<EndpointChange> {
+        let registered: IndexMap<_, _> = entries.into_iter().map(|e| (e.id.clone(), e)).collect();
+        let removed = self.registered.keys().filter(|id| !registered.contains_key(*id));
+        let removed = removed.map(|id| EndpointChange { id: id.clone(), entry: None });
+        let new = registered.iter().filter(|(id, entry)| self.registered.get(*id) != Some(entry));
         let new = new.map(|(id, e)| EndpointChange { id: id.clone(), entry: Some(e.clone()) });
-        let changes = gone.chain(new).collect();
-        self.found = Arc::new(found);
+        let changes = removed.chain(new).collect();
+        self.registered = Arc::new(registered);
         changes
     }
 
-    fn update(&mut self) {
-        if self.roster.update(&self.found, self.clock.now()) {
-            update(&self.groups, self.roster.entries(), self.clock);
+    fn apply_registrations(&mut self) {
+        if self.roster.update(&self.registered, self.clock.now()) {
+            update_groups(&self.groups, self.roster.entries(), self.clock);
         }
         self.groups.mark_endpoints_read();
     }
 }
 
 /// What a peer told of the endpoints.
-struct Told {
+struct PeerEndpoints {
     from: SocketAddr,
     position: Position,
     as_of: BootTime,
@@ -244,15 +259,15 @@
     changes: Option<Vec<EndpointChange>>,
 }
 
-impl Told {
+impl PeerEndpoints {
     /// None where what the peer knows is older than `oldest`.
-    fn of(heard: ReceivedReply, oldest: Duration) -> Option<Told> {
-        let freshness = heard.answer.endpoints?;
-        let age = freshness.age_after(heard.asked.age());
+    fn from_reply(received: ReceivedReply, max_age: Duration) -> Option<PeerEndpoints> {
+        let freshness = received.reply.endpoints?;
+        let age = freshness.age_after(received.query_sent.age());
         let as_of = BootTime::now().before(age);
-        let changes = heard.answer.changes;
-        (age <= oldest).then_some(Told {
-            from: heard.from,
+        let changes = received.reply.changes;
+        (age <= max_age).then_some(PeerEndpoints {
+            from: received.from,
             position: freshness.position,
             as_of,
             changes,
@@ -260,7 +275,7 @@
     }
 }
 
-fn update(groups: &Groups, entries: &IndexMap<EndpointId, EndpointEntry>, clock: Clock) {
+fn update_groups(groups: &Groups, entries: &IndexMap<EndpointId, EndpointEntry>, clock: Clock) {
     let mut by_group: IndexMap<EndpointGroup, Vec<&EndpointEntry>> = IndexMap::new();
     for entry in entries.values() {
         by_group.entry(entry.group.clone()).or_default().push(entry);
@@ -298,11 +313,11 @@
     let ids = |entries: Vec<&EndpointEntry>| names(entries.iter().map(|e| e.id.as_str()));
     let new: Vec<_> = entries.iter().copied().filter(|e| !known.contains_key(&e.id)).collect();
     let leaving: Vec<_> = entries.iter().copied().filter(|e| e.leaving).collect();
-    let gone: Vec<_> = known.keys().filter(|id| !entries.iter().any(|e| e.id == **id)).collect();
-    if new.is_empty() && leaving.is_empty() && gone.is_empty() {
+    let removed: Vec<_> = known.keys().filter(|id| !entries.iter().any(|e| e.id == **id)).collect();
+    if new.is_empty() && leaving.is_empty() && removed.is_empty() {
         return;
     }
     log::info!(group = group.name.as_str(), known = entries.len(), new = ids(new).as_str(),
-        leaving = ids(leaving).as_str(), gone = names(gone.iter().map(|id| id.as_str())).as_str();
+        leaving = ids(leaving).as_str(), gone = names(removed.iter().map(|id| id.as_str())).as_str();
         "endpoints_changed");
 }
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -29,16 +29,16 @@
 
 /// How long an answer is waited for: many times a datagram's way within a region, and little beside a
 /// reading of one's own.
-const PATIENCE: Duration = Duration::from_millis(80);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The latest changes of endpoints that are kept for peers that have read less.
-const CHANGES: usize = 64;
+const MAX_KEPT_CHANGES: usize = 64;
 
 /// The most changes in one answer, so that it fits into one datagram.
-const CHANGES_TOLD: usize = 16;
+const MAX_CHANGES_PER_REPLY: usize = 16;
 
 /// Questions that wait to be sent.
-const QUESTIONS: usize = 16;
+const CHANNEL_CAPACITY: usize = 16;
 
 /// A change of one endpoint's registration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -67,9 +67,9 @@
     /// Who answered.
     pub from: SocketAddr,
     /// When the question was sent.
-    pub asked: BootTime,
+    pub query_sent: BootTime,
     /// The answer.
-    pub answer: FreshnessReply,
+    pub reply: FreshnessReply,
 }
 
 /// Whom a question goes to.
@@ -78,28 +78,28 @@
     /// The one at this place among those that read before this instance does.
     Reader(usize),
     /// The one that last told of news.
-    Informant,
+    LastAnnouncer,
     /// That one, and some of all live ones.
-    Anybody,
+    AnyLive,
 }
 
 /// A question on its way to the links.
 #[derive(Debug)]
 pub struct FreshnessQuery {
     /// Whom it goes to.
-    pub whom: QueryTarget,
+    pub target: QueryTarget,
     /// Up to where this instance knows the endpoints.
-    pub endpoints_at: Position,
+    pub endpoints_position: Position,
     /// Takes answers; dropped where there is nobody to ask.
-    pub answers: Sender<ReceivedReply>,
+    pub replies: Sender<ReceivedReply>,
 }
 
 /// What asking came to.
 enum QueryOutcome<T> {
     /// There is nobody to ask.
-    Nobody,
+    NoPeer,
     /// No answer was good enough in time.
-    Silence,
+    NoUsableReply,
     /// This was made of one that was.
     Accepted(T),
 }
@@ -124,32 +124,32 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct ConfirmedPosition {
     position: Position,
     as_of: BootTime,
 }
 
 /// What this instance has of one source.
 #[derive(Debug, Default)]
-struct Followed {
-    known: Option<Known>,
+struct SourceState {
+    confirmed: Option<ConfirmedPosition>,
     /// It can't read the source itself.
-    is_lost: bool,
-    news: Signal,
+    is_unreachable: bool,
+    update_announced: Signal,
     /// How far peers have read, by their own word.
-    announced: Position,
+    peer_position: Position,
 }
 
-impl Followed {
+impl SourceState {
     /// Knowledge only grows: a late answer takes nothing back.
-    fn grow(&mut self, position: Position, as_of: BootTime) {
-        let before = self.known.unwrap_or(Known { position, as_of });
+    fn advance(&mut self, position: Position, as_of: BootTime) {
+        let before = self.confirmed.unwrap_or(ConfirmedPosition { position, as_of });
         let position = before.position.max(position);
-        self.known = Some(Known { position, as_of: before.as_of.max(as_of) });
+        self.confirmed = Some(ConfirmedPosition { position, as_of: before.as_of.max(as_of) });
     }
 
     fn position(&self) -> Position {
-        self.known.map_or(Position::default(), |known| known.position)
+        self.confirmed.map_or(Position::default(), |confirmed| confirmed.position)
     }
 
     /// What a peer hears of it.
@@ -158,25 +158,25 @@
     /// they say, and they on what it says, nobody reads, and a change is in force too late. Who is cut
     /// off vouches for nothing, so that the next one reads.
     fn freshness(&self) -> Option<Freshness> {
-        let known = self.known.filter(|_| !self.is_lost)?;
-        Some(Freshness { position: known.position, age: known.as_of.age() })
+        let confirmed = self.confirmed.filter(|_| !self.is_unreachable)?;
+        Some(Freshness { position: confirmed.position, age: confirmed.as_of.age() })
     }
 
     /// A peer has read up to there: whoever has read less, or can't read, asks at once.
-    fn hear(&mut self, position: Position) {
-        self.announced = self.announced.max(position);
-        if self.is_lost || position > self.position() {
-            self.news.raise();
+    fn record_announcement(&mut self, position: Position) {
+        self.peer_position = self.peer_position.max(position);
+        if self.is_unreachable || position > self.position() {
+            self.update_announced.raise();
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Readings {
-    configuration: Followed,
+struct TrackerState {
+    configuration: SourceState,
     /// The newest configuration, as it was published.
-    published: Option<Bytes>,
-    endpoints: Followed,
+    published_configuration: Option<Bytes>,
+    endpoints: SourceState,
     /// All endpoints.
     entries: Arc<IndexMap<EndpointId, EndpointEntry>>,
     /// Changes of endpoints with the position up to which each was read.
@@ -185,8 +185,8 @@
     changes_from: Position,
 }
 
-impl Readings {
-    fn of(&mut self, source: Source) -> &mut Followed {
+impl TrackerState {
+    fn source_mut(&mut self, source: Source) -> &mut SourceState {
         match source {
             Source::Configuration => &mut self.configuration,
             Source::Endpoints => &mut self.endpoints,
@@ -197,38 +197,43 @@
 /// Shared by the followers of the log and the links.
 #[derive(Debug)]
 pub struct FreshnessTracker {
-    readings: Mutex<Readings>,
-    questions: Sender<FreshnessQuery>,
+    state: Mutex<TrackerState>,
+    queries: Sender<FreshnessQuery>,
     /// There are news to tell to peers.
-    telling: Signal,
+    announcement_requested: Signal,
     /// Instances that retry a lost source together.
-    sharers: AtomicUsize,
+    retry_group_size: AtomicUsize,
 }
 
 impl FreshnessTracker {
     /// Knows nothing yet. The receiver is for the links: questions to send.
     pub fn new() -> (FreshnessTracker, Receiver<FreshnessQuery>) {
-        let (questions, asked) = bounded(QUESTIONS);
+        let (queries, query_rx) = bounded(CHANNEL_CAPACITY);
         let tracker = FreshnessTracker {
-            readings: Mutex::default(),
-            questions,
-            telling: Signal::default(),
-            sharers: AtomicUsize::new(1),
+            state: Mutex::default(),
+            queries,
+            announcement_requested: Signal::default(),
+            retry_group_size: AtomicUsize::new(1),
         };
-        (tracker, asked)
+        (tracker, query_rx)
     }
 
     /// The configuration is known up to `position`, and was complete at `as_of`.
-    pub fn know_configuration(&self, position: Position, as_of: BootTime, news: Option<Bytes>) {
-        let mut readings = lock(&self.readings);
-        if news.is_some() && position >= readings.configuration.position() {
-            readings.published = news;
+    pub fn update_configuration(
+        &self,
+        position: Position,
+        as_of: BootTime,
+        published: Option<Bytes>,
+    ) {
+        let mut state = lock(&self.state);
+        if published.is_some() && position >= state.configuration.position() {
+            state.published_configuration = published;
         }
-        readings.configuration.grow(position, as_of);
+        state.configuration.advance(position, as_of);
     }
 
     /// The endpoints are known up to `position`: these, after `changes` since `before`.
-    pub fn know_endpoints(
+    pub fn update_endpoints(
         &self,
         before: Option<Position>,
         position: Position,
@@ -236,20 +241,20 @@
         changes: &[EndpointChange],
         entries: &Arc<IndexMap<EndpointId, EndpointEntry>>,
     ) {
-        let mut readings = lock(&self.readings);
-        readings.endpoints.grow(position, as_of);
-        readings.entries = entries.clone();
+        let mut state = lock(&self.state);
+        state.endpoints.advance(position, as_of);
+        state.entries = entries.clone();
         if before.is_none() {
-            readings.changes.clear();
-            readings.changes_from = position;
+            state.changes.clear();
+            state.changes_from = position;
             return;
         }
         for change in changes {
-            readings.changes.push_back((position, change.clone()));
+            state.changes.push_back((position, change.clone()));
         }
-        while readings.changes.len() > CHANGES {
-            if let Some((position, _)) = readings.changes.pop_front() {
-                readings.changes_from = position;
+        while state.changes.len() > MAX_KEPT_CHANGES {
+            if let Some((position, _)) = state.changes.pop_front() {
+                state.changes_from = position;
             }
         }
     }
@@ -257,27 +262,27 @@
     /// Tells all peers up to where this instance has read. Only who has read the source itself does, so
     /// that news cost a datagram for each reader and peer and not for each two peers.
     pub fn announce(&self) {
-        self.telling.raise();
+        self.announcement_requested.raise();
     }
 
     /// Whether a peer has announced more of a source than this instance has.
     pub fn is_behind(&self, source: Source) -> bool {
-        let mut readings = lock(&self.readings);
-        let followed = readings.of(source);
-        followed.announced > followed.position()
+        let mut state = lock(&self.state);
+        let followed = state.source_mut(source);
+        followed.peer_position > followed.position()
     }
 
     /// What this instance has of a source, written for a peer; none where it can't vouch for it, or has no
     /// more than the peer, which has read up to `after`.
     pub fn content(&self, source: Source, after: Position) -> Option<(Freshness, Bytes)> {
-        let mut readings = lock(&self.readings);
+        let mut state = lock(&self.state);
         let freshness =
-            readings.of(source).freshness().filter(|freshness| freshness.position > after)?;
+            state.source_mut(source).freshness().filter(|freshness| freshness.position > after)?;
         let content = match source {
-            Source::Configuration => readings.published.clone()?,
+            Source::Configuration => state.published_configuration.clone()?,
             Source::Endpoints => {
-                let entries = readings.entries.clone();
-                drop(readings);
+                let entries = state.entries.clone();
+                drop(state);
                 snapshot::encode(&*entries)
             }
         };
@@ -285,67 +290,68 @@
     }
 
     /// Whether this instance reaches a source. Peers are told of a return, as they may wait for it.
-    pub fn set_lost(&self, source: Source, is_lost: bool) {
-        lock(&self.readings).of(source).is_lost = is_lost;
-        if !is_lost {
+    pub fn set_unreachable(&self, source: Source, is_unreachable: bool) {
+        lock(&self.state).source_mut(source).is_unreachable = is_unreachable;
+        if !is_unreachable {
             self.announce();
         }
     }
 
     /// Instances that retry a lost source together, this one included.
-    pub fn sharers(&self) -> usize {
-        self.sharers.load(Ordering::Relaxed)
+    pub fn retry_group_size(&self) -> usize {
+        self.retry_group_size.load(Ordering::Relaxed)
     }
 
     /// The links know how many these are.
-    pub fn set_sharers(&self, sharers: usize) {
-        self.sharers.store(sharers, Ordering::Relaxed);
+    pub fn set_retry_group_size(&self, retry_group_size: usize) {
+        self.retry_group_size.store(retry_group_size, Ordering::Relaxed);
     }
 
     /// What a peer hears that knows the endpoints up to `endpoints_at`.
-    pub fn answer(&self, endpoints_at: Position) -> FreshnessReply {
-        let readings = lock(&self.readings);
-        let since = readings.changes.iter().filter(|(position, _)| *position > endpoints_at);
+    pub fn reply(&self, endpoints_position: Position) -> FreshnessReply {
+        let state = lock(&self.state);
+        let since = state.changes.iter().filter(|(position, _)| *position > endpoints_position);
         let changes: Vec<_> = since.map(|(_, change)| change.clone()).collect();
-        let is_complete = endpoints_at >= readings.changes_from && changes.len() <= CHANGES_TOLD;
+        let is_complete =
+            endpoints_position >= state.changes_from && changes.len() <= MAX_CHANGES_PER_REPLY;
         FreshnessReply {
-            configuration: readings.configuration.freshness(),
-            endpoints: readings.endpoints.freshness(),
+            configuration: state.configuration.freshness(),
+            endpoints: state.endpoints.freshness(),
             changes: is_complete.then_some(changes),
         }
     }
 
     /// Up to where configuration and endpoints are known.
     pub fn positions(&self) -> (Position, Position) {
-        let readings = lock(&self.readings);
-        (readings.configuration.position(), readings.endpoints.position())
+        let state = lock(&self.state);
+        (state.configuration.position(), state.endpoints.position())
     }
 
     /// Takes in how far a peer has read.
-    pub fn hear_news(&self, configuration: Position, endpoints: Position) {
-        let mut readings = lock(&self.readings);
-        readings.configuration.hear(configuration);
-        readings.endpoints.hear(endpoints);
+    pub fn record_announcement(&self, configuration: Position, endpoints: Position) {
+        let mut state = lock(&self.state);
+        state.configuration.record_announcement(configuration);
+        state.endpoints.record_announcement(endpoints);
     }
 
     /// Waits for news of a source, for `patience` at most; whether there are any.
-    pub async fn news(&self, source: Source, patience: Duration) -> bool {
-        let news = lock(&self.readings).of(source).news.clone();
-        news.raised_within(patience).await
+    pub async fn wait_for_announcement(&self, source: Source, timeout: Duration) -> bool {
+        let announced = lock(&self.state).source_mut(source).update_announced.clone();
+        announced.raised_within(timeout).await
     }
 
     /// Waits until there are news to tell to peers.
-    pub async fn telling(&self) {
-        self.telling.raised().await;
+    pub async fn wait_for_announcement_request(&self) {
+        self.announcement_requested.raised().await;
     }
 
     /// Asks the peers that read before this instance does, one after the other, and gives what `accept`
     /// makes of the first good answer; none where it is this instance's turn to read.
-    pub async fn ask_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
-        for place in 0..MAX_QUERIED_INSTANCES {
-            match self.ask(QueryTarget::Reader(place), &accept).await {
-                QueryOutcome::Nobody => return None,
-                QueryOutcome::Silence => {}
+    pub async fn query_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
+        for rank in 0..MAX_QUERIED_INSTANCES {
+            match self.query(QueryTarget::Reader(rank), &accept).await {
+                QueryOutcome::NoPeer => return None,
+                QueryOutcome::NoUsableReply => {}
                 QueryOutcome::Accepted(accepted) => return Some(accepted),
             }
         }
@@ -353,46 +359,47 @@
     }
 
     /// The same with other peers, all at once.
-    pub async fn ask_any<T>(
+    pub async fn query_peers<T>(
         &self,
-        whom: QueryTarget,
+        target: QueryTarget,
         accept: impl Fn(ReceivedReply) -> Option<T>,
     ) -> Option<T> {
-        match self.ask(whom, &accept).await {
+        match self.query(target, &accept).await {
             QueryOutcome::Accepted(accepted) => Some(accepted),
-            QueryOutcome::Nobody | QueryOutcome::Silence => None,
+            QueryOutcome::NoPeer | QueryOutcome::NoUsableReply => None,
         }
     }
 
-    async fn ask<T>(
+    async fn query<T>(
         &self,
-        whom: QueryTarget,
+        target: QueryTarget,
         accept: &impl Fn(ReceivedReply) -> Option<T>,
     ) -> QueryOutcome<T> {
-        let (answers, heard) = bounded(QUESTIONS);
-        let (_, endpoints_at) = self.positions();
-        if self.questions.send(FreshnessQuery { whom, endpoints_at, answers }).await.is_err() {
-            return QueryOutcome::Nobody;
+        let (replies, received) = bounded(CHANNEL_CAPACITY);
+        let (_, endpoints_position) = self.positions();
+        if self.queries.send(FreshnessQuery { target, endpoints_position, replies }).await.is_err()
+        {
+            return QueryOutcome::NoPeer;
         }
-        let mut anybody = false;
-        let first_good = async {
-            while let Ok(heard) = heard.recv().await {
-                anybody = true;
-                if let Some(accepted) = accept(heard) {
+        let mut any_reply = false;
+        let first_accepted = async {
+            while let Ok(received) = received.recv().await {
+                any_reply = true;
+                if let Some(accepted) = accept(received) {
                     return Some(QueryOutcome::Accepted(accepted));
                 }
             }
             None
         };
-        let late = async {
-            Timer::after(PATIENCE).await;
-            Some(QueryOutcome::Silence)
+        let timed_out = async {
+            Timer::after(REPLY_TIMEOUT).await;
+            Some(QueryOutcome::NoUsableReply)
         };
-        match first_good.or(late).await {
-            Some(asked) => asked,
+        match first_accepted.or(timed_out).await {
+            Some(outcome) => outcome,
             // The links let go of the question: at once where there is nobody to ask.
-            None if anybody => QueryOutcome::Silence,
-            None => QueryOutcome::Nobody,
+            None if any_reply => QueryOutcome::NoUsableReply,
+            None => QueryOutcome::NoPeer,
         }
     }
 }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -100,7 +100,7 @@
         let configuration = Arc::new(Configuration::default());
         let groups = Arc::new(Groups::new(settings.placement));
         let lifecycle = Arc::new(Lifecycle::default());
-        let instances = Arc::new(AtomicUsize::new(1));
+        let live_instances = Arc::new(AtomicUsize::new(1));
         let bind = |address| move |e| StartError::Bind(address, e);
         let metrics = Metrics::new(&configuration, &groups, &lifecycle);
         let metrics = Arc::new(metrics.map_err(StartError::Metrics)?);
@@ -110,22 +110,23 @@
             net::bind_udp(settings.link_listen).await.map_err(bind(settings.link_listen))?;
         let peers = net::listen(settings.link_listen).map_err(bind(settings.link_listen))?;
 
-        let me = PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
+        let own_entry =
+            PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
         let (listed_tx, listed) = bounded(1);
         let urgent = Signal::default();
-        let (tracker, questions) = FreshnessTracker::new();
+        let (tracker, queries) = FreshnessTracker::new();
         let tracker = Arc::new(tracker);
         let links = Links::new(LinkParts {
-            me: me.clone(),
+            own_entry: own_entry.clone(),
             incarnation,
             socket,
             groups: groups.clone(),
             clock,
-            instances: instances.clone(),
+            live_instances: live_instances.clone(),
             listed,
-            here: settings.data_centre.clone(),
+            data_centre: settings.data_centre.clone(),
             tracker: tracker.clone(),
-            questions,
+            queries,
             urgent: urgent.clone(),
         });
         let bounds = settings.bounds;
@@ -136,7 +137,7 @@
             executor: executor.clone(),
             lifecycle: lifecycle.clone(),
             retry_rules: bounds.retry_rules(),
-            instances,
+            instances: live_instances,
             urgent,
             metrics: metrics.clone(),
             reservation_ids: ReservationIds::new(format!("{}.{incarnation}", settings.instance)),
@@ -173,7 +174,7 @@
         spawn.spawn(links.run()).detach();
         spawn.spawn(snapshot::serve(peers, tracker.clone(), executor.clone())).detach();
         let snapshots = SnapshotClient::new(executor);
-        spawn.spawn(links::follow_directory(sources.peers, me, listed_tx)).detach();
+        spawn.spawn(links::follow_directory(sources.peers, own_entry, listed_tx)).detach();
         let followed = follow::ConfigurationFollower::new(
             sources.configuration,
             configuration,
--- a/crates/router/src/links/message.rs
+++ b/crates/router/src/links/message.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct Datagram {
     /// The sender's life.
-    pub(super) life: LifeTag,
+    pub(super) incarnation: IncarnationTag,
     /// Counts the sender's datagrams; one that arrives after a later one is dropped.
     pub(super) sequence: u64,
     pub(super) body: Body,
@@ -21,11 +21,11 @@
 /// The lower half of an incarnation: enough to tell a life from the one before at the same address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub(super) struct LifeTag(u32);
+pub(super) struct IncarnationTag(u32);
 
-impl From<Incarnation> for LifeTag {
-    fn from(incarnation: Incarnation) -> LifeTag {
-        LifeTag(incarnation.0 as u32)
+impl From<Incarnation> for IncarnationTag {
+    fn from(incarnation: Incarnation) -> IncarnationTag {
+        IncarnationTag(incarnation.0 as u32)
     }
 }
 
@@ -36,7 +36,7 @@
     pub(super) incarnation: Incarnation,
     pub(super) data_centre: DataCentre,
     /// The sender doesn't know the receiver, which is to answer with a hello.
-    pub(super) is_asking: bool,
+    pub(super) wants_reply: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -44,13 +44,13 @@
     /// A sign of life; whoever doesn't know the sender yet answers with one.
     Heartbeat(Hello),
     /// Work on endpoints of one group.
-    Work { group: GroupTag, words: Vec<EndpointUpdate> },
+    EndpointUpdates { group: GroupTag, updates: Vec<EndpointUpdate> },
     /// Requests suspected of crashing endpoints of one group.
     Suspects { group: GroupTag, entries: Vec<quarantine::Entry> },
     /// How fresh is what the receiver knows, and what has changed of the endpoints since a position?
-    Question { nonce: u64, endpoints_at: Position },
+    Query { nonce: u64, endpoints_position: Position },
     /// What the receiver asked.
-    Answer { nonce: u64, answer: FreshnessReply },
+    Reply { nonce: u64, reply: FreshnessReply },
     /// The sender has read up to there. Nothing is believed of it; whoever has read less looks.
-    News { configuration: Position, endpoints: Position },
+    Positions { configuration: Position, endpoints: Position },
 }
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -7,7 +7,7 @@
 //! ([`questions`]) are believed as [`policy::freshness`] says.
 
 mod message;
-mod questions;
+mod queries;
 
 use std::{
     net::SocketAddr,
@@ -39,35 +39,35 @@
     state::{Group, Groups},
 };
 
-use message::{Body, Datagram, Hello, LifeTag};
-use questions::Pending;
+use message::{Body, Datagram, Hello, IncarnationTag};
+use queries::PendingQuery;
 
 /// Pause before the directory is tried again. Instances that start together don't know of one another
 /// yet, so none knows with how many it shares the retries.
-const DIRECTORY_RETRY: Duration = Duration::from_millis(500);
+const DIRECTORY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The most words in one datagram, so that it fits into one packet: a word with a part takes about 40
 /// bytes.
-const WORDS: usize = 24;
+const MAX_UPDATES_PER_DATAGRAM: usize = 24;
 
 /// The longest datagram that is read.
-const MAX_DATAGRAM: usize = 4 << 10;
+const MAX_DATAGRAM_BYTES: usize = 4 << 10;
 
 /// An instance that has nothing to say says so this often.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An instance unheard of for this long is gone, and its work with it: six heartbeats.
-const SILENT: Duration = Duration::from_secs(3);
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long addresses of instances that fell silent are still tried.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const DEAD_PEER_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time between two readings of the directory. Instances that start greet all that are in it, and again
 /// those that don't answer; this only heals what was lost beyond that.
-const DIRECTORY_PERIOD: Duration = Duration::from_secs(45);
+const DIRECTORY_POLL_INTERVAL: Duration = Duration::from_secs(45);
 
 /// How often those that are listed and weren't heard of are greeted. Most of them are gone for good.
-const GREETINGS: u32 = 5;
+const MAX_HELLO_ROUNDS: u32 = 5;
 
 #[derive(Debug)]
 struct Peer {
@@ -75,62 +75,62 @@
     data_centre: DataCentre,
     incarnation: Incarnation,
     sequence: u64,
-    heard: Time,
+    last_seen: Time,
     is_live: bool,
 }
 
 impl Peer {
     /// Whether datagrams of this life come from there.
-    fn is(&self, address: SocketAddr, life: LifeTag) -> bool {
-        self.is_live && self.address == address && life == self.incarnation.into()
+    fn is_sender(&self, address: SocketAddr, incarnation: IncarnationTag) -> bool {
+        self.is_live && self.address == address && incarnation == self.incarnation.into()
     }
 }
 
 /// The links of one instance.
 pub struct Links {
-    me: PeerEntry,
+    own_entry: PeerEntry,
     incarnation: Incarnation,
     socket: UdpSocket,
     groups: Arc<Groups>,
     clock: Clock,
     peers: IndexMap<InstanceId, Peer>,
     /// Live instances, this one included.
-    instances: Arc<AtomicUsize>,
+    live_instances: Arc<AtomicUsize>,
     /// Raised for a word that can't wait.
     urgent: Signal,
     listed: Receiver<Vec<PeerEntry>>,
     sequence: u64,
-    told: Time,
+    last_sent: Time,
     /// Suspects told in the last round, so that only changes are told.
-    suspects: IndexMap<EndpointGroup, usize>,
+    suspect_counts: IndexMap<EndpointGroup, usize>,
     /// Listed instances that weren't heard of yet, and how often they will still be greeted.
-    unmet: Vec<PeerEntry>,
-    greetings_left: u32,
-    greeted: Time,
-    here: DataCentre,
+    unseen_entries: Vec<PeerEntry>,
+    hello_rounds_left: u32,
+    last_hello: Time,
+    data_centre: DataCentre,
     tracker: Arc<FreshnessTracker>,
-    questions: Receiver<FreshnessQuery>,
-    pending: IndexMap<u64, Pending>,
+    queries: Receiver<FreshnessQuery>,
+    pending_queries: IndexMap<u64, PendingQuery>,
     /// The peer that last told of news.
-    informant: Option<InstanceId>,
+    last_announcer: Option<InstanceId>,
     /// Peers found and lost since that was logged.
-    found: Vec<InstanceId>,
+    discovered: Vec<InstanceId>,
     lost: Vec<InstanceId>,
 }
 
-enum Wake {
-    Due,
-    Urgent,
-    Asked(FreshnessQuery),
-    News,
-    Listed(Vec<PeerEntry>),
-    Heard(Datagram, SocketAddr),
+enum Event {
+    UpdatesDue,
+    UrgentUpdates,
+    Query(FreshnessQuery),
+    AnnouncementRequested,
+    DirectoryListed(Vec<PeerEntry>),
+    Received(Datagram, SocketAddr),
 }
 
 /// What links need of their instance.
 pub struct LinkParts {
     /// This instance.
-    pub me: PeerEntry,
+    pub own_entry: PeerEntry,
     /// Its life.
     pub incarnation: Incarnation,
     /// Its socket.
@@ -140,15 +140,15 @@
     /// Its clock.
     pub clock: Clock,
     /// Where the count of live instances is kept.
-    pub instances: Arc<AtomicUsize>,
+    pub live_instances: Arc<AtomicUsize>,
     /// Addresses from the directory.
     pub listed: Receiver<Vec<PeerEntry>>,
     /// Where this instance stands.
-    pub here: DataCentre,
+    pub data_centre: DataCentre,
     /// What it has read.
     pub tracker: Arc<FreshnessTracker>,
     /// Its questions to peers.
-    pub questions: Receiver<FreshnessQuery>,
+    pub queries: Receiver<FreshnessQuery>,
     /// Raised for a word that can't wait.
     pub urgent: Signal,
 }
@@ -157,105 +157,105 @@
     /// Links without peers yet.
     pub fn new(parts: LinkParts) -> Links {
         Links {
-            me: parts.me,
+            own_entry: parts.own_entry,
             incarnation: parts.incarnation,
             socket: parts.socket,
             groups: parts.groups,
             clock: parts.clock,
             peers: IndexMap::new(),
-            instances: parts.instances,
+            live_instances: parts.live_instances,
             urgent: parts.urgent,
             listed: parts.listed,
             sequence: 0,
-            told: Time::ZERO,
-            suspects: IndexMap::new(),
-            unmet: Vec::new(),
-            greetings_left: 0,
-            greeted: Time::ZERO,
-            here: parts.here,
+            last_sent: Time::ZERO,
+            suspect_counts: IndexMap::new(),
+            unseen_entries: Vec::new(),
+            hello_rounds_left: 0,
+            last_hello: Time::ZERO,
+            data_centre: parts.data_centre,
             tracker: parts.tracker,
-            questions: parts.questions,
-            pending: IndexMap::new(),
-            informant: None,
-            found: Vec::new(),
+            queries: parts.queries,
+            pending_queries: IndexMap::new(),
+            last_announcer: None,
+            discovered: Vec::new(),
             lost: Vec::new(),
         }
     }
 
     /// Tells and hears until it is dropped.
     pub async fn run(mut self) {
-        let mut next = self.clock.now();
+        let mut next_update = self.clock.now();
         loop {
-            match self.wake(next).await {
-                Wake::Due => {
-                    next = self.clock.now() + update_interval(self.peers.len());
-                    self.tell(true).await;
-                    self.greet().await;
-                    self.forget_silent();
-                    self.log_changes();
+            match self.next_event(next_update).await {
+                Event::UpdatesDue => {
+                    next_update = self.clock.now() + update_interval(self.peers.len());
+                    self.send_updates(true).await;
+                    self.send_hellos().await;
+                    self.expire_peers();
+                    self.log_peer_changes();
                 }
-                Wake::Urgent => self.tell(false).await,
-                Wake::Asked(question) => self.ask(question).await,
-                Wake::News => self.tell_news().await,
-                Wake::Listed(entries) => {
-                    self.unmet = entries;
-                    self.greetings_left = GREETINGS;
-                    self.greeted = Time::ZERO;
-                    self.greet().await;
+                Event::UrgentUpdates => self.send_updates(false).await,
+                Event::Query(query) => self.send_query(query).await,
+                Event::AnnouncementRequested => self.send_announcement().await,
+                Event::DirectoryListed(entries) => {
+                    self.unseen_entries = entries;
+                    self.hello_rounds_left = MAX_HELLO_ROUNDS;
+                    self.last_hello = Time::ZERO;
+                    self.send_hellos().await;
                 }
-                Wake::Heard(datagram, from) => self.hear(datagram, from).await,
+                Event::Received(datagram, from) => self.receive(datagram, from).await,
             }
         }
     }
 
-    async fn wake(&self, next: Time) -> Wake {
+    async fn next_event(&self, next_update: Time) -> Event {
         let due = async {
-            Timer::after(self.clock.until(next)).await;
-            Wake::Due
+            Timer::after(self.clock.until(next_update)).await;
+            Event::UpdatesDue
         };
         let urgent = async {
             self.urgent.raised().await;
-            Wake::Urgent
+            Event::UrgentUpdates
         };
-        let listed = async { Wake::Listed(next_of(&self.listed).await) };
-        let heard = async {
-            let mut buf = [0; MAX_DATAGRAM];
+        let listed = async { Event::DirectoryListed(recv_or_pending(&self.listed).await) };
+        let received = async {
+            let mut buf = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let Ok((len, from)) = self.socket.recv_from(&mut buf).await else { continue };
-                let config = bincode::config::standard().with_limit::<MAX_DATAGRAM>();
+                let config = bincode::config::standard().with_limit::<MAX_DATAGRAM_BYTES>();
                 if let Ok((datagram, _)) = bincode::serde::decode_from_slice(&buf[..len], config) {
-                    return Wake::Heard(datagram, from);
+                    return Event::Received(datagram, from);
                 }
             }
         };
-        let asked = async { Wake::Asked(next_of(&self.questions).await) };
-        let news = async {
-            self.tracker.telling().await;
-            Wake::News
+        let query = async { Event::Query(recv_or_pending(&self.queries).await) };
+        let announcement = async {
+            self.tracker.wait_for_announcement_request().await;
+            Event::AnnouncementRequested
         };
-        urgent.or(heard).or(asked).or(news).or(listed).or(due).await
+        urgent.or(received).or(query).or(announcement).or(listed).or(due).await
     }
 
-    async fn tell(&mut self, is_due: bool) {
+    async fn send_updates(&mut self, is_due: bool) {
         for group in self.groups.all() {
-            let words = lock(&group.scheduler).take_updates(is_due);
-            for part in words.chunks(WORDS) {
-                let body = Body::Work { group: group.tag, words: part.to_vec() };
+            let updates = lock(&group.scheduler).take_updates(is_due);
+            for chunk in updates.chunks(MAX_UPDATES_PER_DATAGRAM) {
+                let body = Body::EndpointUpdates { group: group.tag, updates: chunk.to_vec() };
                 self.send_all(body).await;
             }
             if is_due {
-                self.tell_suspects(&group).await;
+                self.send_suspects(&group).await;
             }
         }
-        if is_due && self.clock.now().since(self.told) >= HEARTBEAT {
-            self.send_all(self.hello(false)).await;
+        if is_due && self.clock.now().since(self.last_sent) >= HEARTBEAT_INTERVAL {
+            self.send_all(self.hello_body(false)).await;
         }
     }
 
-    async fn tell_suspects(&mut self, group: &Group) {
+    async fn send_suspects(&mut self, group: &Group) {
         let now = self.clock.now();
         let entries = lock(&group.scheduler).quarantine().export(now);
-        let before = self.suspects.insert(group.name.clone(), entries.len()).unwrap_or(0);
+        let before = self.suspect_counts.insert(group.name.clone(), entries.len()).unwrap_or(0);
         if entries.len() > before {
             let body = Body::Suspects { group: group.tag, entries };
             self.send_all(body).await;
@@ -263,19 +263,22 @@
     }
 
     async fn send_all(&mut self, body: Body) {
-        self.told = self.clock.now();
+        self.last_sent = self.clock.now();
         let now = self.clock.now();
-        let known = self.peers.values().filter(|peer| {
-            peer.is_live || now.since(peer.heard) < REMEMBERED && matches!(body, Body::Heartbeat(_))
+        let recipients = self.peers.values().filter(|peer| {
+            peer.is_live
+                || now.since(peer.last_seen) < DEAD_PEER_RETENTION
+                    && matches!(body, Body::Heartbeat(_))
         });
-        let addresses: Vec<_> = known.map(|peer| peer.address).collect();
+        let addresses: Vec<_> = recipients.map(|peer| peer.address).collect();
         self.send(body, &addresses).await;
     }
 
     /// Sends one datagram, written once, to each of these.
     async fn send(&mut self, body: Body, addresses: &[SocketAddr]) {
         self.sequence += 1;
-        let datagram = Datagram { life: self.incarnation.into(), sequence: self.sequence, body };
+        let datagram =
+            Datagram { incarnation: self.incarnation.into(), sequence: self.sequence, body };
         // These types can always be written.
         let bytes = bincode::serde::encode_to_vec(&datagram, bincode::config::standard());
         let Ok(bytes) = bytes else { return };
@@ -287,89 +290,90 @@
     }
 
     /// Greets those that are listed and weren't heard of yet.
-    async fn greet(&mut self) {
+    async fn send_hellos(&mut self) {
         let now = self.clock.now();
-        if self.greetings_left == 0
-            || self.greeted > Time::ZERO && now.since(self.greeted) < HEARTBEAT
+        if self.hello_rounds_left == 0
+            || self.last_hello > Time::ZERO && now.since(self.last_hello) < HEARTBEAT_INTERVAL
         {
             return;
         }
-        self.greetings_left -= 1;
-        self.greeted = now;
-        let (me, peers) = (&self.me, &self.peers);
-        self.unmet.retain(|e| e.instance != me.instance && !peers.contains_key(&e.instance));
-        let addresses: Vec<_> = self.unmet.iter().map(|entry| entry.address).collect();
-        self.send(self.hello(true), &addresses).await;
+        self.hello_rounds_left -= 1;
+        self.last_hello = now;
+        let (own_entry, peers) = (&self.own_entry, &self.peers);
+        self.unseen_entries
+            .retain(|e| e.instance != own_entry.instance && !peers.contains_key(&e.instance));
+        let addresses: Vec<_> = self.unseen_entries.iter().map(|entry| entry.address).collect();
+        self.send(self.hello_body(true), &addresses).await;
     }
 
-    async fn tell_news(&mut self) {
+    async fn send_announcement(&mut self) {
         let (configuration, endpoints) = self.tracker.positions();
-        self.send_all(Body::News { configuration, endpoints }).await;
+        self.send_all(Body::Positions { configuration, endpoints }).await;
     }
 
-    async fn hear(&mut self, datagram: Datagram, from: SocketAddr) {
-        let Datagram { life, sequence, body } = datagram;
+    async fn receive(&mut self, datagram: Datagram, from: SocketAddr) {
+        let Datagram { incarnation, sequence, body } = datagram;
         if let Body::Heartbeat(hello) = body {
-            return self.meet(hello, sequence, from).await;
+            return self.handle_hello(hello, sequence, from).await;
         }
         let now = self.clock.now();
-        let known = self.peers.iter_mut().find(|(_, peer)| peer.is(from, life));
-        let Some((instance, peer)) = known else {
-            return self.send(self.hello(true), &[from]).await;
+        let sender = self.peers.iter_mut().find(|(_, peer)| peer.is_sender(from, incarnation));
+        let Some((instance, peer)) = sender else {
+            return self.send(self.hello_body(true), &[from]).await;
         };
-        peer.heard = now;
+        peer.last_seen = now;
         if sequence <= peer.sequence {
             return;
         }
         peer.sequence = sequence;
         let instance = instance.clone();
-        self.take(instance, body, from).await;
+        self.apply(instance, body, from).await;
     }
 
     /// A peer says who it is.
-    async fn meet(&mut self, hello: Hello, sequence: u64, from: SocketAddr) {
-        let Hello { instance, incarnation, data_centre, is_asking } = hello;
-        if instance == self.me.instance {
+    async fn handle_hello(&mut self, hello: Hello, sequence: u64, from: SocketAddr) {
+        let Hello { instance, incarnation, data_centre, wants_reply } = hello;
+        if instance == self.own_entry.instance {
             return;
         }
         let now = self.clock.now();
         match self.peers.get_mut(&instance) {
             Some(peer) if incarnation < peer.incarnation => return,
-            Some(peer) if peer.is_live && peer.is(from, incarnation.into()) => {
-                peer.heard = now;
+            Some(peer) if peer.is_live && peer.is_sender(from, incarnation.into()) => {
+                peer.last_seen = now;
                 peer.sequence = peer.sequence.max(sequence);
-                if is_asking {
-                    self.send(self.hello(false), &[from]).await;
+                if wants_reply {
+                    self.send(self.hello_body(false), &[from]).await;
                 }
                 return;
             }
             _ => {}
         }
-        let (heard, address) = (now, from);
-        let peer = Peer { address, data_centre, incarnation, sequence, heard, is_live: true };
-        self.forget(&instance);
-        self.found.push(instance.clone());
+        let (last_seen, address) = (now, from);
+        let peer = Peer { address, data_centre, incarnation, sequence, last_seen, is_live: true };
+        self.discard_updates(&instance);
+        self.discovered.push(instance.clone());
         self.peers.insert(instance, peer);
-        self.count();
-        self.send(self.hello(false), &[from]).await;
+        self.update_peer_counts();
+        self.send(self.hello_body(false), &[from]).await;
     }
 
-    fn hello(&self, is_asking: bool) -> Body {
+    fn hello_body(&self, wants_reply: bool) -> Body {
         Body::Heartbeat(Hello {
-            instance: self.me.instance.clone(),
+            instance: self.own_entry.instance.clone(),
             incarnation: self.incarnation,
-            data_centre: self.here.clone(),
-            is_asking,
+            data_centre: self.data_centre.clone(),
+            wants_reply,
         })
     }
 
-    async fn take(&mut self, instance: InstanceId, body: Body, from: SocketAddr) {
+    async fn apply(&mut self, instance: InstanceId, body: Body, from: SocketAddr) {
         let now = self.clock.now();
         match body {
             Body::Heartbeat(_) => {}
-            Body::Work { group, words } => {
+            Body::EndpointUpdates { group, updates } => {
                 if let Some(group) = self.groups.by_tag(group) {
-                    lock(&group.scheduler).apply_updates(&instance, &words, now);
+                    lock(&group.scheduler).apply_updates(&instance, &updates, now);
                 }
             }
             Body::Suspects { group, entries } => {
@@ -377,69 +381,74 @@
                     lock(&group.scheduler).quarantine().import(&entries, now);
                 }
             }
-            Body::Question { nonce, endpoints_at } => {
-                let answer = self.tracker.answer(endpoints_at);
-                self.send(Body::Answer { nonce, answer }, &[from]).await;
+            Body::Query { nonce, endpoints_position } => {
+                let reply = self.tracker.reply(endpoints_position);
+                self.send(Body::Reply { nonce, reply }, &[from]).await;
             }
-            Body::Answer { nonce, answer } => self.answered(nonce, answer, from),
-            Body::News { configuration, endpoints } => {
-                self.informant = Some(instance);
-                self.tracker.hear_news(configuration, endpoints);
+            Body::Reply { nonce, reply } => self.receive_reply(nonce, reply, from),
+            Body::Positions { configuration, endpoints } => {
+                self.last_announcer = Some(instance);
+                self.tracker.record_announcement(configuration, endpoints);
             }
         }
     }
 
-    fn forget_silent(&mut self) {
+    fn expire_peers(&mut self) {
         let now = self.clock.now();
-        self.pending.retain(|_, pending| pending.is_open(now));
-        let silent = self.peers.iter().filter(|(_, p)| p.is_live && now.since(p.heard) > SILENT);
+        self.pending_queries.retain(|_, query| query.is_open(now));
+        let silent =
+            self.peers.iter().filter(|(_, p)| p.is_live && now.since(p.last_seen) > PEER_TIMEOUT);
         let silent: Vec<_> = silent.map(|(instance, _)| instance.clone()).collect();
         for instance in silent {
-            self.lose(&instance);
+            self.mark_dead(&instance);
         }
-        self.peers.retain(|_, peer| now.since(peer.heard) < REMEMBERED);
+        self.peers.retain(|_, peer| now.since(peer.last_seen) < DEAD_PEER_RETENTION);
     }
 
     /// Logs which peers came and went, in one line however many there are.
-    fn log_changes(&mut self) {
-        let (found, lost) = (std::mem::take(&mut self.found), std::mem::take(&mut self.lost));
+    fn log_peer_changes(&mut self) {
+        let (found, lost) = (std::mem::take(&mut self.discovered), std::mem::take(&mut self.lost));
         if found.is_empty() && lost.is_empty() {
             return;
         }
         let ids = |ids: &[InstanceId]| names(ids.iter().map(InstanceId::as_str));
-        log::info!(live = self.live().len(), found = ids(&found).as_str(), lost = ids(&lost).as_str();
+        log::info!(live = self.live_peers().len(), found = ids(&found).as_str(), lost = ids(&lost).as_str();
             "peers_changed");
     }
 
-    fn lose(&mut self, instance: &InstanceId) {
+    fn mark_dead(&mut self, instance: &InstanceId) {
         if let Some(peer) = self.peers.get_mut(instance) {
             peer.is_live = false;
         }
         self.lost.push(instance.clone());
-        self.forget(instance);
-        self.count();
+        self.discard_updates(instance);
+        self.update_peer_counts();
     }
 
-    fn forget(&self, instance: &InstanceId) {
+    fn discard_updates(&self, instance: &InstanceId) {
         for group in self.groups.all() {
             lock(&group.scheduler).remove_peer(instance);
         }
     }
 
-    fn live(&self) -> Vec<(InstanceId, DataCentre)> {
+    fn live_peers(&self) -> Vec<(InstanceId, DataCentre)> {
         let live = self.peers.iter().filter(|(_, peer)| peer.is_live);
         live.map(|(instance, peer)| (instance.clone(), peer.data_centre.clone())).collect()
     }
 
-    fn count(&self) {
-        let live = self.live();
-        self.instances.store(live.len() + 1, Ordering::Relaxed);
-        self.tracker.set_sharers(retry_group_size(&self.me.instance, &self.here, &live));
+    fn update_peer_counts(&self) {
+        let live = self.live_peers();
+        self.live_instances.store(live.len() + 1, Ordering::Relaxed);
+        self.tracker.set_retry_group_size(retry_group_size(
+            &self.own_entry.instance,
+            &self.data_centre,
+            &live,
+        ));
     }
 }
 
 /// What comes next; nothing ever where the sender is gone.
-async fn next_of<T>(rx: &Receiver<T>) -> T {
+async fn recv_or_pending<T>(rx: &Receiver<T>) -> T {
     match rx.recv().await {
         Ok(next) => next,
         Err(_) => std::future::pending().await,
@@ -449,12 +458,12 @@
 /// Registers this instance and reads the directory now and then, until it is dropped.
 pub async fn follow_directory(
     mut directory: impl PeerDirectory,
-    me: PeerEntry,
+    own_entry: PeerEntry,
     listed: Sender<Vec<PeerEntry>>,
 ) {
-    while let Err(e) = directory.register(&me).await {
+    while let Err(e) = directory.register(&own_entry).await {
         log::debug!(cause:% = e; "not_registered");
-        Timer::after(DIRECTORY_RETRY).await;
+        Timer::after(DIRECTORY_RETRY_INTERVAL).await;
     }
     loop {
         let pause = match directory.list().await {
@@ -462,9 +471,9 @@
                 if listed.send(entries).await.is_err() {
                     return;
                 }
-                DIRECTORY_PERIOD
+                DIRECTORY_POLL_INTERVAL
             }
-            Err(_) => DIRECTORY_RETRY,
+            Err(_) => DIRECTORY_RETRY_INTERVAL,
         };
         Timer::after(pause).await;
     }
--- /dev/null
+++ b/crates/router/src/links/queries.rs
@@ -0,0 +1,88 @@
+//! Questions to peers about what they have read, and the answers.
+
+use std::{net::SocketAddr, time::Duration};
+
+use policy::{InstanceId, Time, freshness::query_targets};
+use smol::channel::Sender;
+
+use super::{Body, Links};
+use crate::{
+    clock::BootTime,
+    freshness::{FreshnessQuery, FreshnessReply, QueryTarget, ReceivedReply},
+};
+
+/// How long an answer to a question may come.
+const REPLY_WINDOW: Duration = Duration::from_millis(500);
+
+/// Live instances that are asked where any will do.
+const MAX_ANY_TARGETS: usize = 3;
+
+/// A question under way.
+#[derive(Debug)]
+pub(super) struct PendingQuery {
+    sent: Time,
+    sent_boot_time: BootTime,
+    replies: Sender<ReceivedReply>,
+    /// Answers that may still come.
+    expected_replies: usize,
+}
+
+impl PendingQuery {
+    /// Whether answers may still come.
+    pub(super) fn is_open(&self, now: Time) -> bool {
+        now.since(self.sent) < REPLY_WINDOW
+    }
+}
+
+impl Links {
+    /// Passes a question on; where there is nobody to ask, it is let go of at once.
+    pub(super) async fn send_query(&mut self, query: FreshnessQuery) {
+        let FreshnessQuery { target, endpoints_position, replies } = query;
+        let addresses = self.target_addresses(target);
+        if addresses.is_empty() {
+            return;
+        }
+        let nonce = fastrand::u64(..);
+        let (sent, sent_boot_time) = (self.clock.now(), BootTime::now());
+        let query =
+            PendingQuery { sent, sent_boot_time, replies, expected_replies: addresses.len() };
+        self.pending_queries.insert(nonce, query);
+        self.send(Body::Query { nonce, endpoints_position }, &addresses).await;
+    }
+
+    fn target_addresses(&self, target: QueryTarget) -> Vec<SocketAddr> {
+        let address = |instance: &InstanceId| {
+            let peer = self.peers.get(instance).filter(|peer| peer.is_live);
+            peer.map(|peer| peer.address)
+        };
+        match target {
+            QueryTarget::Reader(rank) => {
+                let readers =
+                    query_targets(&self.own_entry.instance, &self.data_centre, &self.live_peers());
+                readers.get(rank).and_then(address).into_iter().collect()
+            }
+            QueryTarget::LastAnnouncer => {
+                self.last_announcer.as_ref().and_then(address).into_iter().collect()
+            }
+            QueryTarget::AnyLive => {
+                let mut addresses: Vec<_> =
+                    self.peers.values().filter(|p| p.is_live).map(|p| p.address).collect();
+                fastrand::shuffle(&mut addresses);
+                let last_announcer = self.last_announcer.as_ref().and_then(address);
+                addresses.retain(|address| Some(*address) != last_announcer);
+                last_announcer.into_iter().chain(addresses).take(MAX_ANY_TARGETS).collect()
+            }
+        }
+    }
+
+    pub(super) fn receive_reply(&mut self, nonce: u64, reply: FreshnessReply, from: SocketAddr) {
+        let Some(query) = self.pending_queries.get_mut(&nonce) else { return };
+        let received = ReceivedReply { from, query_sent: query.sent_boot_time, reply };
+        query.expected_replies = query.expected_replies.saturating_sub(1);
+        // Whoever has a good answer waits for no other.
+        let is_done = query.replies.try_send(received).is_err() || query.expected_replies == 0;
+        if is_done {
+            self.pending_queries.swap_remove(&nonce);
+        }
+    }
+}
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -33,19 +33,19 @@
 
 /// How long a transfer may take. Within a data centre it takes milliseconds; a peer that takes longer is
 /// suspended or cut off.
-const WITHIN: Duration = Duration::from_millis(400);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The longest request and snapshot that are read.
-const MAX_REQUEST: usize = 64;
-const MAX_SNAPSHOT: usize = 8 << 20;
+const MAX_QUERY_BYTES: usize = 64;
+const MAX_SNAPSHOT_BYTES: usize = 8 << 20;
 
 /// Bytes of a snapshot beyond which it is left to the log, unless the log can't be read: a data centre's
 /// reader would send it to all others over its own link.
-pub const MAX_RELAYED: usize = 64 << 10;
+pub const MAX_RELAYED_BYTES: usize = 64 << 10;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Query {
+struct SnapshotQuery {
     source: Source,
     /// Up to where the asking instance has read.
     after: Position,
@@ -57,7 +57,7 @@
 struct Snapshot {
     freshness: Freshness,
     /// Of the content, by XXH3.
-    digest: u64,
+    checksum: u64,
     content: Bytes,
 }
 
@@ -82,7 +82,7 @@
     /// What came can't be read.
     Malformed(String),
     /// It took too long.
-    Late,
+    TimedOut,
 }
 
 impl fmt::Display for TransferError {
@@ -91,7 +91,7 @@
             TransferError::Unreachable(cause) => write!(f, "no answer: {cause}"),
             TransferError::Refused(status) => write!(f, "answered with status {status}"),
             TransferError::Malformed(what) => write!(f, "unreadable snapshot: {what}"),
-            TransferError::Late => write!(f, "no whole answer within {WITHIN:?}"),
+            TransferError::TimedOut => write!(f, "no complete reply within {TRANSFER_TIMEOUT:?}"),
         }
     }
 }
@@ -115,34 +115,41 @@
     /// # Errors
     ///
     /// See [`TransferError`].
-    pub async fn take(
+    pub async fn fetch(
         &self,
         address: SocketAddr,
         source: Source,
         after: Position,
         max_bytes: usize,
     ) -> Result<Transfer, TransferError> {
-        let asked = BootTime::now();
-        let late = async {
-            Timer::after(WITHIN).await;
-            Err(TransferError::Late)
+        let query_sent = BootTime::now();
+        let timed_out = async {
+            Timer::after(TRANSFER_TIMEOUT).await;
+            Err(TransferError::TimedOut)
         };
-        let body = self.exchange(address, &Query { source, after, max_bytes }).or(late).await?;
-        let Snapshot { freshness, digest, content } = decode(&body)?;
-        if xxh3_64(&content) != digest {
-            return Err(TransferError::Malformed("the digest differs".to_owned()));
+        let body = self
+            .exchange(address, &SnapshotQuery { source, after, max_bytes })
+            .or(timed_out)
+            .await?;
+        let Snapshot { freshness, checksum, content } = decode(&body)?;
+        if xxh3_64(&content) != checksum {
+            return Err(TransferError::Malformed("the checksum differs".to_owned()));
         }
         // The freshness was stated after the question, so that a suspended peer makes nothing look fresh.
-        let as_of = BootTime::now().before(freshness.age_after(asked.age()));
+        let as_of = BootTime::now().before(freshness.age_after(query_sent.age()));
         Ok(Transfer { position: freshness.position, as_of, content })
     }
 
-    async fn exchange(&self, address: SocketAddr, query: &Query) -> Result<Bytes, TransferError> {
+    async fn exchange(
+        &self,
+        address: SocketAddr,
+        query: &SnapshotQuery,
+    ) -> Result<Bytes, TransferError> {
         let unreachable = |e: &dyn fmt::Display| TransferError::Unreachable(e.to_string());
-        let stream = net::connect(address, WITHIN).await.map_err(|e| unreachable(&e))?;
+        let stream = net::connect(address, TRANSFER_TIMEOUT).await.map_err(|e| unreachable(&e))?;
         let executor = SmolExecutor::new(self.executor.clone());
-        let shaken = client::handshake(executor, FuturesIo::new(stream)).await;
-        let (mut sender, connection) = shaken.map_err(|e| unreachable(&e))?;
+        let handshake = client::handshake(executor, FuturesIo::new(stream)).await;
+        let (mut sender, connection) = handshake.map_err(|e| unreachable(&e))?;
         let _driver = self.executor.spawn(connection);
         let req = Request::post(format!("http://{address}/snapshot"))
             .body(Full::new(encode(query)))
@@ -151,7 +158,7 @@
         if resp.status() != StatusCode::OK {
             return Err(TransferError::Refused(resp.status()));
         }
-        let body = Limited::new(resp.into_body(), MAX_SNAPSHOT).collect().await;
+        let body = Limited::new(resp.into_body(), MAX_SNAPSHOT_BYTES).collect().await;
         Ok(body.map_err(|e| unreachable(&e))?.to_bytes())
     }
 }
@@ -174,20 +181,20 @@
     executor: Arc<Executor<'static>>,
 ) {
     net::set_connection_options(&stream);
-    let answer = service_fn(|req| {
+    let respond = service_fn(|req| {
         let tracker = tracker.clone();
-        async move { Ok::<_, Infallible>(answer(req, &tracker).await) }
+        async move { Ok::<_, Infallible>(respond(req, &tracker).await) }
     });
     let served = server::Builder::new(SmolExecutor::new(executor))
-        .serve_connection(FuturesIo::new(stream), answer)
+        .serve_connection(FuturesIo::new(stream), respond)
         .await;
     if let Err(e) = served {
         log::debug!(cause:% = e; "peer_connection_ended");
     }
 }
 
-async fn answer(req: Request<Incoming>, tracker: &FreshnessTracker) -> Response<Full<Bytes>> {
-    let body = Limited::new(req.into_body(), MAX_REQUEST).collect().await.ok();
+async fn respond(req: Request<Incoming>, tracker: &FreshnessTracker) -> Response<Full<Bytes>> {
+    let body = Limited::new(req.into_body(), MAX_QUERY_BYTES).collect().await.ok();
     let query = body.and_then(|body| decode(&body.to_bytes()).ok());
     let (status, body) = match query {
         Some(query) => snapshot(&query, tracker),
@@ -198,15 +205,15 @@
     resp
 }
 
-fn snapshot(query: &Query, tracker: &FreshnessTracker) -> (StatusCode, Bytes) {
+fn snapshot(query: &SnapshotQuery, tracker: &FreshnessTracker) -> (StatusCode, Bytes) {
     let Some((freshness, content)) = tracker.content(query.source, query.after) else {
         return (StatusCode::NOT_FOUND, Bytes::new());
     };
     if content.len() > query.max_bytes {
         return (StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
     }
-    let digest = xxh3_64(&content);
-    (StatusCode::OK, encode(&Snapshot { freshness, digest, content }))
+    let checksum = xxh3_64(&content);
+    (StatusCode::OK, encode(&Snapshot { freshness, checksum, content }))
 }
 
 /// Writes one of this module's types, or what a snapshot holds.
@@ -222,7 +229,7 @@
 ///
 /// [`TransferError::Malformed`].
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, TransferError> {
-    let config = bincode::config::standard().with_limit::<MAX_SNAPSHOT>();
+    let config = bincode::config::standard().with_limit::<MAX_SNAPSHOT_BYTES>();
     let decoded = bincode::serde::decode_from_slice(bytes, config);
     decoded.map(|(value, _)| value).map_err(|e| TransferError::Malformed(e.to_string()))
 }
