--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -1,4 +1,5 @@
-//! The choice of endpoints, and what a placed request is noted as; [`super::split`] chooses for long prompts.
+//! Chooses endpoints for a request and records the placement; [`super::split`] chooses for long
+//! prompts.
 
 use std::time::Duration;
 
@@ -14,44 +15,44 @@
     server::{PartEstimate, Server, millis},
 };
 
-/// The key under which a request's own part is tried; placed ones have random keys.
+/// The key of a request's own part while it is evaluated; placed parts have random non-zero keys.
 const CANDIDATE_KEY: PartKey = 0;
 
-/// When to come back to engines that are crowded: in a second half of the questions that are written
-/// now have gone.
+/// Retry delay when engines are crowded: within a second, half of the questions that are being
+/// decoded have ended.
 pub(super) const CROWDED_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What is chosen for a request.
+/// Where a request is to run, and what that is predicted to cost.
 #[derive(Clone, Default)]
 pub(super) struct PlacementPlan {
-    /// Indices of the endpoints; the first one runs it.
+    /// Indices of the endpoints; the first one runs the request.
     pub(super) servers: Vec<usize>,
     pub(super) part_prefill_ms: f64,
     pub(super) predicted_ms: f64,
-    /// Milliseconds until all parts have been read.
+    /// Milliseconds until all parts are prefilled.
     pub(super) prefilled_in_ms: f64,
-    /// Milliseconds for which it is held before it is sent.
+    /// Milliseconds for which the request is held before it is sent.
     pub(super) hold_ms: f64,
-    /// Milliseconds that reading it would take if all engines that may read it were idle.
+    /// Milliseconds that its prefill would take if all engines that may take part were idle.
     pub(super) idle_prefill_ms: f64,
     pub(super) weight: f64,
-    /// What an engine that nobody else writes on costs it, in weights.
+    /// Cost, in weights, of decoding on an engine where nothing else decodes.
     pub(super) base_isolation_cost: f64,
-    /// Milliseconds of waiting for a slot that are reckoned for each request that stands before.
+    /// Milliseconds of waiting for a slot that are assumed for each request ahead in the queue.
     pub(super) slot_wait_ms: f64,
-    /// What others lose by it.
+    /// What other requests lose by it, in weights.
     pub(super) cost_to_others: f64,
-    /// Tokens of memory where it runs, less what is reserved on others.
+    /// Tokens of memory on the endpoint that runs it, without what is reserved on helpers.
     pub(super) memory_tokens: u64,
-    /// Tokens to be reserved on each of the others, in their order.
+    /// Tokens to reserve on each helper, in their order.
     pub(super) reserve_tokens: Vec<Option<u64>>,
     pub(super) rank: u8,
-    /// Whether a short prompt waits for a slot where it runs.
+    /// Whether a short prompt has to wait for a slot on its endpoint.
     pub(super) waits_for_slot: Option<bool>,
 }
 
 impl PlacementPlan {
-    /// One endpoint, of which nothing is foretold.
+    /// A plan for one endpoint without any prediction.
     fn unpredicted(index: usize, request: &PlacementRequest) -> PlacementPlan {
         PlacementPlan {
             servers: vec![index],
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Milliseconds by which its first event is predicted too late to be worth its while. One that
-    /// goes on after a failure has been taken on, and gets whatever time there is: its caller may
-    /// have half of the answer. Not so one that is asked beside a slow attempt: under load the
-    /// engines would read every long prompt twice.
+    /// Milliseconds by which the first event is predicted later than acceptable; positive means
+    /// that the request is refused. A retry after a failure was admitted before and gets all
+    /// remaining time, because its caller may already have half of the answer. A hedge has to meet
+    /// the bound: under load, the engines would prefill every long prompt twice.
     pub(super) fn excess_ms(
         &self,
         request: &PlacementRequest,
@@ -82,8 +83,8 @@
         self.predicted_ms - bound.min(request.remaining_ms)
     }
 
-    /// Whether others would lose more by it than it is worth. What goes on after a failure has been
-    /// taken on, and stays.
+    /// Whether others would lose more by it than it is worth. A retry after a failure was admitted
+    /// before and is exempt.
     pub(super) fn costs_others_too_much(
         &self,
         request: &PlacementRequest,
@@ -131,7 +132,7 @@
         self.split(rules, request, base, prefill_ms, now)
     }
 
-    /// The choice of the baselines.
+    /// The baseline strategies: least outstanding requests, or round robin.
     fn choose_baseline(&self, request: &PlacementRequest, now: Time) -> Option<PlacementPlan> {
         let next = usize::try_from(self.next_job).unwrap_or_default() % self.servers.len().max(1);
         let distance_from_next =
@@ -150,8 +151,8 @@
         })
     }
 
-    /// An engine for a short prompt: the least costly one, or the one that comes after `spread` others,
-    /// unless going there costs more than the request's being late.
+    /// Chooses an engine for a short prompt: the cheapest one, or the one after `skipped` others as
+    /// long as that costs no more than the request's being late.
     fn choose_for_short(
         &self,
         rules: &EngineRules,
@@ -182,7 +183,7 @@
         near.take(skipped + 1).last().map(|(_, index, predicted)| (*index, *predicted))
     }
 
-    /// What an engine that nobody writes on costs a short prompt now.
+    /// The present cost, to a short prompt, of an engine where nothing else decodes.
     fn base_isolation_cost(&self, now: Time) -> f64 {
         let engines = self.usable_endpoints().max(1) as f64;
         let long_share =
@@ -207,8 +208,8 @@
         Some(PlacementPlan::unpredicted(index, request))
     }
 
-    /// Endpoints that may run the request: neither leaving, nor out, nor tried before, nor barred
-    /// because the request is suspected of crashing endpoints.
+    /// Endpoints that may run the request: those that aren't leaving, ejected, already tried, or
+    /// barred because the request is suspected of crashing endpoints.
     pub(super) fn candidates<'a>(
         &'a self,
         request: &'a PlacementRequest,
@@ -231,20 +232,20 @@
     pub(super) fn health_penalty(&self, server: &Server, now: Time) -> f64 {
         match self.health.state(&server.member.endpoint, now) {
             health::HealthState::Usable(penalty) => penalty,
-            // It is on trial: the probe has to go somewhere.
+            // Its probe is due and has to be sent somewhere.
             health::HealthState::Ejected => 0.5,
         }
     }
 
-    /// What writing on this engine costs in weights because it will be wanted for a part of a long prompt:
-    /// nearly nothing where others write already.
+    /// Cost, in weights, of decoding on this engine because it will be needed for a part of a long
+    /// prompt: close to zero where other requests already decode.
     pub(super) fn isolation_cost(&self, base_isolation_cost: f64, server: &Server) -> f64 {
         let decoding_weight =
             server.decoding_weight(|pause_ms| self.pause_goals.is_below_longest(pause_ms));
         (base_isolation_cost / (1.0 + decoding_weight)).min(self.placement.most_apart)
     }
 
-    /// Milliseconds until a first event comes, if a part is read as foretold.
+    /// Milliseconds until the first event, if the part is prefilled as predicted.
     pub(super) fn first_ms(
         &self,
         rules: &EngineRules,
@@ -257,8 +258,8 @@
         estimate.prefilled_in_ms + f64::from(excess) * plan.slot_wait_ms + server.one_way_ms()
     }
 
-    /// From the time for which an answer holds its slot; before any was seen, as if the answer were as
-    /// long as it may be.
+    /// Derived from the mean time that an answer holds its slot; before the first answer, from the
+    /// longest answer that the request allows.
     fn slot_wait_ms(&self, rules: &EngineRules, request: &PlacementRequest) -> f64 {
         let passes = request.max_output_tokens.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let longest_ms = || passes * rules.pass_ms(rules.slots, rules.usual_context);
@@ -266,8 +267,8 @@
         self.placement.slot_waits * held_ms / f64::from(rules.slots.max(1))
     }
 
-    /// What the requests lose whose parts are read later on these engines. A request whose parts are
-    /// delayed on several engines is as late as the latest of them.
+    /// What other requests lose because their parts are prefilled later on these engines. A request
+    /// that is delayed on several engines counts with its latest part.
     pub(super) fn delay_cost<'a>(&self, estimates: impl Iterator<Item = &'a PartEstimate>) -> f64 {
         let mut latest: IndexMap<PartKey, PartCompletion> = IndexMap::new();
         for completion in estimates.flat_map(|estimate| &estimate.delayed) {
@@ -282,7 +283,7 @@
             .sum()
     }
 
-    /// How much nearer to being late a request is if this part has been read only then.
+    /// How much the expected cost of lateness rises if this part is prefilled only then.
     fn added_lateness_cost(&self, completion: &PartCompletion) -> f64 {
         let part = &completion.part;
         let placed = part.due_at - part.goal_ms;
@@ -290,7 +291,7 @@
         (lateness(completion.done_at) - lateness(part.ready_at)).max(0.0)
     }
 
-    /// Counts the request as sent to the chosen endpoints.
+    /// Records the request as placed on the chosen endpoints.
     pub(super) fn commit(
         &mut self,
         plan: PlacementPlan,
@@ -357,7 +358,7 @@
     }
 }
 
-/// A request's part on one engine, before it is placed.
+/// A request's part on one engine, for evaluation.
 pub(super) fn candidate_part(
     plan: &PlacementPlan,
     server: &Server,
@@ -382,5 +383,5 @@
     }
 }
 
-/// The rank that engines take for the least urgent.
+/// The least urgent rank that engines accept.
 const LOWEST_RANK: u8 = 9;
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,21 +1,26 @@
-//! Where each request of one endpoint group goes, and over how many engines its prompt is read.
+//! Placement of requests on the endpoints of one group, and the split of long prompts over several
+//! engines.
 //!
-//! **Load pattern.** Short questions are written on every engine while dossiers of a million tokens
-//! come in bursts; several instances place work without seeing each other's last milliseconds.
+//! **Load pattern.** Short questions are decoded on every engine while prompts of up to a million
+//! tokens arrive in bursts. Several instances place work at the same time, and each sees the
+//! others' latest placements only some milliseconds later.
 //!
-//! **Without it.** A dossier read beside writers is one pause of seconds for each of them, and a
-//! dossier that waits for its turn on one engine misses its goal, although most engines idle.
+//! **Without it.** Prefilling a long prompt on one engine stops all requests that decode there for
+//! seconds. A long prompt that queues for a single engine misses its goal although most engines are
+//! idle.
 //!
-//! **Rule.** The cost of a place is what callers lose by it: the request's own chance to be late,
-//! and that of everybody whose pause grows by its reading. A prompt is split into as many even
-//! parts as makes this least. Short ones gather where others write, so that the remaining engines
-//! stay free for long ones; nothing is set aside, and the border moves with each arrival. A long
-//! prompt is held until its engines have read what came before it ([`reading`]), and whatever costs
-//! others more than it is worth is refused.
+//! **Rule.** The cost of a placement is what callers lose by it: the probability that the request
+//! itself is late, plus that of every request whose pauses grow because of its prefill. A prompt is
+//! split into as many equal parts as minimise this cost. Short prompts are placed together with
+//! other decoding requests, so that the remaining engines stay free for long prompts; no engine is
+//! reserved, and the boundary shifts with every arrival. A long prompt is held until its engines
+//! have prefilled the earlier parts ([`prefill`]). A request that costs others more than it is
+//! worth is refused.
 //!
-//! **Grounds.** Writing costs hardly more for twelve requests than for one (a step takes 0.925 ms
-//! and 0.005 ms a request), while reading stops everybody, so gathering writers is nearly free.
-//! The figures stand in `docs/decisions/arrangement.md`.
+//! **Grounds.** Decoding twelve requests takes hardly longer than decoding one (a step takes 0.925
+//! ms plus 0.005 ms per request), while prefill stops every request on the engine, so placing
+//! decoding requests together is nearly free. The measurements are in
+//! `docs/decisions/arrangement.md`.
 
 mod backoff;
 mod choose;
@@ -56,45 +61,47 @@
 use decoding::whole_ms;
 use server::Server;
 
-/// Time between two judgements of the endpoints' health: a broken endpoint gets no more than what
-/// comes meanwhile.
+/// Interval between two assessments of the endpoints' health. Bounds what a failing endpoint still
+/// receives.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many times longer than its figures a busy engine takes: it reads others' prompts meanwhile, while
-/// most answers are shorter than they may be.
+/// How many times longer a busy engine takes than its rules predict: it prefills other prompts
+/// meanwhile, but most answers are shorter than their maximum.
 const BUSY_SLOWDOWN: f64 = 1.15;
 
-/// Milliseconds until a busy engine begins: a few passes.
+/// Milliseconds until a busy engine starts on a request: a few passes.
 const START_DELAY_MS: f64 = 300.0;
 
-/// How much later than a peer's next word its news of a first event is expected at most: a pass, and its way.
+/// How much later than the peer's next periodic update its report of a first event is expected at
+/// most: one pass plus the network delay.
 const UPDATE_DELAY_MARGIN: Duration = Duration::from_millis(50);
 
-/// Half-life of the share of long prompts: a burst begins and ends within seconds.
+/// Half-life of the share of long prompts and of the queueing statistics: bursts begin and end
+/// within seconds.
 const BURST_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// An endpoint as the instance learned of it.
+/// An endpoint of the group, as configured or registered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The endpoint.
+    /// Its name.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it finishes what it has and gets nothing new.
+    /// Whether it finishes its running requests and accepts no new ones.
     pub leaving: bool,
 }
 
-/// Places the requests of one endpoint group, as one instance sees it.
+/// Places the requests of one endpoint group, from the view of one instance.
 #[derive(Debug)]
 pub struct GroupScheduler {
     rules: Option<EngineRules>,
     placement: PlacementRules,
     servers: IndexMap<EndpointId, Server>,
-    /// Instances that told of work.
+    /// Instances that have sent updates.
     peers: IndexSet<InstanceId>,
-    /// The servers' places by tag.
+    /// Indices into `servers` by tag.
     tags: IndexMap<EndpointTag, usize>,
     jobs: IndexMap<JobId, Job>,
     next_job: u64,
@@ -102,8 +109,8 @@
     quarantine: Quarantine,
     health_assessed_at: Time,
     rng: Rng,
-    /// Share of the engines' time that prompts too long to be read beside writers have taken of
-    /// late.
+    /// Recent prefill time, in milliseconds, of prompts too long to be prefilled on engines that
+    /// decode; its rate gives the share of engines that they need.
     long_share: decaying::DecayingSum,
     pause_goals: pauses::PauseGoals,
     slot_usage: slots::SlotUsage,
@@ -111,12 +118,12 @@
 }
 
 impl GroupScheduler {
-    /// Knows no endpoint yet; `seed` starts its generator.
+    /// A scheduler without endpoints; `seed` initialises its random generator.
     pub fn new(seed: u64) -> GroupScheduler {
         GroupScheduler::with_rules(PlacementRules::default(), seed)
     }
 
-    /// The same, with other rules than the usual ones.
+    /// The same with non-default placement rules.
     pub fn with_rules(placement: PlacementRules, seed: u64) -> GroupScheduler {
         GroupScheduler {
             rules: None,
@@ -137,12 +144,12 @@
         }
     }
 
-    /// Takes over the group's rules.
+    /// Replaces the engine rules; a group without them is one of plain services.
     pub fn set_rules(&mut self, rules: Option<EngineRules>) {
         self.rules = rules;
     }
 
-    /// Takes over the group's endpoints. One with a new life starts with nothing known of it.
+    /// Replaces the group's endpoints. Nothing is carried over to a new incarnation.
     pub fn set_members(&mut self, members: Vec<Member>, now: Time) {
         let mut old = std::mem::take(&mut self.servers);
         self.health.configure(members.iter().map(|member| &member.endpoint));
@@ -167,13 +174,14 @@
         }
     }
 
-    /// Endpoints that may get work.
+    /// Number of endpoints that accept new requests.
     pub fn usable_endpoints(&self) -> usize {
         self.servers.values().filter(|server| !server.member.leaving).count()
     }
 
-    /// How long a request usually takes to its end, with room for a busy engine. Those who write beside it
-    /// are taken to be like it, but no longer than usual: questions stand among questions.
+    /// Typical total duration of a request, with a margin for a busy engine. Requests that decode
+    /// alongside are assumed to have a similar context, but no longer than the group's usual one:
+    /// short requests are placed with short ones.
     pub fn typical_duration(&self, prompt: u64, output: u64) -> Duration {
         let Some(rules) = &self.rules else { return Duration::ZERO };
         let passes = output.div_ceil(u64::from(rules.stride.max(1))) as f64;
@@ -183,11 +191,12 @@
         Duration::from_secs_f64(ms / 1000.0)
     }
 
-    /// Finds a place for a request, and counts it as sent there.
+    /// Chooses endpoints for a request and records it as placed there.
     ///
     /// # Errors
     ///
-    /// Where no endpoint may run it.
+    /// If no endpoint may run it, if it is quarantined, or if serving it would be too late or too
+    /// costly for others.
     pub fn place(
         &mut self,
         request: &PlacementRequest,
@@ -200,7 +209,7 @@
         self.pause_goals.record(whole_ms(request.max_pause_ms), now);
         let skipped = self.draw_skipped(now);
         if let Some(rules) = &self.rules {
-            // Word of a first event goes with the teller's next one.
+            // First events are reported with the peer's next periodic update.
             let update_delay = updates::update_interval(self.peers.len()) + UPDATE_DELAY_MARGIN;
             for server in self.servers.values_mut() {
                 server.refresh(rules, update_delay, now);
@@ -233,7 +242,8 @@
         Ok(self.commit(plan, request, now))
     }
 
-    /// How many of the best places are passed over, as others may just have taken them.
+    /// Number of the best endpoints to skip, drawn at random because other instances may just have
+    /// chosen them.
     fn draw_skipped(&mut self, now: Time) -> usize {
         if self.unreported.is_starting(now) {
             return self.rng.usize(0..=self.servers.len());
@@ -242,7 +252,7 @@
         self.rng.usize(0..=unreported as usize)
     }
 
-    /// A connection to an endpoint took so long to be made.
+    /// Records how long it took to connect to an endpoint.
     pub fn record_connect_time(&mut self, endpoint: &EndpointId, took: Duration) {
         let ms = took.as_secs_f64() * 1000.0;
         self.unreported.record_round_trip(ms);
@@ -251,7 +261,7 @@
         }
     }
 
-    /// The first byte of an answer came.
+    /// Records the first byte of an answer.
     pub fn record_first_event(&mut self, job: JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
         if job.first_event_at.is_some() {
@@ -260,7 +270,7 @@
         job.first_event_at = Some(now);
         let taken = now.since(job.placed_at);
         let predicted = Duration::from_secs_f64(job.predicted_ms.max(0.0) / 1000.0);
-        // Whatever was foretold, all of its parts have been read.
+        // The answer has begun, so all parts have been prefilled, whatever was predicted.
         for endpoint in job.endpoints() {
             if let Some(server) = self.servers.get_mut(endpoint) {
                 server.remove_own_part(job.key, true, now);
@@ -276,7 +286,7 @@
         }
     }
 
-    /// A pause between two events of an answer.
+    /// Records the time between two events of an answer.
     pub fn record_pause(&mut self, job: JobId, pause: Duration, now: Time) {
         let Some(job) = self.jobs.get(&job) else { return };
         let Some(rules) = &self.rules else { return };
@@ -286,7 +296,7 @@
         }
     }
 
-    /// A request ended on its endpoint, whole or not.
+    /// Removes a request that ended on its endpoint, successfully or not.
     pub fn finish(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
         let Some(job) = self.jobs.swap_remove(&job) else { return };
         for endpoint in job.endpoints() {
@@ -323,7 +333,7 @@
         }
     }
 
-    /// A request was refused for the sake of an endpoint that was to read a part of it.
+    /// Records that a request was refused because this endpoint didn't prefill its part of it.
     pub fn record_helper_refusal(&mut self, endpoint: &EndpointId, now: Time) {
         if let Some(server) = self.servers.get_mut(endpoint) {
             server.refused_to_help(now);
@@ -331,7 +341,8 @@
         }
     }
 
-    /// An endpoint's life ended while requests ran there; all that began to run are suspects.
+    /// Records that an endpoint's incarnation ended. All requests that had been sent there are
+    /// suspected of having crashed it.
     pub fn record_death(&mut self, endpoint: &EndpointId, now: Time) {
         let ran = self.jobs.values().filter(|job| job.endpoint == *endpoint && job.is_sent);
         let present: Vec<Fingerprint> = ran.map(|job| job.fingerprint).collect();
@@ -340,13 +351,13 @@
         }
     }
 
-    /// Whether a request that was held may still be sent as it was placed: none of its endpoints has
-    /// begun to leave or has a new life since, and no other instance placed a long prompt on the same
-    /// engines in the same moment.
+    /// Whether a held request may still be sent as it was placed: none of its endpoints has begun
+    /// to leave or has a new incarnation, and no other instance placed a long prompt on the same
+    /// engines at the same moment.
     ///
-    /// Guards against two instances that choose the same idle engines before each hears of the other:
-    /// one of the prompts would wait for the other's parts, which it wasn't foretold. Both see the same
-    /// two keys, so exactly one of them looks for another place.
+    /// Guards against two instances that choose the same idle engines before either receives the
+    /// other's update: one prompt would wait for the other's parts, which its prediction left out.
+    /// Both instances compare the same two keys, so exactly one of them looks for another place.
     pub fn is_still_valid(&self, job: JobId, now: Time) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
         job.endpoints().zip(&job.incarnations).all(|(endpoint, incarnation)| {
@@ -359,7 +370,7 @@
         })
     }
 
-    /// Whether a prompt with a higher claim makes the job's part on this engine late.
+    /// Whether a split prompt with a smaller key delays the job's part on this engine.
     fn is_displaced(&self, server: &Server, job: &Job, now: Time) -> bool {
         let Some(rules) = &self.rules else { return false };
         let expected_at = server::millis(job.placed_at) + job.prefilled_in_ms;
@@ -371,19 +382,20 @@
                 .any(|completion| completion.part.is_split && completion.part.key < job.key)
     }
 
-    /// A request was handed to its endpoint.
+    /// Records that a request was handed to its endpoint.
     pub fn mark_sent(&mut self, job: JobId) {
         if let Some(job) = self.jobs.get_mut(&job) {
             job.is_sent = true;
         }
     }
 
-    /// What others have to hear of this instance's work; see [`updates`].
+    /// Takes the pending updates about this instance's work; see [`updates`]. `is_due` also
+    /// includes what is only sent periodically.
     pub fn take_updates(&mut self, is_due: bool) -> Vec<EndpointUpdate> {
         updates::take_updates(&mut self.servers, is_due)
     }
 
-    /// What another instance has under way.
+    /// Applies the updates that another instance sent about its work.
     pub fn apply_updates(&mut self, peer: &InstanceId, updates: &[EndpointUpdate], now: Time) {
         if !self.peers.contains(peer) {
             self.peers.insert(peer.clone());
@@ -406,7 +418,7 @@
         self.long_share.add(updates::long_prefill_ms(updates, self.short_prefill_ms()), now);
     }
 
-    /// Another instance is gone, and what it had under way with it.
+    /// Removes another instance that has failed or left, and its work.
     pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.peers.swap_remove(peer);
         for server in self.servers.values_mut() {
@@ -414,12 +426,13 @@
         }
     }
 
-    /// The quarantine, for what instances tell each other of it.
+    /// The quarantine, whose entries instances exchange.
     pub fn quarantine(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
 
-    /// Milliseconds of reading up to which a prompt goes beside writers whole.
+    /// Milliseconds of prefill up to which a prompt is short: it may be prefilled whole on an
+    /// engine that decodes.
     fn short_prefill_ms(&self) -> f64 {
         self.placement.short_share * self.pause_goals.shortest()
     }
@@ -432,8 +445,8 @@
         let needed = self.servers.len().div_ceil(2);
         self.health.assess(needed, now, &mut self.rng);
         self.quarantine.expire(now);
-        // A request that comes anyway is the probe: what endpoints say of their own health need
-        // not be true.
+        // The next regular request serves as the probe, because an endpoint's own health report may
+        // be wrong.
         for endpoint in self.health.due_probes(now) {
             if let Some(server) = self.servers.get_mut(&endpoint) {
                 server.is_next_probe = true;
@@ -442,9 +455,9 @@
     }
 }
 
-/// A silence that ends a run here was longer than another endpoint took to answer, so it counts
-/// like a failure. Health alone would not count it, because connections may fall silent while
-/// their endpoint lives; here each run has a fresh one.
+/// Counts a silence that ended a run as a failure: it was longer than another endpoint took to
+/// answer. Health alone ignores silence, because a connection may go silent while its endpoint is
+/// alive; here each run has a fresh connection.
 fn counted_cause(cause: FailCause) -> FailCause {
     match cause {
         FailCause::Silent => FailCause::Broken,
@@ -452,7 +465,7 @@
     }
 }
 
-/// Whether a failure speaks against its endpoint, whoever met it.
+/// Whether a failure counts against the endpoint at all instances.
 fn is_endpoint_failure(cause: FailCause) -> bool {
     matches!(
         cause,
--- a/crates/policy/src/placement/split.rs
+++ b/crates/policy/src/placement/split.rs
@@ -1,14 +1,16 @@
-//! Over how many engines a long prompt is read, on which, and from when on.
+//! The split of a long prompt: how many engines prefill it, which ones, and when they start.
 //!
-//! **Load pattern.** Prompts of middle length come beside questions and the longest ones.
+//! **Load pattern.** Prompts of middle length arrive together with questions and with the longest
+//! prompts.
 //!
-//! **Without it.** Each is written on the engine that reads it soonest, which is one where nobody else
-//! writes. Its answer takes seconds, so after a while every engine has a single writer, and each part of
-//! a long prompt is somebody's pause.
+//! **Without it.** Each one runs on the engine that prefills it soonest, which is one where nothing
+//! else decodes. Its answer takes seconds, so after a while every engine has a single decoding
+//! request, and each part of a long prompt causes a long pause for some caller.
 //!
-//! **Rule.** Who bears only short pauses writes where others write, and its parts are read elsewhere,
-//! unless that costs more than the engine that it would take from long prompts ([`GroupScheduler::alone`]).
-//! Who bears long ones writes on whichever of its engines is best, so that nobody hears its reading.
+//! **Rule.** A request with a short pause goal runs where others already decode, and its parts are
+//! prefilled elsewhere, unless that costs more than occupying an engine that long prompts would
+//! need ([`GroupScheduler::isolation_cost`]). A request with a long pause goal runs on the best of
+//! its engines, because other prompts' prefill there doesn't break its goal.
 
 use crate::{Time, routes::EngineRules};
 
@@ -20,37 +22,37 @@
     server::{PartEstimate, Server, millis},
 };
 
-/// Tokens by which an engine's memory is planned too small: engines allocate in blocks.
+/// Margin, in tokens, when an engine's free memory is computed: engines allocate in blocks.
 const MEMORY_SLACK_TOKENS: u64 = 2_000;
 
-/// Numbers of parts that are tried. Beyond these the gain of one more is below a pass.
+/// Numbers of parts that are evaluated. At the larger ones, one more part gains less than a pass.
 const PART_COUNTS: [usize; 12] = [1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16, 17];
 
-/// How a prompt's memory is spread over the engines that read it.
+/// The distribution of a prompt's memory over its engines.
 struct MemoryShares {
-    /// Tokens where it runs.
+    /// Tokens on the engine that runs it.
     at_head: u64,
-    /// Tokens on each of the others, in the order in which they stand once the head is first.
+    /// Tokens on each helper, in the order of the engines once the head is first.
     reserve: Vec<Option<u64>>,
 }
 
-/// The engines for one split, in the order in which they are taken.
+/// The engines of one split, in order of preference.
 struct SplitEngines<'a> {
     candidates: Vec<&'a Candidate>,
-    /// Which of them runs it, where that is settled.
+    /// Index of the engine that runs the request, if already chosen.
     head: Option<usize>,
 }
 
-/// An engine that may read a part, in the order in which they are taken.
+/// An engine that may prefill a part, with its cost.
 struct Candidate {
     index: usize,
     estimate: PartEstimate,
-    /// Milliseconds until its part would let a first event come.
+    /// Milliseconds until the first event, if this part is the last to be prefilled.
     first_ms: f64,
     cost: f64,
 }
 
-/// An engine, and when it will have read what waits there.
+/// An engine, and when each of its waiting parts will be prefilled.
 struct Engine<'a> {
     index: usize,
     server: &'a Server,
@@ -58,7 +60,7 @@
 }
 
 impl Engine<'_> {
-    /// Milliseconds until it has read all that waits there.
+    /// Milliseconds until everything that waits is prefilled.
     fn idle_in_ms(&self, now: Time) -> f64 {
         self.completions
             .iter()
@@ -68,12 +70,13 @@
 }
 
 impl GroupScheduler {
-    /// The best split of a longer prompt. Each number of parts is tried at once and when enough
-    /// engines have read what waits there, with the engines that are cheapest for parts of that size.
+    /// Finds the cheapest split of a long prompt. Each number of parts is evaluated both without a
+    /// hold and with a hold until enough engines have prefilled their queues, always on the engines
+    /// that are cheapest for parts of that size.
     ///
-    /// Guards against dossiers that starve: engines read the newest part first, so what is sent to
-    /// those that still read delays every earlier dossier there. One that is held until they have
-    /// read keeps the order of arrival.
+    /// Guards against starvation of long prompts: engines prefill the newest part first, so a
+    /// prompt that is sent to busy engines delays every earlier long prompt there. Holding it until
+    /// they are idle keeps the order of arrival.
     pub(super) fn split(
         &self,
         rules: &EngineRules,
@@ -124,7 +127,7 @@
         best.map(|(_, plan)| plan)
     }
 
-    /// All engines that may read a part of this size, the cheapest first.
+    /// All engines that may prefill a part of this size, the cheapest first.
     fn ranked(
         &self,
         rules: &EngineRules,
@@ -145,8 +148,8 @@
         ranked
     }
 
-    /// The engines for a number of parts: for whoever bears only short pauses those with a head where
-    /// others write, and in any case those that are cheapest.
+    /// The sets of engines to evaluate for a number of parts: the cheapest ones, and for requests
+    /// with short pause goals also those whose head runs where others decode.
     fn engine_sets<'a>(
         &self,
         rules: &EngineRules,
@@ -163,12 +166,14 @@
         with_shared_head.into_iter().chain(std::iter::once(cheapest))
     }
 
-    /// Whether it writes where others write: all but those who bear the longest pauses.
+    /// Whether the request should run where others decode: true for all but the longest pause
+    /// goals.
     fn prefers_shared_head(&self, request: &PlacementRequest) -> bool {
         self.placement.gathers && self.pause_goals.is_below_longest(whole_ms(request.max_pause_ms))
     }
 
-    /// The cheapest engine to write on, and the cheapest others to read.
+    /// The cheapest engine to decode on, including its isolation cost, and the cheapest others as
+    /// helpers.
     fn with_shared_head<'a>(
         &self,
         rules: &EngineRules,
@@ -187,7 +192,7 @@
         Some(SplitEngines { candidates, head: Some(0) })
     }
 
-    /// What one split costs; none where the memory of its engines is too small.
+    /// Evaluates one split; none if its engines have too little memory.
     fn evaluate_split(
         &self,
         rules: &EngineRules,
@@ -234,7 +239,7 @@
         Some((cost, plan))
     }
 
-    /// What a split costs its request by the chance that an engine doesn't read its part, in weights.
+    /// Expected cost, in weights, of an engine's failing to prefill its part.
     fn helper_failure_cost(&self, parts: usize, risk: f64) -> f64 {
         if parts > 1 { self.placement.broken_loss * risk.min(1.0) } else { 0.0 }
     }
@@ -259,8 +264,8 @@
         Candidate { index: *index, estimate, first_ms, cost }
     }
 
-    /// Which of the engines runs the request: one whose memory takes it and that won't read for long
-    /// while it writes, and of those the one with the most memory left.
+    /// Chooses the engine that runs the request: one with enough memory and without long prefill
+    /// during the answer, and among those the one with the most free memory.
     fn choose_head(
         &self,
         rules: &EngineRules,
@@ -277,15 +282,16 @@
         (0..candidates.len()).max_by_key(|i| suitability(candidates[*i]))
     }
 
-    /// Tokens that an engine's memory takes.
+    /// Tokens of memory that the engine has left.
     fn free_memory_tokens(&self, rules: &EngineRules, c: &Candidate) -> u64 {
         rules
             .memory_tokens
             .saturating_sub(self.servers[c.index].memory_tokens() + MEMORY_SLACK_TOKENS)
     }
 
-    /// How a prompt's memory is spread. What doesn't fit at its head is reserved on the others, those with
-    /// the most memory first, so that few have to be asked; none where all together have too little.
+    /// Distributes a prompt's memory. What doesn't fit on the head is reserved on the helpers with
+    /// the most free memory, so that few reservations are needed. None if all of them together have
+    /// too little.
     fn spread_memory(
         &self,
         rules: &EngineRules,
@@ -300,7 +306,7 @@
         let mut missing_tokens = needed_tokens - at_head;
         let mut reserve = vec![None; free_tokens.len() - 1];
         if needed_tokens < rules.memory_tokens && free_tokens.iter().sum::<u64>() < needed_tokens {
-            // It fits an engine, but none has the room now: it waits where it runs.
+            // It would fit on one engine, but none has the memory now, so it waits on its head.
             return Some(MemoryShares { at_head: needed_tokens, reserve });
         }
         let mut by_free_memory: Vec<usize> = (0..reserve.len()).collect();
--- a/crates/policy/src/placement/updates.rs
+++ b/crates/policy/src/placement/updates.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of their work on one endpoint.
+//! The updates that instances send each other about their work on each endpoint.
 
 use std::time::Duration;
 
@@ -16,18 +16,19 @@
     wire::WirePart,
 };
 
-/// How often levels are told to a few peers. Reading that stands before others is told at once.
+/// Interval of the periodic load updates between few instances. Prefill that may delay others is
+/// reported at once.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Peers up to which levels are told every [`EVERY`]; with more, less often, so that the cost for each
-/// instance stays as it is.
+/// Number of peers for which the interval grows by one [`UPDATE_INTERVAL`], so that each instance's
+/// cost of sending stays the same.
 const PEERS_PER_INTERVAL: usize = 8;
 
-/// Reading from which on a placement is told at once, in milliseconds: a few such parts in one
-/// pass make it too long for those who write there.
+/// Milliseconds of newly placed prefill on one endpoint from which on an update is sent at once: a
+/// few such parts in one pass make it too long for the requests that decode there.
 const IMMEDIATE_PREFILL_MS: f64 = 2.0;
 
-/// How often levels are told to this many peers.
+/// Interval of the periodic load updates with this many peers.
 pub fn update_interval(peers: usize) -> Duration {
     UPDATE_INTERVAL * u32::try_from(peers / PEERS_PER_INTERVAL + 1).unwrap_or(u32::MAX)
 }
@@ -35,38 +36,38 @@
 /// One instance's work on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests that run or wait.
+    /// Requests that run or wait there.
     pub running: u16,
-    /// Tokens of memory that they take.
+    /// Tokens of memory reserved for them.
     pub memory_tokens: u64,
-    /// Their weights, by the pause that they bear.
+    /// Their weights, by pause goal.
     pub decoding: DecodingLoad,
 }
 
-/// A part of a prompt that an instance placed. Times are milliseconds from the word on, so that no
-/// clocks are compared.
+/// A part of a prompt that an instance placed. Times are milliseconds relative to the update, so
+/// that no clocks are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "WirePart", into = "WirePart")]
 pub struct PartUpdate {
-    /// Names its request.
+    /// Identifies its request.
     pub key: PartKey,
-    /// Milliseconds of reading.
+    /// Prefill time in milliseconds.
     pub prefill_ms: f32,
-    /// Tokens to read.
+    /// Tokens to prefill.
     pub tokens: f32,
     /// When it reaches the engine.
     pub arrives_ms: f32,
-    /// When its request's first event is late.
+    /// The deadline of its request's first event.
     pub due_ms: f32,
-    /// How long after its placement that is.
+    /// Goal of the first event, in milliseconds from placement.
     pub goal_ms: f32,
-    /// When all parts of its request are expected to have been read.
+    /// When all parts of its request are expected to be prefilled.
     pub ready_ms: f32,
-    /// What its request's being late costs.
+    /// Cost of its request's being late.
     pub weight: f32,
-    /// It is one of several, and read before whatever waits.
+    /// It is one of several parts, which engines prefill before everything that waits.
     pub is_split: bool,
-    /// The request runs there.
+    /// The request runs on this endpoint.
     pub is_head: bool,
 }
 
@@ -105,27 +106,27 @@
     }
 }
 
-/// News of one endpoint.
+/// What changed on one endpoint since the last update.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// The endpoint.
+    /// Which endpoint it is about.
     pub endpoint: EndpointTag,
-    /// Parts placed since the last word of it.
+    /// Parts placed since the last update.
     pub placed: Vec<PartUpdate>,
-    /// Parts told before that wait no more.
+    /// Parts reported earlier that no longer wait.
     pub removed: Vec<PartKey>,
-    /// What the teller has there now.
+    /// The sender's present load there.
     pub load: EndpointLoad,
-    /// A request of the teller's failed there since the last word.
+    /// A request of the sender failed there since the last update.
     pub failed: bool,
-    /// One was answered.
+    /// A request of the sender was answered since the last update.
     pub answered: bool,
-    /// One was refused because this endpoint didn't read a part of it.
+    /// A request was refused because this endpoint didn't prefill its part of it.
     pub refused_to_help: bool,
 }
 
-/// News of all endpoints about which there is any; where levels aren't due, only if others would run into
-/// reading on some of them.
+/// Takes the updates of all endpoints that have any. Unless load updates are due, it takes none as
+/// long as no endpoint has enough new prefill, or a refusal, to report at once.
 pub(super) fn take_updates(
     servers: &mut IndexMap<EndpointId, Server>,
     is_due: bool,
@@ -160,7 +161,7 @@
     updates
 }
 
-/// How much long reading another instance placed, in milliseconds.
+/// Milliseconds of long prefill that another instance placed.
 pub(super) fn long_prefill_ms(updates: &[EndpointUpdate], short_prefill_ms: f64) -> f64 {
     let placed = |update: &EndpointUpdate| {
         update.placed.iter().map(|part| f64::from(part.prefill_ms)).sum::<f64>()
@@ -168,7 +169,7 @@
     updates.iter().map(placed).filter(|ms| *ms > short_prefill_ms).sum()
 }
 
-/// Takes in another instance's news.
+/// Applies another instance's updates.
 pub(super) fn apply_updates(
     servers: &mut IndexMap<EndpointId, Server>,
     tags: &IndexMap<EndpointTag, usize>,
@@ -178,7 +179,8 @@
     updates: &[EndpointUpdate],
     now: Time,
 ) {
-    // Where a prompt runs, word of its first event comes with that of its parts.
+    // The update of the engine that runs a prompt reports the first event and the removed parts
+    // together.
     let answered = updates.iter().filter(|update| update.answered);
     let prefilled: Vec<PartKey> = answered.flat_map(|update| &update.removed).copied().collect();
     for update in updates {
