--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -17,16 +17,17 @@
     state::{Configuration, Groups},
 };
 
-/// Time between two questions to a peer. News are told at once; where such a word is lost, this is how
-/// much later a change is in force.
+/// Time between two queries to a peer. Updates are announced at once; where an announcement is
+/// lost, a change is in force up to this much later.
 const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A peer's knowledge older than this is no reason not to read for oneself: a held reading and its way.
-/// With the time to the next question it stays below the two seconds within which a change has to be in
-/// force, also where the peer's way to the log falls silent.
+/// Where a peer's knowledge is older than this, the instance reads the source itself. Covers a read
+/// that the log service holds open, and its round trip. Together with [`QUERY_INTERVAL`] it stays
+/// below the two seconds within which a change has to be in force, even where the peer's connection
+/// to the log falls silent.
 const MAX_PEER_AGE: Duration = Duration::from_millis(1_100);
 
-/// The configuration, as a peer or the log knows it.
+/// Follows the configuration by queries to peers and, where none of them is up to date, by the log.
 pub struct Follower<S> {
     source: S,
     configuration: Arc<Configuration>,
@@ -36,7 +37,7 @@
 }
 
 impl<S: ConfigSource> Follower<S> {
-    /// Follows `source`.
+    /// Creates a follower that reads `source` itself where peers can't help.
     pub fn new(
         source: S,
         configuration: Arc<Configuration>,
@@ -48,7 +49,7 @@
         Follower { source, configuration, groups, tracker, access }
     }
 
-    /// Reads on until it is dropped.
+    /// Keeps the configuration up to date until it is dropped.
     pub async fn run(mut self) {
         loop {
             let pause = self.refresh().await;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Learns what is new, and tells how long to wait then.
+    /// Updates the configuration once, and returns how long to wait until the next update.
     async fn refresh(&mut self) -> Duration {
         if self.query_readers().await && self.has_all_updates().await {
             return QUERY_INTERVAL;
@@ -71,8 +72,8 @@
         time_until_retry.min(QUERY_INTERVAL)
     }
 
-    /// Guards against news that come from another peer than those that are asked first, and are in force
-    /// late.
+    /// Guards against a late update: where a peer other than the queried readers has announced it,
+    /// the readers' replies don't contain it yet.
     async fn has_all_updates(&mut self) -> bool {
         if self.tracker.is_behind(Source::Configuration) {
             self.query_any_peer().await;
@@ -80,7 +81,8 @@
         !self.tracker.is_behind(Source::Configuration)
     }
 
-    /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
+    /// Updates from a peer that reads before this instance; false where none has replied or the
+    /// update failed.
     async fn query_readers(&mut self) -> bool {
         let Some(reply) = self.tracker.query_readers(self.reply_check()).await else {
             return false;
@@ -92,8 +94,8 @@
         is_applied
     }
 
-    /// Guards against an instance that alone can't reach the log and refuses all that need a key, while
-    /// its peers have read a moment ago.
+    /// Guards against an instance that alone can't reach the log and refuses all requests that need
+    /// a key, although its peers have just read the log.
     async fn query_any_peer(&mut self) -> bool {
         match self.tracker.query_peers(QueryTarget::AnyLive, self.reply_check()).await {
             Some(reply) => self.apply_reply(&reply).await,
@@ -101,13 +103,13 @@
         }
     }
 
-    /// Judges answers by what this instance has read so far.
+    /// Returns a check of replies against the position that this instance has read up to.
     fn reply_check(&self) -> impl Fn(ReceivedReply) -> Option<CheckedReply> + use<S> {
         let (configuration, own_position) = (self.configuration.clone(), self.source.position());
         move |received| check_reply(&configuration, &received, own_position)
     }
 
-    /// Makes use of a peer's answer; false where that came to nothing.
+    /// Applies a peer's reply; false where the transfer of a snapshot failed.
     async fn apply_reply(&mut self, reply: &CheckedReply) -> bool {
         match *reply {
             CheckedReply::Complete(position, as_of) => {
@@ -173,15 +175,16 @@
     }
 }
 
-/// What a peer's answer says of what this instance has.
+/// A peer's reply, compared with what this instance has read.
 enum CheckedReply {
-    /// Nothing was missing of it up to here, at this moment.
+    /// This instance has everything up to this position, as of this moment.
     Complete(Position, BootTime),
-    /// The peer there has more.
+    /// The peer at this address has read further.
     Behind(SocketAddr),
 }
 
-/// Confirms what was read up to `mine`, and judges what else the answer is good for.
+/// Compares a peer's reply with `own_position`. Where the peer has read no further, its reply
+/// confirms the configuration in force, however old it is.
 fn check_reply(
     configuration: &Configuration,
     received: &ReceivedReply,
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoints.
+//! Follows the endpoints' registrations.
 
 use std::{
     net::SocketAddr,
@@ -19,26 +19,27 @@
     state::{Group, Groups},
 };
 
-/// Time between two readings, as a part of the time within which a leaving endpoint may get nothing
-/// new. What varies about it, a retry and the way there fit into the rest; each reading has a price.
+/// Time between two reads, as a share of the time within which a leaving endpoint has to stop
+/// getting requests. Jitter, a retry and the round trip fit into the rest. More frequent reads
+/// would add load to the log service.
 const READ_INTERVAL_SHARE: f64 = 0.42;
 
-/// Time between two questions to a peer, as such a part.
+/// Time between two queries to a peer, as a share of the same time.
 const QUERY_INTERVAL_SHARE: f64 = 0.25;
 
-/// A peer's knowledge older than this part is no reason not to read for oneself: with the time to the next
-/// question and the way there it stays below the whole.
+/// Where a peer's knowledge is older than this share, the instance reads the source itself. With
+/// the time to the next query and the round trip it stays below the whole.
 const MAX_PEER_AGE_SHARE: f64 = 0.5;
 
-/// Time between two readings while what an outage left is kept.
+/// Time between two reads while registrations that an outage may have removed are still kept.
 const SETTLING_READ_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The endpoints, as a peer or the log knows them.
+/// Follows the registrations by queries to peers and, where none of them is up to date, by the log.
 pub struct Follower<S> {
     source: S,
     groups: Arc<Groups>,
     clock: Clock,
-    /// Within this a leaving endpoint gets nothing new any more.
+    /// A leaving endpoint gets no new requests after this time.
     leave_within: Duration,
     tracker: Arc<FreshnessTracker>,
     access: SourceAccess,
@@ -47,7 +48,7 @@
 }
 
 impl<S: EndpointSource> Follower<S> {
-    /// Follows `source`.
+    /// Creates a follower that reads `source` itself where peers can't help.
     pub fn new(
         source: S,
         groups: Arc<Groups>,
@@ -68,21 +69,22 @@
         }
     }
 
-    /// Reads on until it is dropped.
+    /// Keeps the endpoints up to date until it is dropped.
     pub async fn run(mut self) {
         loop {
             let pause = self.refresh().await;
-            // What is kept after an outage is dropped by a reading, so that one has to come soon.
+            // Registrations kept after an outage are dropped by the next read, so it has to come
+            // soon.
             let pause = if self.roster.is_settling() { SETTLING_READ_INTERVAL } else { pause };
             let pause = pause.mul_f64(0.85 + 0.3 * fastrand::f64());
             self.wait_until(Instant::now() + pause).await;
         }
     }
 
-    /// Waits until then, or for news that have to be read or asked for.
+    /// Waits until `until`, or until an announced update has to be read or queried.
     ///
-    /// Guards against readings of the log for each change by the reader of every data centre: it takes the
-    /// change from whoever told of it, and reads on at its own pace.
+    /// Guards against a read of the log by every data centre's reader for each change: a reader
+    /// takes the change from the peer that announced it, and continues to read at its own interval.
     async fn wait_until(&mut self, until: Instant) {
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Learns what has changed, and tells how long to wait then.
+    /// Updates the endpoints once, and returns how long to wait until the next update.
     async fn refresh(&mut self) -> Duration {
         let query_interval = self.leave_within.mul_f64(QUERY_INTERVAL_SHARE);
         if self.query_readers().await {
@@ -113,7 +115,8 @@
         time_until_retry.min(query_interval)
     }
 
-    /// Whether a peer that reads before this instance does knows what it lacks, and it has it now.
+    /// Updates from a peer that reads before this instance; false where none has replied or the
+    /// update failed.
     async fn query_readers(&mut self) -> bool {
         let max_age = self.leave_within.mul_f64(MAX_PEER_AGE_SHARE);
         let reply = self
@@ -128,9 +131,11 @@
         is_applied
     }
 
-    /// Takes over what other peers than the readers know; false where that comes to nothing.
+    /// Updates from peers other than the readers; false where none has replied or the update
+    /// failed.
     ///
-    /// Guards against an instance that alone can't reach the log, and goes on with what it knew.
+    /// Guards against an instance that alone can't reach the log and continues with outdated
+    /// endpoints.
     async fn query(&mut self, target: QueryTarget) -> bool {
         let max_age = self.leave_within.mul_f64(MAX_PEER_AGE_SHARE);
         match self
@@ -143,14 +148,14 @@
         }
     }
 
-    /// Takes over what a peer has read; false where it comes to nothing.
+    /// Applies what a peer has read; false where the transfer of a snapshot failed.
     async fn apply_reply(&mut self, reply: &PeerEndpoints) -> bool {
         let Some(own_position) = self.source.position() else {
             return self.adopt_snapshot(reply.from).await;
         };
         let PeerEndpoints { position, as_of, .. } = *reply;
         let changes = match &reply.changes {
-            // This instance has read as far, so what the peer has of changes is old.
+            // The peer has read no further than this instance, so its changes are old.
             _ if position <= own_position => &[][..],
             Some(changes) => changes,
             None => return self.adopt_snapshot(reply.from).await,
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Reads, and tells how long to wait then.
+    /// Reads the source, and returns how long to wait until the next update.
     async fn read(&mut self) -> Duration {
         let before = self.source.position();
         match self.source.read().await {
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Puts all endpoints in place of those found before, and tells what changed.
+    /// Replaces all registrations, and returns what changed.
     fn replace_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<EndpointChange> {
         let registered: IndexMap<_, _> = entries.into_iter().map(|e| (e.id.clone(), e)).collect();
         let removed = self.registered.keys().filter(|id| !registered.contains_key(*id));
@@ -250,17 +255,17 @@
     }
 }
 
-/// What a peer told of the endpoints.
+/// What a peer has read of the registrations.
 struct PeerEndpoints {
     from: SocketAddr,
     position: Position,
     as_of: BootTime,
-    /// What changed since this instance's own position; none where the peer doesn't know.
+    /// Changes since this instance's own position; none where the peer no longer keeps them.
     changes: Option<Vec<EndpointChange>>,
 }
 
 impl PeerEndpoints {
-    /// None where what the peer knows is older than `oldest`.
+    /// None where the peer's knowledge is older than `max_age`.
     fn from_reply(received: ReceivedReply, max_age: Duration) -> Option<PeerEndpoints> {
         let freshness = received.reply.endpoints?;
         let age = freshness.age_after(received.query_sent.age());
@@ -280,7 +285,7 @@
     for entry in entries.values() {
         by_group.entry(entry.group.clone()).or_default().push(entry);
     }
-    // A group whose last endpoint is gone has to hear of it too.
+    // Groups whose last endpoint was removed have to be updated too.
     for group in groups.all() {
         by_group.entry(group.name.clone()).or_default();
     }
@@ -304,7 +309,7 @@
     lock(&group.scheduler).set_members(members.collect(), clock.now());
 }
 
-/// Logs what changed in a group, in one line however many endpoints there are.
+/// Logs the changes of a group in one line, however many endpoints there are.
 fn log_changes(
     group: &Group,
     known: &IndexMap<EndpointId, SocketAddr>,
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps what an instance believes converging: configuration and endpoints.
+//! Keeps an instance's configuration and endpoint registrations up to date.
 
 mod configuration;
 mod endpoints;
@@ -20,11 +20,13 @@
     source::SourceError,
 };
 
-/// Over this time instances ask for the same news. Little beside the time within which a change has to be
+/// Upper bound of the random delay with which instances react to an announced update, so that they
+/// don't all query the reader at once. Short compared to the time within which a change has to be
 /// in force.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(60);
 
-/// Whether a source is lost, and when it is tried again.
+/// Access to one source: whether it can be reached, when it is retried, and snapshots of it from
+/// peers.
 #[derive(Debug)]
 struct SourceAccess {
     source: Source,
@@ -60,7 +62,8 @@
         self.retry_at = Some(Instant::now() + pause);
     }
 
-    /// The source answered this instance, or one that reads before it.
+    /// Resets the back-off after this instance, or a peer that reads before it, has read the
+    /// source.
     fn record_success(&mut self) {
         self.backoff.reset();
         self.retry_at = None;
@@ -70,8 +73,9 @@
         }
     }
 
-    /// Peers have news. The instance that reads before all others tries again at once; the others give it
-    /// the time to read, and don't ask it all in the same moment.
+    /// Reacts to an update that a peer announced. The first reader retries an unreachable source at
+    /// once; the others wait a random time, so that the first reader can read the update and their
+    /// queries are spread.
     async fn prepare_update(&mut self) {
         if !self.is_first_reader() {
             Timer::after(MAX_UPDATE_DELAY.mul_f64(fastrand::f64())).await;
@@ -80,23 +84,24 @@
         }
     }
 
-    /// Logs a reading of the source, of which most are somebody else's to do.
+    /// Logs one read of the source. Instances other than the first reader rarely read it
+    /// themselves.
     fn log_read(&self, position: Position, has_changes: bool) {
         log::info!(source = self.source.as_str(), position = position.0, has_news = has_changes,
             is_reader = self.is_first_reader(); "source_read");
     }
 
-    /// Whether no peer reads before this instance does.
+    /// Whether no peer reads before this instance.
     fn is_first_reader(&self) -> bool {
         self.tracker.retry_group_size() == 1
     }
 
-    /// Whether it reads the source for others.
+    /// Whether this instance reads the source for its peers.
     fn is_active_reader(&self) -> bool {
         self.is_first_reader() && !self.is_unreachable
     }
 
-    /// What a peer has read beyond `after`; none where that comes to nothing.
+    /// Fetches a snapshot of what `peer` has read beyond `after`; none where the transfer fails.
     async fn fetch_snapshot(&self, peer: SocketAddr, after: Position) -> Option<Transfer> {
         let max_bytes = if self.is_unreachable { usize::MAX } else { MAX_RELAYED_BYTES };
         let source = self.source.as_str();
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,6 +1,7 @@
-//! What this instance has read of the log, for peers that ask, and its questions to them.
+//! Records how far this instance has read the log, answers peers' queries about it, and queries
+//! peers.
 //!
-//! [`policy::freshness`] says what a peer's answer means; here it is kept and passed on.
+//! [`policy::freshness`] defines what a peer's reply means; this module stores and transmits it.
 
 use std::{
     collections::VecDeque,
@@ -27,17 +28,17 @@
 
 use crate::{clock::BootTime, lock, signal::Signal, snapshot, source::EndpointEntry};
 
-/// How long an answer is waited for: many times a datagram's way within a region, and little beside a
-/// reading of one's own.
+/// How long to wait for replies: many times a datagram's round trip within a region, and short
+/// compared to a read of the log.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The latest changes of endpoints that are kept for peers that have read less.
 const MAX_KEPT_CHANGES: usize = 64;
 
-/// The most changes in one answer, so that it fits into one datagram.
+/// Maximum of changes in one reply, so that it fits into one datagram.
 const MAX_CHANGES_PER_REPLY: usize = 16;
 
-/// Questions that wait to be sent.
+/// Capacity of the channels for queries that wait to be sent and for the replies to one query.
 const CHANNEL_CAPACITY: usize = 16;
 
 /// A change of one endpoint's registration.
@@ -45,66 +46,66 @@
 pub struct EndpointChange {
     /// The endpoint.
     pub id: EndpointId,
-    /// What it registered; none where it is gone.
+    /// The new registration; none where it was removed.
     pub entry: Option<EndpointEntry>,
 }
 
-/// What one instance tells another that asked.
+/// One instance's reply to a peer's query.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct FreshnessReply {
-    /// Of the configuration; none where it can't be read.
+    /// How fresh its configuration is; none where it can't read the source itself.
     pub configuration: Option<Freshness>,
-    /// Of the endpoints; none where they can't be read.
+    /// How fresh its endpoints are; none where it can't read the source itself.
     pub endpoints: Option<Freshness>,
-    /// What changed of the endpoints since the position that was asked about; none where that is no
-    /// longer known.
+    /// Changes of endpoints since the queried position; none where they are no longer kept, or too
+    /// many for one reply.
     pub changes: Option<Vec<EndpointChange>>,
 }
 
-/// An answer that came.
+/// A reply with its sender and the time of its query.
 #[derive(Debug, Clone)]
 pub struct ReceivedReply {
-    /// Who answered.
+    /// Address of the peer that replied.
     pub from: SocketAddr,
-    /// When the question was sent.
+    /// When the query was sent.
     pub query_sent: BootTime,
-    /// The answer.
+    /// The peer's reply.
     pub reply: FreshnessReply,
 }
 
-/// Whom a question goes to.
+/// Peers that a query is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryTarget {
-    /// The one at this place among those that read before this instance does.
+    /// The peer of this rank among those that read before this instance.
     Reader(usize),
-    /// The one that last told of news.
+    /// The peer that last announced an update.
     LastAnnouncer,
-    /// That one, and some of all live ones.
+    /// The last announcer and some other live peers, chosen at random.
     AnyLive,
 }
 
-/// A question on its way to the links.
+/// A query that the links are to send.
 #[derive(Debug)]
 pub struct FreshnessQuery {
-    /// Whom it goes to.
+    /// Its recipients.
     pub target: QueryTarget,
-    /// Up to where this instance knows the endpoints.
+    /// Position up to which this instance has the endpoints.
     pub endpoints_position: Position,
-    /// Takes answers; dropped where there is nobody to ask.
+    /// Receives the replies; dropped at once where there is no recipient.
     pub replies: Sender<ReceivedReply>,
 }
 
-/// What asking came to.
+/// Result of a query.
 enum QueryOutcome<T> {
-    /// There is nobody to ask.
+    /// There is no peer to query.
     NoPeer,
-    /// No answer was good enough in time.
+    /// No reply was accepted before the timeout.
     NoUsableReply,
-    /// This was made of one that was.
+    /// Made from an accepted reply.
     Accepted(T),
 }
 
-/// What is read.
+/// What instances follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Source {
     /// The operators' configuration.
@@ -114,7 +115,7 @@
 }
 
 impl Source {
-    /// As it stands in log lines.
+    /// Name used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Source::Configuration => "configuration",
@@ -129,19 +130,19 @@
     as_of: BootTime,
 }
 
-/// What this instance has of one source.
+/// What this instance has read of one source.
 #[derive(Debug, Default)]
 struct SourceState {
     confirmed: Option<ConfirmedPosition>,
-    /// It can't read the source itself.
+    /// This instance can't read the source itself.
     is_unreachable: bool,
     update_announced: Signal,
-    /// How far peers have read, by their own word.
+    /// The furthest position that peers have announced.
     peer_position: Position,
 }
 
 impl SourceState {
-    /// Knowledge only grows: a late answer takes nothing back.
+    /// Records a new position and time. Neither goes back: a late reply doesn't undo a newer one.
     fn advance(&mut self, position: Position, as_of: BootTime) {
         let before = self.confirmed.unwrap_or(ConfirmedPosition { position, as_of });
         let position = before.position.max(position);
@@ -152,17 +153,19 @@
         self.confirmed.map_or(Position::default(), |confirmed| confirmed.position)
     }
 
-    /// What a peer hears of it.
+    /// How fresh this source is, for replies to peers.
     ///
-    /// Guards against a circle: where the instance that reads for others is cut off and lives on what
-    /// they say, and they on what it says, nobody reads, and a change is in force too late. Who is cut
-    /// off vouches for nothing, so that the next one reads.
+    /// Guards against a cycle: where the first reader can't reach the log and relies on its peers'
+    /// replies, while they rely on its replies, no instance reads the log, and changes are in force
+    /// too late. An instance that can't read the source confirms nothing, so that the next one
+    /// reads it.
     fn freshness(&self) -> Option<Freshness> {
         let confirmed = self.confirmed.filter(|_| !self.is_unreachable)?;
         Some(Freshness { position: confirmed.position, age: confirmed.as_of.age() })
     }
 
-    /// A peer has read up to there: whoever has read less, or can't read, asks at once.
+    /// Records that a peer has read up to `position`. Wakes the follower where this instance has
+    /// read less, or can't read the source itself.
     fn record_announcement(&mut self, position: Position) {
         self.peer_position = self.peer_position.max(position);
         if self.is_unreachable || position > self.position() {
@@ -177,11 +180,11 @@
     /// The newest configuration, as it was published.
     published_configuration: Option<Bytes>,
     endpoints: SourceState,
-    /// All endpoints.
+    /// All registered endpoints.
     entries: Arc<IndexMap<EndpointId, EndpointEntry>>,
-    /// Changes of endpoints with the position up to which each was read.
+    /// Recent changes of endpoints, each with the position of the read that brought it.
     changes: VecDeque<(Position, EndpointChange)>,
-    /// All changes from this position on are kept.
+    /// All changes after this position are kept.
     changes_from: Position,
 }
 
@@ -194,19 +197,20 @@
     }
 }
 
-/// Shared by the followers of the log and the links.
+/// How fresh this instance's configuration and endpoints are. Shared by the followers and the
+/// links.
 #[derive(Debug)]
 pub struct FreshnessTracker {
     state: Mutex<TrackerState>,
     queries: Sender<FreshnessQuery>,
-    /// There are news to tell to peers.
+    /// Raised when positions have to be announced to peers.
     announcement_requested: Signal,
-    /// Instances that retry a lost source together.
+    /// Number of instances that retry an unreachable source together.
     retry_group_size: AtomicUsize,
 }
 
 impl FreshnessTracker {
-    /// Knows nothing yet. The receiver is for the links: questions to send.
+    /// Creates a tracker at position zero, and the receiver of queries that the links send.
     pub fn new() -> (FreshnessTracker, Receiver<FreshnessQuery>) {
         let (queries, query_rx) = bounded(CHANNEL_CAPACITY);
         let tracker = FreshnessTracker {
@@ -218,7 +222,7 @@
         (tracker, query_rx)
     }
 
-    /// The configuration is known up to `position`, and was complete at `as_of`.
+    /// Records that the configuration is complete up to `position` as of `as_of`.
     pub fn update_configuration(
         &self,
         position: Position,
@@ -232,7 +236,8 @@
         state.configuration.advance(position, as_of);
     }
 
-    /// The endpoints are known up to `position`: these, after `changes` since `before`.
+    /// Records that `entries` are complete up to `position` as of `as_of`, and the `changes` since
+    /// `before`.
     pub fn update_endpoints(
         &self,
         before: Option<Position>,
@@ -259,8 +264,9 @@
         }
     }
 
-    /// Tells all peers up to where this instance has read. Only who has read the source itself does, so
-    /// that news cost a datagram for each reader and peer and not for each two peers.
+    /// Announces this instance's positions to all peers. Only an instance that has read the source
+    /// itself announces them, so that an update costs one datagram per reader and peer and not one
+    /// per pair of instances.
     pub fn announce(&self) {
         self.announcement_requested.raise();
     }
@@ -272,8 +278,8 @@
         followed.peer_position > followed.position()
     }
 
-    /// What this instance has of a source, written for a peer; none where it can't vouch for it, or has no
-    /// more than the peer, which has read up to `after`.
+    /// The source's content, encoded for a peer that has read up to `after`; none where this
+    /// instance can't confirm its freshness or has nothing newer.
     pub fn content(&self, source: Source, after: Position) -> Option<(Freshness, Bytes)> {
         let mut state = lock(&self.state);
         let freshness =
@@ -289,7 +295,8 @@
         Some((freshness, content))
     }
 
-    /// Whether this instance reaches a source. Peers are told of a return, as they may wait for it.
+    /// Records whether this instance can read a source. When it can again, it announces its
+    /// positions, since peers may be waiting for them.
     pub fn set_unreachable(&self, source: Source, is_unreachable: bool) {
         lock(&self.state).source_mut(source).is_unreachable = is_unreachable;
         if !is_unreachable {
@@ -297,17 +304,17 @@
         }
     }
 
-    /// Instances that retry a lost source together, this one included.
+    /// Number of instances that retry an unreachable source together, including this one.
     pub fn retry_group_size(&self) -> usize {
         self.retry_group_size.load(Ordering::Relaxed)
     }
 
-    /// The links know how many these are.
+    /// Sets the number that [`Self::retry_group_size`] returns.
     pub fn set_retry_group_size(&self, retry_group_size: usize) {
         self.retry_group_size.store(retry_group_size, Ordering::Relaxed);
     }
 
-    /// What a peer hears that knows the endpoints up to `endpoints_at`.
+    /// Builds the reply to a peer that has the endpoints up to `endpoints_position`.
     pub fn reply(&self, endpoints_position: Position) -> FreshnessReply {
         let state = lock(&self.state);
         let since = state.changes.iter().filter(|(position, _)| *position > endpoints_position);
@@ -321,32 +328,32 @@
         }
     }
 
-    /// Up to where configuration and endpoints are known.
+    /// Positions up to which this instance has the configuration and the endpoints.
     pub fn positions(&self) -> (Position, Position) {
         let state = lock(&self.state);
         (state.configuration.position(), state.endpoints.position())
     }
 
-    /// Takes in how far a peer has read.
+    /// Records the positions that a peer announced.
     pub fn record_announcement(&self, configuration: Position, endpoints: Position) {
         let mut state = lock(&self.state);
         state.configuration.record_announcement(configuration);
         state.endpoints.record_announcement(endpoints);
     }
 
-    /// Waits for news of a source, for `patience` at most; whether there are any.
+    /// Waits for an announced update of `source`; returns false after `timeout`.
     pub async fn wait_for_announcement(&self, source: Source, timeout: Duration) -> bool {
         let announced = lock(&self.state).source_mut(source).update_announced.clone();
         announced.raised_within(timeout).await
     }
 
-    /// Waits until there are news to tell to peers.
+    /// Waits until this instance's positions have to be announced.
     pub async fn wait_for_announcement_request(&self) {
         self.announcement_requested.raised().await;
     }
 
-    /// Asks the peers that read before this instance does, one after the other, and gives what `accept`
-    /// makes of the first good answer; none where it is this instance's turn to read.
+    /// Queries the peers that read before this instance, one after the other, and returns the first
+    /// reply that `accept` accepts; none where this instance has to read the source itself.
     pub async fn query_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
         for rank in 0..MAX_QUERIED_INSTANCES {
             match self.query(QueryTarget::Reader(rank), &accept).await {
@@ -358,7 +365,7 @@
         None
     }
 
-    /// The same with other peers, all at once.
+    /// Queries several peers at once, and returns the first reply that `accept` accepts.
     pub async fn query_peers<T>(
         &self,
         target: QueryTarget,
@@ -397,7 +404,7 @@
         };
         match first_accepted.or(timed_out).await {
             Some(outcome) => outcome,
-            // The links let go of the question: at once where there is nobody to ask.
+            // The links drop the sender of replies: at once where there is no peer to query.
             None if any_reply => QueryOutcome::NoUsableReply,
             None => QueryOutcome::NoPeer,
         }
--- a/crates/router/src/links/message.rs
+++ b/crates/router/src/links/message.rs
@@ -1,4 +1,4 @@
-//! What instances send each other.
+//! Messages between instances.
 
 use policy::{
     DataCentre, GroupTag, Incarnation, InstanceId, freshness::Position, placement::EndpointUpdate,
@@ -8,17 +8,18 @@
 
 use crate::freshness::FreshnessReply;
 
-/// One datagram. Its sender is known by its address and life, so that most datagrams hold no name.
+/// One datagram. Address and incarnation identify the sender, so most datagrams carry no instance
+/// name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct Datagram {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub(super) incarnation: IncarnationTag,
     /// Counts the sender's datagrams; one that arrives after a later one is dropped.
     pub(super) sequence: u64,
     pub(super) body: Body,
 }
 
-/// The lower half of an incarnation: enough to tell a life from the one before at the same address.
+/// Lower half of an incarnation: enough to tell successive incarnations at one address apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct IncarnationTag(u32);
@@ -29,28 +30,31 @@
     }
 }
 
-/// Who a sender is.
+/// Identifies the sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) instance: InstanceId,
     pub(super) incarnation: Incarnation,
     pub(super) data_centre: DataCentre,
-    /// The sender doesn't know the receiver, which is to answer with a hello.
+    /// The sender doesn't know the receiver, which has to reply with its own hello.
     pub(super) wants_reply: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum Body {
-    /// A sign of life; whoever doesn't know the sender yet answers with one.
+    /// Identifies the sender and shows that it is alive. A receiver that doesn't know it yet
+    /// replies with a heartbeat of its own.
     Heartbeat(Hello),
-    /// Work on endpoints of one group.
+    /// Changed load on endpoints of one group.
     EndpointUpdates { group: GroupTag, updates: Vec<EndpointUpdate> },
     /// Requests suspected of crashing endpoints of one group.
     Suspects { group: GroupTag, entries: Vec<quarantine::Entry> },
-    /// How fresh is what the receiver knows, and what has changed of the endpoints since a position?
+    /// Asks how fresh the receiver's configuration and endpoints are, and which endpoints have
+    /// changed since a position.
     Query { nonce: u64, endpoints_position: Position },
-    /// What the receiver asked.
+    /// Reply to the query with the same nonce.
     Reply { nonce: u64, reply: FreshnessReply },
-    /// The sender has read up to there. Nothing is believed of it; whoever has read less looks.
+    /// Positions that the sender has read up to. They confirm nothing; an instance that has read
+    /// less sends a query.
     Positions { configuration: Position, endpoints: Position },
 }
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -1,10 +1,11 @@
-//! What instances tell each other of the work they placed, in datagrams.
+//! Datagrams between instances: updates on the work they have placed, heartbeats, and freshness
+//! queries.
 //!
-//! Every word is a level or a short-lived addition, so the newest is all that matters: a lost one
-//! is made good by the next, and none waits behind another. A stream would deliver old words late
-//! and in order (`docs/decisions/platform.md`). What an instance is told unasked changes only where it
-//! sends work, or wakes it to look; nothing that must hold depends on it. Answers to its own questions
-//! ([`questions`]) are believed as [`policy::freshness`] says.
+//! Every update states an absolute level or a short-lived addition, so only the latest one matters:
+//! the next update replaces a lost one, and none waits for another. A stream would deliver outdated
+//! updates late and in order (`docs/decisions/platform.md`). What peers send unasked only changes
+//! where this instance sends work, or wakes a follower to query; no guarantee depends on it.
+//! Replies to this instance's own queries ([`queries`]) count as [`policy::freshness`] defines.
 
 mod message;
 mod queries;
@@ -42,31 +43,33 @@
 use message::{Body, Datagram, Hello, IncarnationTag};
 use queries::PendingQuery;
 
-/// Pause before the directory is tried again. Instances that start together don't know of one another
-/// yet, so none knows with how many it shares the retries.
+/// Interval between retries of the directory. Instances that start together don't know each other
+/// yet, so none of them knows how many share the retries.
 const DIRECTORY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The most words in one datagram, so that it fits into one packet: a word with a part takes about 40
-/// bytes.
+/// Maximum of updates in one datagram, so that it fits into one packet: an update with a part takes
+/// about 40 bytes.
 const MAX_UPDATES_PER_DATAGRAM: usize = 24;
 
-/// The longest datagram that is read.
+/// Longer datagrams aren't decoded.
 const MAX_DATAGRAM_BYTES: usize = 4 << 10;
 
-/// An instance that has nothing to say says so this often.
+/// An instance that has sent nothing else sends a heartbeat at this interval.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An instance unheard of for this long is gone, and its work with it: six heartbeats.
+/// An instance that was silent for this long, six heartbeats, is considered dead, and its work is
+/// discarded.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long addresses of instances that fell silent are still tried.
+/// Heartbeats are still sent to a silent instance's address for this long.
 const DEAD_PEER_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time between two readings of the directory. Instances that start greet all that are in it, and again
-/// those that don't answer; this only heals what was lost beyond that.
+/// Time between two reads of the directory. An instance that starts sends hellos to all listed
+/// instances, and again to those that don't reply; later reads only recover what was lost beyond
+/// that.
 const DIRECTORY_POLL_INTERVAL: Duration = Duration::from_secs(45);
 
-/// How often those that are listed and weren't heard of are greeted. Most of them are gone for good.
+/// Rounds of hellos to listed instances that haven't been seen. Most of them have stopped for good.
 const MAX_HELLO_ROUNDS: u32 = 5;
 
 #[derive(Debug)]
@@ -80,13 +83,13 @@
 }
 
 impl Peer {
-    /// Whether datagrams of this life come from there.
+    /// Whether this peer sends from `address` under `incarnation`.
     fn is_sender(&self, address: SocketAddr, incarnation: IncarnationTag) -> bool {
         self.is_live && self.address == address && incarnation == self.incarnation.into()
     }
 }
 
-/// The links of one instance.
+/// Exchanges datagrams with all other instances.
 pub struct Links {
     own_entry: PeerEntry,
     incarnation: Incarnation,
@@ -94,16 +97,17 @@
     groups: Arc<Groups>,
     clock: Clock,
     peers: IndexMap<InstanceId, Peer>,
-    /// Live instances, this one included.
+    /// Number of live instances, including this one.
     live_instances: Arc<AtomicUsize>,
-    /// Raised for a word that can't wait.
+    /// Raised for an update that can't wait for the next interval.
     urgent: Signal,
     listed: Receiver<Vec<PeerEntry>>,
     sequence: u64,
     last_sent: Time,
-    /// Suspects told in the last round, so that only changes are told.
+    /// Number of suspects per group at the last regular update. They are sent again only when it
+    /// has grown.
     suspect_counts: IndexMap<EndpointGroup, usize>,
-    /// Listed instances that weren't heard of yet, and how often they will still be greeted.
+    /// Listed instances that haven't been seen yet, and how many more rounds of hellos they get.
     unseen_entries: Vec<PeerEntry>,
     hello_rounds_left: u32,
     last_hello: Time,
@@ -111,9 +115,9 @@
     tracker: Arc<FreshnessTracker>,
     queries: Receiver<FreshnessQuery>,
     pending_queries: IndexMap<u64, PendingQuery>,
-    /// The peer that last told of news.
+    /// The peer that last announced an update.
     last_announcer: Option<InstanceId>,
-    /// Peers found and lost since that was logged.
+    /// Peers that appeared and disappeared since the last log line about them.
     discovered: Vec<InstanceId>,
     lost: Vec<InstanceId>,
 }
@@ -127,34 +131,34 @@
     Received(Datagram, SocketAddr),
 }
 
-/// What links need of their instance.
+/// What the links of an instance are made of.
 pub struct LinkParts {
-    /// This instance.
+    /// This instance's entry in the directory.
     pub own_entry: PeerEntry,
-    /// Its life.
+    /// This instance's incarnation.
     pub incarnation: Incarnation,
-    /// Its socket.
+    /// Socket for all datagrams.
     pub socket: UdpSocket,
     /// All endpoint groups.
     pub groups: Arc<Groups>,
-    /// Its clock.
+    /// Clock for timeouts and updates.
     pub clock: Clock,
-    /// Where the count of live instances is kept.
+    /// Receives the number of live instances, including this one.
     pub live_instances: Arc<AtomicUsize>,
-    /// Addresses from the directory.
+    /// Listings of the directory.
     pub listed: Receiver<Vec<PeerEntry>>,
-    /// Where this instance stands.
+    /// This instance's data centre.
     pub data_centre: DataCentre,
-    /// What it has read.
+    /// Records how far this instance has read.
     pub tracker: Arc<FreshnessTracker>,
-    /// Its questions to peers.
+    /// Queries to send to peers.
     pub queries: Receiver<FreshnessQuery>,
-    /// Raised for a word that can't wait.
+    /// Raised for an update that can't wait for the next interval.
     pub urgent: Signal,
 }
 
 impl Links {
-    /// Links without peers yet.
+    /// Creates links without any peer.
     pub fn new(parts: LinkParts) -> Links {
         Links {
             own_entry: parts.own_entry,
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Tells and hears until it is dropped.
+    /// Sends and receives datagrams until it is dropped.
     pub async fn run(mut self) {
         let mut next_update = self.clock.now();
         loop {
@@ -274,12 +278,12 @@
         self.send(body, &addresses).await;
     }
 
-    /// Sends one datagram, written once, to each of these.
+    /// Sends one datagram, encoded once, to all `addresses`.
     async fn send(&mut self, body: Body, addresses: &[SocketAddr]) {
         self.sequence += 1;
         let datagram =
             Datagram { incarnation: self.incarnation.into(), sequence: self.sequence, body };
-        // These types can always be written.
+        // Encoding these types can't fail.
         let bytes = bincode::serde::encode_to_vec(&datagram, bincode::config::standard());
         let Ok(bytes) = bytes else { return };
         for address in addresses {
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Greets those that are listed and weren't heard of yet.
+    /// Sends hellos to listed instances that haven't been seen yet.
     async fn send_hellos(&mut self) {
         let now = self.clock.now();
         if self.hello_rounds_left == 0
@@ -330,7 +334,7 @@
         self.apply(instance, body, from).await;
     }
 
-    /// A peer says who it is.
+    /// Adds or updates the peer that sent a hello.
     async fn handle_hello(&mut self, hello: Hello, sequence: u64, from: SocketAddr) {
         let Hello { instance, incarnation, data_centre, wants_reply } = hello;
         if instance == self.own_entry.instance {
@@ -405,7 +409,7 @@
         self.peers.retain(|_, peer| now.since(peer.last_seen) < DEAD_PEER_RETENTION);
     }
 
-    /// Logs which peers came and went, in one line however many there are.
+    /// Logs which peers appeared and disappeared in one line, however many there are.
     fn log_peer_changes(&mut self) {
         let (found, lost) = (std::mem::take(&mut self.discovered), std::mem::take(&mut self.lost));
         if found.is_empty() && lost.is_empty() {
@@ -447,7 +451,7 @@
     }
 }
 
-/// What comes next; nothing ever where the sender is gone.
+/// Receives the next item; waits for ever once the channel is closed.
 async fn recv_or_pending<T>(rx: &Receiver<T>) -> T {
     match rx.recv().await {
         Ok(next) => next,
@@ -455,7 +459,7 @@
     }
 }
 
-/// Registers this instance and reads the directory now and then, until it is dropped.
+/// Registers this instance in the directory, then lists it periodically until it is dropped.
 pub async fn follow_directory(
     mut directory: impl PeerDirectory,
     own_entry: PeerEntry,
--- a/crates/router/src/links/queries.rs
+++ b/crates/router/src/links/queries.rs
@@ -1,4 +1,4 @@
-//! Questions to peers about what they have read, and the answers.
+//! Queries to peers about how far they have read, and their replies.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,31 +11,31 @@
     freshness::{FreshnessQuery, FreshnessReply, QueryTarget, ReceivedReply},
 };
 
-/// How long an answer to a question may come.
+/// Replies that arrive later are dropped.
 const REPLY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Live instances that are asked where any will do.
+/// Maximum of live instances that a query to [`QueryTarget::AnyLive`] goes to.
 const MAX_ANY_TARGETS: usize = 3;
 
-/// A question under way.
+/// A query whose replies may still arrive.
 #[derive(Debug)]
 pub(super) struct PendingQuery {
     sent: Time,
     sent_boot_time: BootTime,
     replies: Sender<ReceivedReply>,
-    /// Answers that may still come.
+    /// Recipients that haven't replied yet.
     expected_replies: usize,
 }
 
 impl PendingQuery {
-    /// Whether answers may still come.
+    /// Whether replies are still accepted.
     pub(super) fn is_open(&self, now: Time) -> bool {
         now.since(self.sent) < REPLY_WINDOW
     }
 }
 
 impl Links {
-    /// Passes a question on; where there is nobody to ask, it is let go of at once.
+    /// Sends a query; drops it at once where it has no recipient.
     pub(super) async fn send_query(&mut self, query: FreshnessQuery) {
         let FreshnessQuery { target, endpoints_position, replies } = query;
         let addresses = self.target_addresses(target);
@@ -79,7 +79,7 @@
         let Some(query) = self.pending_queries.get_mut(&nonce) else { return };
         let received = ReceivedReply { from, query_sent: query.sent_boot_time, reply };
         query.expected_replies = query.expected_replies.saturating_sub(1);
-        // Whoever has a good answer waits for no other.
+        // The receiver is dropped after a reply was accepted, so that later replies aren't needed.
         let is_done = query.replies.try_send(received).is_err() || query.expected_replies == 0;
         if is_done {
             self.pending_queries.swap_remove(&nonce);
--- a/crates/router/src/snapshot.rs
+++ b/crates/router/src/snapshot.rs
@@ -1,10 +1,12 @@
-//! State transfer between instances: whoever is behind takes what a peer has read, whole.
+//! Snapshot transfer between instances: an instance that is behind fetches the whole content that a
+//! peer has read.
 //!
-//! Datagrams tell who has read further ([`crate::freshness`]). What it has read is too long for one, so it
-//! travels over HTTP/2 with `bincode`, on the port at which the peer listens for datagrams.
+//! Datagrams show which peer has read further ([`crate::freshness`]). The content is too long for a
+//! datagram, so it is sent over HTTP/2, encoded with `bincode`, on the port number at which the
+//! peer receives datagrams.
 //!
-//! Guards against an instance that the log turns away: it knows that its peers have a newer version, and
-//! refuses everything that needs a key because it can't have that version.
+//! Guards against an instance that the log refuses: it knows that its peers have a newer version
+//! which it can't read, and so refuses every request that needs a key.
 
 use std::{convert::Infallible, fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -31,57 +33,57 @@
     net, serve,
 };
 
-/// How long a transfer may take. Within a data centre it takes milliseconds; a peer that takes longer is
-/// suspended or cut off.
+/// Time limit of a transfer. Within a data centre it takes milliseconds; a peer that takes longer
+/// is suspended or cut off.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest request and snapshot that are read.
+/// Longer queries and snapshots are refused.
 const MAX_QUERY_BYTES: usize = 64;
 const MAX_SNAPSHOT_BYTES: usize = 8 << 20;
 
-/// Bytes of a snapshot beyond which it is left to the log, unless the log can't be read: a data centre's
-/// reader would send it to all others over its own link.
+/// Longer snapshots are read from the log unless that is unreachable: otherwise a data centre's
+/// reader would send them to all its peers over its own network link.
 pub const MAX_RELAYED_BYTES: usize = 64 << 10;
 
-/// What is asked for.
+/// Asks for a snapshot.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct SnapshotQuery {
     source: Source,
-    /// Up to where the asking instance has read.
+    /// Position that the querying instance has read up to.
     after: Position,
     max_bytes: usize,
 }
 
-/// The answer on the wire.
+/// A snapshot as it is sent.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     freshness: Freshness,
-    /// Of the content, by XXH3.
+    /// XXH3 hash of the content.
     checksum: u64,
     content: Bytes,
 }
 
-/// What a peer has read of a source.
+/// A peer's snapshot of a source.
 #[derive(Debug)]
 pub struct Transfer {
-    /// Up to where.
+    /// Position that the peer has read up to.
     pub position: Position,
     /// Nothing acknowledged before this moment is missing.
     pub as_of: BootTime,
-    /// The state, as the source's follower wrote it.
+    /// The content, as the source's follower encoded it.
     pub content: Bytes,
 }
 
-/// Why a transfer came to nothing.
+/// Why a transfer failed.
 #[derive(Debug)]
 pub enum TransferError {
-    /// The peer wasn't reached, or broke off.
+    /// The peer couldn't be reached, or closed the connection early.
     Unreachable(String),
-    /// It has nothing newer, or more than was asked for.
+    /// The peer has nothing newer, or more bytes than the query allows.
     Refused(StatusCode),
-    /// What came can't be read.
+    /// The reply couldn't be decoded.
     Malformed(String),
-    /// It took too long.
+    /// The transfer exceeded its time limit.
     TimedOut,
 }
 
@@ -98,19 +100,19 @@
 
 impl std::error::Error for TransferError {}
 
-/// Takes snapshots from peers.
+/// Fetches snapshots from peers.
 #[derive(Debug, Clone)]
 pub struct SnapshotClient {
     executor: Arc<Executor<'static>>,
 }
 
 impl SnapshotClient {
-    /// A client whose connections run on `executor`.
+    /// Creates a client whose connections run on `executor`.
     pub fn new(executor: Arc<Executor<'static>>) -> SnapshotClient {
         SnapshotClient { executor }
     }
 
-    /// What the peer at `address` has read of `source` beyond `after`.
+    /// Fetches what the peer at `address` has read of `source` beyond `after`.
     ///
     /// # Errors
     ///
@@ -135,7 +137,8 @@
         if xxh3_64(&content) != checksum {
             return Err(TransferError::Malformed("the checksum differs".to_owned()));
         }
-        // The freshness was stated after the question, so that a suspended peer makes nothing look fresh.
+        // The age was computed after the query was sent, so a suspended peer can't make old content
+        // look fresh.
         let as_of = BootTime::now().before(freshness.age_after(query_sent.age()));
         Ok(Transfer { position: freshness.position, as_of, content })
     }
@@ -163,7 +166,7 @@
     }
 }
 
-/// Gives peers what this instance has read, until it is dropped.
+/// Serves snapshots to peers until it is dropped.
 pub async fn serve(
     listener: TcpListener,
     tracker: Arc<FreshnessTracker>,
@@ -216,18 +219,18 @@
     (StatusCode::OK, encode(&Snapshot { freshness, checksum, content }))
 }
 
-/// Writes one of this module's types, or what a snapshot holds.
+/// Encodes a message of this module, or the content of a snapshot.
 pub fn encode<T: Serialize>(value: &T) -> Bytes {
-    // These types can always be written.
+    // Encoding these types can't fail.
     let bytes = bincode::serde::encode_to_vec(value, bincode::config::standard());
     Bytes::from(bytes.unwrap_or_default())
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes the output of [`encode`].
 ///
 /// # Errors
 ///
-/// [`TransferError::Malformed`].
+/// [`TransferError::Malformed`] where the bytes aren't a valid encoding of `T`.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, TransferError> {
     let config = bincode::config::standard().with_limit::<MAX_SNAPSHOT_BYTES>();
     let decoded = bincode::serde::decode_from_slice(bytes, config);
