--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::{BootTime, Clock},
     freshness::{EndpointChange, FreshnessTracker, QueryTarget, ReceivedReply, Source},
-    lock, names,
+    join_names, lock,
     snapshot::{self, SnapshotClient, Transfer},
     source::{EndpointEntry, EndpointSource},
     state::{Group, Groups},
@@ -315,7 +315,7 @@
     known: &IndexMap<EndpointId, SocketAddr>,
     entries: &[&EndpointEntry],
 ) {
-    let ids = |entries: Vec<&EndpointEntry>| names(entries.iter().map(|e| e.id.as_str()));
+    let ids = |entries: Vec<&EndpointEntry>| join_names(entries.iter().map(|e| e.id.as_str()));
     let new: Vec<_> = entries.iter().copied().filter(|e| !known.contains_key(&e.id)).collect();
     let leaving: Vec<_> = entries.iter().copied().filter(|e| e.leaving).collect();
     let removed: Vec<_> = known.keys().filter(|id| !entries.iter().any(|e| e.id == **id)).collect();
@@ -323,6 +323,6 @@
         return;
     }
     log::info!(group = group.name.as_str(), known = entries.len(), new = ids(new).as_str(),
-        leaving = ids(leaving).as_str(), gone = names(removed.iter().map(|id| id.as_str())).as_str();
+        leaving = ids(leaving).as_str(), gone = join_names(removed.iter().map(|id| id.as_str())).as_str();
         "endpoints_changed");
 }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its tasks, its listeners and its end.
+//! Starts and stops an instance: its listeners, its tasks and their shutdown.
 
 use std::{
     fmt, io,
@@ -26,24 +26,25 @@
     state::{Configuration, Groups, Lifecycle, Stage},
 };
 
-/// How long a stopping instance serves on as before: the balancer asks every second and believes
-/// the second miss.
-const BALANCER_WAIT: Duration = Duration::from_millis(2_600);
+/// How long a stopping instance continues to serve as before: the balancer checks readiness every
+/// second and reacts to the second failed check.
+const BALANCER_GRACE_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// What is left of the time for a stop when it ends whatever is still under way: enough to end in
-/// order, and less than the last sixth in which cuts are expected.
+/// Requests that are still in flight this long before the end of the time for a stop are cut:
+/// enough for an orderly end, and less than the last sixth of that time, in which cuts are
+/// expected.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time between two looks at what is under way.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which a stopping instance checks for requests in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long idle connections are given to close once nothing is under way.
-const IDLE_CLOSE: Duration = Duration::from_millis(150);
+/// Time for idle connections to close once no request is in flight.
+const IDLE_CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(150);
 
 /// Why an instance can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// The address can't be bound.
     Bind(SocketAddr, io::Error),
     /// The metrics can't be set up.
     Metrics(MetricsError),
@@ -60,13 +61,13 @@
 
 impl std::error::Error for StartError {}
 
-/// What an instance gets from outside.
+/// Where an instance gets its configuration, its endpoints and the addresses of its peers.
 pub struct Sources<C, E, P> {
-    /// Its configuration.
+    /// The operators' configuration.
     pub configuration: C,
-    /// Its endpoints.
+    /// The endpoints' registrations.
     pub endpoints: E,
-    /// Other instances.
+    /// The directory of instances.
     pub peers: P,
 }
 
@@ -101,14 +102,15 @@
         let groups = Arc::new(Groups::new(settings.placement));
         let lifecycle = Arc::new(Lifecycle::default());
         let live_instances = Arc::new(AtomicUsize::new(1));
-        let bind = |address| move |e| StartError::Bind(address, e);
+        let bind_error = |address| move |e| StartError::Bind(address, e);
         let metrics = Metrics::new(&configuration, &groups, &lifecycle);
         let metrics = Arc::new(metrics.map_err(StartError::Metrics)?);
-        let callers = net::listen(settings.listen).map_err(bind(settings.listen))?;
-        let ready = net::listen(settings.ready_listen).map_err(bind(settings.ready_listen))?;
+        let callers = net::listen(settings.listen).map_err(bind_error(settings.listen))?;
+        let ready =
+            net::listen(settings.ready_listen).map_err(bind_error(settings.ready_listen))?;
         let socket =
-            net::bind_udp(settings.link_listen).await.map_err(bind(settings.link_listen))?;
-        let peers = net::listen(settings.link_listen).map_err(bind(settings.link_listen))?;
+            net::bind_udp(settings.link_listen).await.map_err(bind_error(settings.link_listen))?;
+        let peers = net::listen(settings.link_listen).map_err(bind_error(settings.link_listen))?;
 
         let own_entry =
             PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
@@ -165,9 +167,9 @@
         };
         let spawn = executor.clone();
         if let Some(address) = settings.metrics_listen {
-            let listener = net::listen(address).map_err(bind(address))?;
-            let page = Arc::new(MetricsPage { metrics, lifecycle: lifecycle.clone() });
-            spawn.spawn(serve::serve(listener, page, executor.clone())).detach();
+            let listener = net::listen(address).map_err(bind_error(address))?;
+            let metrics_page = Arc::new(MetricsPage { metrics, lifecycle: lifecycle.clone() });
+            spawn.spawn(serve::serve(listener, metrics_page, executor.clone())).detach();
         }
         spawn.spawn(serve::serve(callers, Arc::new(entry), executor.clone())).detach();
         spawn.spawn(serve::serve(ready, Arc::new(readiness), executor.clone())).detach();
@@ -175,15 +177,15 @@
         spawn.spawn(snapshot::serve(peers, tracker.clone(), executor.clone())).detach();
         let snapshots = SnapshotClient::new(executor);
         spawn.spawn(links::follow_directory(sources.peers, own_entry, listed_tx)).detach();
-        let followed = follow::ConfigurationFollower::new(
+        let follower = follow::ConfigurationFollower::new(
             sources.configuration,
             configuration,
             groups.clone(),
             tracker.clone(),
             snapshots.clone(),
         );
-        spawn.spawn(followed.run()).detach();
-        let followed = follow::EndpointsFollower::new(
+        spawn.spawn(follower.run()).detach();
+        let follower = follow::EndpointsFollower::new(
             sources.endpoints,
             groups,
             clock,
@@ -191,7 +193,7 @@
             tracker,
             snapshots,
         );
-        spawn.spawn(followed.run()).detach();
+        spawn.spawn(follower.run()).detach();
         log::info!(
             instance = settings.instance.as_str(),
             incarnation = incarnation.0,
@@ -203,21 +205,21 @@
         Ok(Instance { lifecycle, stop_within: bounds.stop_within })
     }
 
-    /// Stops gracefully: the balancer is waited out, every request is finished, idle connections
-    /// are closed, and only what lasts beyond the time for a stop is cut.
+    /// Stops gracefully: waits until the balancer sends nothing new, finishes all requests and
+    /// closes idle connections. Only requests that exceed the time for a stop are cut.
     pub async fn close(self) {
         let end = std::time::Instant::now() + self.stop_within.saturating_sub(STOP_MARGIN);
         self.lifecycle.begin_stop(end);
         log::info!(open = self.lifecycle.in_flight(); "leaving");
-        Timer::after(BALANCER_WAIT).await;
+        Timer::after(BALANCER_GRACE_PERIOD).await;
         self.lifecycle.enter(Stage::Closing);
         log::info!(open = self.lifecycle.in_flight(); "closing");
-        Timer::after(IDLE_CLOSE).await;
+        Timer::after(IDLE_CLOSE_GRACE_PERIOD).await;
         while self.lifecycle.in_flight() > 0 && std::time::Instant::now() < end {
-            Timer::after(LOOK_PERIOD).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
-        // The last bytes are still on their way to their callers.
-        Timer::after(IDLE_CLOSE).await;
+        // The last bytes of answers are still on their way to the callers.
+        Timer::after(IDLE_CLOSE_GRACE_PERIOD).await;
         log::info!(open = self.lifecycle.in_flight(); "stopped");
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,9 @@
-//! Passes requests on to endpoints by route, answers as the endpoints gave them.
+//! Forwards requests to endpoints by route, and returns the endpoints' answers unchanged.
 //!
-//! What an outside system calls its headers and fields is the affair of a [`dialect::Dialect`] and
-//! of the sources in [`source`]; here they are facts. `docs/ARCHITECTURE.md` describes the path of
-//! a request, `docs/decisions/platform.md` why it is arranged so.
+//! Names of headers and fields in outside systems are known only to a [`dialect::Dialect`] and to
+//! the implementations of the traits in [`source`]; this crate works on the decoded values.
+//! `docs/ARCHITECTURE.md` describes the path of a request, `docs/decisions/platform.md` the reasons
+//! for the design.
 
 pub mod clock;
 pub mod dialect;
@@ -27,20 +28,21 @@
 pub use instance::Instance;
 pub use settings::Settings;
 
-/// The most names in one log line.
-const MAX_NAMES: usize = 16;
+/// Maximum of names in one log line.
+const MAX_LOGGED_NAMES: usize = 16;
 
-/// Names for a log line, and how many more there are.
-pub(crate) fn names<'a>(names: impl ExactSizeIterator<Item = &'a str>) -> String {
-    let more = names.len().saturating_sub(MAX_NAMES);
-    let mut text = names.take(MAX_NAMES).collect::<Vec<_>>().join(",");
+/// Joins names for a log line; beyond the maximum, only the number of further names is added.
+pub(crate) fn join_names<'a>(names: impl ExactSizeIterator<Item = &'a str>) -> String {
+    let more = names.len().saturating_sub(MAX_LOGGED_NAMES);
+    let mut text = names.take(MAX_LOGGED_NAMES).collect::<Vec<_>>().join(",");
     if more > 0 {
         text += &format!("+{more}");
     }
     text
 }
 
-/// Locks, also after a panic elsewhere: every change under these locks is a single step.
+/// Locks a mutex even if it is poisoned: every change under these locks is a single step, so a
+/// panic leaves no inconsistent state.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -34,7 +34,7 @@
 use crate::{
     clock::Clock,
     freshness::{FreshnessQuery, FreshnessTracker},
-    lock, names,
+    join_names, lock,
     signal::Signal,
     source::{PeerDirectory, PeerEntry},
     state::{Group, Groups},
@@ -415,7 +415,7 @@
         if found.is_empty() && lost.is_empty() {
             return;
         }
-        let ids = |ids: &[InstanceId]| names(ids.iter().map(InstanceId::as_str));
+        let ids = |ids: &[InstanceId]| join_names(ids.iter().map(InstanceId::as_str));
         log::info!(live = self.live_peers().len(), found = ids(&found).as_str(), lost = ids(&lost).as_str();
             "peers_changed");
     }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters and latency histograms of an instance, as Prometheus text.
 //!
-//! Labels have few values each: routes and workspaces number hundreds and thousands, and each series
-//! costs memory on every instance, so requests are told apart by the length of their prompt and by
-//! what became of them.
+//! Each label has few values. There are hundreds of routes and thousands of workspaces, and each
+//! series costs memory on every instance, so requests are distinguished only by prompt length and
+//! outcome.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -22,14 +22,14 @@
     state::{Configuration, Groups, Lifecycle},
 };
 
-/// Bounds of the time histograms in seconds: from a refusal to the longest answer.
-const SECONDS: [f64; 14] =
+/// Bucket bounds of the time histograms in seconds: from a refusal to the longest answer.
+const HISTOGRAM_BOUNDS_S: [f64; 14] =
     [0.001, 0.005, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 5.0, 10.0, 15.0];
 
-/// How long a connection of a collector may stay idle.
-const IDLE: Duration = Duration::from_secs(60);
+/// Idle timeout of a collector's connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Metrics can't be set up.
+/// The metrics can't be set up.
 #[derive(Debug)]
 pub struct MetricsError;
 
@@ -57,11 +57,11 @@
 }
 
 impl Metrics {
-    /// Instruments of an instance with these beliefs.
+    /// Creates the instruments; the gauges read from the given state.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] where the exporter refuses its registry.
+    /// [`MetricsError`] where the exporter can't be set up.
     pub fn new(
         configuration: &Arc<Configuration>,
         groups: &Arc<Groups>,
@@ -72,54 +72,63 @@
         let exporter = exporter.build().map_err(|_| MetricsError)?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("trefoilhall");
-        observe(&meter, configuration, groups, lifecycle);
+        register_gauges(&meter, configuration, groups, lifecycle);
         Ok(Metrics {
             requests: counter(&meter, "trefoilhall_requests", "requests that ended, by outcome"),
             refusals: counter(&meter, "trefoilhall_refusals", "own answers, by reason"),
             attempts: counter(&meter, "trefoilhall_attempts", "requests sent to endpoints"),
             failures: counter(&meter, "trefoilhall_attempt_failures", "failed attempts, by cause"),
             hedges: counter(&meter, "trefoilhall_hedges", "attempts beside a slow one"),
-            first_byte: seconds(&meter, "trefoilhall_first_byte", "time to the first byte"),
-            duration: seconds(&meter, "trefoilhall_duration", "time to the end of the answer"),
+            first_byte: seconds_histogram(
+                &meter,
+                "trefoilhall_first_byte",
+                "time to the first byte",
+            ),
+            duration: seconds_histogram(
+                &meter,
+                "trefoilhall_duration",
+                "time to the end of the answer",
+            ),
             registry,
             _provider: provider,
         })
     }
 
-    /// A request ended.
+    /// Counts a finished request and records its total time.
     pub fn ended(&self, outcome: &'static str, prompt: Option<u64>, total: Duration) {
-        let labels = [KeyValue::new("outcome", outcome), KeyValue::new("prompt", band(prompt))];
+        let labels =
+            [KeyValue::new("outcome", outcome), KeyValue::new("prompt", prompt_band(prompt))];
         self.requests.add(1, &labels);
         self.duration.record(total.as_secs_f64(), &labels);
     }
 
-    /// An answer of the instance's own.
+    /// Counts a request that the instance answered itself instead of forwarding it.
     pub fn refused(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// A request goes to an endpoint.
+    /// Counts an attempt that is sent to an endpoint.
     pub fn sent(&self) {
         self.attempts.add(1, &[]);
     }
 
-    /// An attempt failed.
+    /// Counts a failed attempt.
     pub fn failed(&self, cause: FailCause) {
         self.failures.add(1, &[KeyValue::new("cause", format!("{cause:?}"))]);
     }
 
-    /// Another endpoint is asked beside a slow one.
+    /// Counts a hedge: another attempt while the first one is slow.
     pub fn hedged(&self) {
         self.hedges.add(1, &[]);
     }
 
-    /// The first byte of an answer came.
-    pub fn first_byte_received(&self, prompt: Option<u64>, taken: Duration) {
-        let labels = [KeyValue::new("prompt", band(prompt))];
-        self.first_byte.record(taken.as_secs_f64(), &labels);
+    /// Records the time to the first byte of an answer.
+    pub fn first_byte_received(&self, prompt: Option<u64>, elapsed: Duration) {
+        let labels = [KeyValue::new("prompt", prompt_band(prompt))];
+        self.first_byte.record(elapsed.as_secs_f64(), &labels);
     }
 
-    /// Everything as Prometheus text.
+    /// All metrics in the Prometheus text format.
     pub fn to_text(&self) -> String {
         match TextEncoder::new().encode_to_string(&self.registry.gather()) {
             Ok(text) => text,
@@ -131,8 +140,8 @@
     }
 }
 
-/// The band of prompt lengths that figures are broken down by.
-fn band(prompt: Option<u64>) -> &'static str {
+/// The band of prompt lengths by which requests are counted.
+fn prompt_band(prompt: Option<u64>) -> &'static str {
     match prompt {
         None => "none",
         Some(0..=12_000) => "to_12k",
@@ -142,24 +151,24 @@
     }
 }
 
-fn observe(
+fn register_gauges(
     meter: &Meter,
     configuration: &Arc<Configuration>,
     groups: &Arc<Groups>,
     lifecycle: &Arc<Lifecycle>,
 ) {
-    let known = configuration.clone();
+    let in_force = configuration.clone();
     let age = meter.f64_observable_gauge("trefoilhall_configuration_age");
     age.with_description("seconds since the configuration was known to be the newest")
         .with_callback(move |gauge| {
-            gauge.observe(known.age().map_or(-1.0, |age| age.as_secs_f64()), &[]);
+            gauge.observe(in_force.age().map_or(-1.0, |age| age.as_secs_f64()), &[]);
         })
         .build();
-    let known = configuration.clone();
+    let in_force = configuration.clone();
     let version = meter.u64_observable_gauge("trefoilhall_configuration_version");
     version
         .with_description("version of the configuration in force")
-        .with_callback(move |gauge| gauge.observe(known.table().version.0, &[]))
+        .with_callback(move |gauge| gauge.observe(in_force.table().version.0, &[]))
         .build();
     let lifecycle = lifecycle.clone();
     let open = meter.u64_observable_gauge("trefoilhall_requests_under_way");
@@ -179,16 +188,20 @@
         .build();
 }
 
-fn counter(meter: &Meter, name: &'static str, text: &'static str) -> Counter<u64> {
-    meter.u64_counter(name).with_description(text).build()
+fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
+    meter.u64_counter(name).with_description(description).build()
 }
 
-fn seconds(meter: &Meter, name: &'static str, text: &'static str) -> Histogram<f64> {
-    let histogram = meter.f64_histogram(name).with_description(text).with_unit("s");
-    histogram.with_boundaries(SECONDS.to_vec()).build()
+fn seconds_histogram(
+    meter: &Meter,
+    name: &'static str,
+    description: &'static str,
+) -> Histogram<f64> {
+    let histogram = meter.f64_histogram(name).with_description(description).with_unit("s");
+    histogram.with_boundaries(HISTOGRAM_BOUNDS_S.to_vec()).build()
 }
 
-/// Answers collectors.
+/// Serves the metrics to collectors.
 pub(crate) struct MetricsPage {
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) lifecycle: Arc<Lifecycle>,
@@ -205,7 +218,7 @@
     }
 
     fn connection_limits(&self) -> ConnectionLimits {
-        ConnectionLimits { max_head_bytes: 0, idle_timeout: IDLE }
+        ConnectionLimits { max_head_bytes: 0, idle_timeout: IDLE_TIMEOUT }
     }
 
     fn lifecycle(&self) -> &Arc<Lifecycle> {
--- a/crates/router/src/net.rs
+++ b/crates/router/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets with the options that every connection here needs.
+//! Creates sockets and connections with the options that an instance needs.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -9,71 +9,71 @@
 };
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 
-/// Connections that may wait to be accepted. With fewer, callers that come at once wait a second
-/// for their next try.
-const BACKLOG: i32 = 4096;
+/// Connections that may wait to be accepted. With a shorter queue, callers that connect in a burst
+/// wait a second for their retransmission.
+const ACCEPT_BACKLOG: i32 = 4096;
 
-/// Unacknowledged data ends a connection after this. A machine without power or behind a cut
-/// answers nothing, and the system's own patience is minutes.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
+/// A connection whose data stays unacknowledged for this long is closed. A machine that has lost
+/// power or its network sends no reset, and the operating system's own timeout takes minutes.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// An idle connection asks after this whether its other end lives, the least that can be set.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// Idle time before a connection is probed, and between two probes; the shortest that can be set.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer until the other end counts as gone.
-const KEEP_ALIVE_TRIES: u32 = 3;
+/// Unanswered probes after which the connection is closed.
+const MAX_KEEP_ALIVE_PROBES: u32 = 3;
 
-/// Binds a listener.
+/// Binds a TCP listener.
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// Fails where the address can't be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // A successor must not wait for connections in their last state.
+    // Connections in TIME_WAIT must not keep a restarted process from binding.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(Async::new(std::net::TcpListener::from(socket))?.into())
 }
 
-/// Binds a socket for datagrams.
+/// Binds a UDP socket.
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// Fails where the address can't be bound.
 pub async fn bind_udp(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
-/// Connects within `patience`.
+/// Connects, and sets the options of the connection.
 ///
 /// # Errors
 ///
-/// Where nobody listens, or nobody answers in time.
-pub async fn connect(address: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
-    let late = async {
-        Timer::after(patience).await;
+/// Fails where the connection is refused, or not established within `timeout`.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    let timed_out = async {
+        Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let stream = TcpStream::connect(address).or(late).await?;
+    let stream = TcpStream::connect(address).or(timed_out).await?;
     set_connection_options(&stream);
     Ok(stream)
 }
 
-/// Sets the options of a connection. One that can't be set is told and does without.
+/// Sets the options of a connection. Failures are logged, and the connection is used without them.
 pub fn set_connection_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keep_alive = TcpKeepalive::new()
-        .with_time(KEEP_ALIVE)
-        .with_interval(KEEP_ALIVE)
-        .with_retries(KEEP_ALIVE_TRIES);
-    let set = socket
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(MAX_KEEP_ALIVE_PROBES);
+    let result = socket
         .set_tcp_nodelay(true)
         .and_then(|()| socket.set_tcp_keepalive(&keep_alive))
-        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
-    if let Err(e) = set {
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
+    if let Err(e) = result {
         log::debug!(cause:% = e; "socket_options_not_set");
     }
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an instance must know before it can route.
+//! Settings that an instance needs at its start.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,45 +7,45 @@
 /// Settings of one instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// Unique name among all instances.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Data centre that the instance runs in.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Address of the balancer's readiness check.
     pub ready_listen: SocketAddr,
-    /// Where other instances send datagrams.
+    /// Address for other instances: UDP for datagrams, TCP for snapshots.
     pub link_listen: SocketAddr,
-    /// Where metrics are read, if anywhere.
+    /// Address of the metrics page; none disables it.
     pub metrics_listen: Option<SocketAddr>,
-    /// Threads.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Bounds that the operators set.
+    /// Limits that the operators set.
     pub bounds: Bounds,
-    /// How places are chosen.
+    /// Rules by which endpoints are chosen.
     pub placement: PlacementRules,
 }
 
-/// Bounds that the operators set; all of them are times.
+/// Limits that the operators set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// A key that was taken away is refused everywhere after this.
+    /// A key that was revoked is refused everywhere after this time.
     pub revoke_within: Duration,
-    /// An endpoint that leaves gets nothing new after this.
+    /// A leaving endpoint gets no new requests after this time.
     pub leave_within: Duration,
-    /// From the order to stop to the end by force.
+    /// Time from the order to stop until remaining requests are cut.
     pub stop_within: Duration,
-    /// Repeats that all instances together may add, as a share of first attempts.
+    /// Retries that all instances together may add, as a share of first attempts.
     pub retry_share: f64,
-    /// The window over which repeats are counted.
+    /// Time window over which retries are counted.
     pub retry_window: Duration,
-    /// Repeats in a window that are free, over all instances.
+    /// Retries per window, over all instances, that are allowed beyond the share.
     pub retry_slack: f64,
 }
 
 impl Bounds {
-    /// What repeats are allowed.
+    /// The limits on retries, as the policy takes them.
     pub fn retry_rules(&self) -> RetryRules {
         RetryRules {
             share: self.retry_share,
