--- a/crates/policy/src/health/mod.rs
+++ b/crates/policy/src/health/mod.rs
@@ -1,23 +1,25 @@
-//! Which endpoints get less work, none, or a probe.
+//! Outlier detection: which endpoints receive less traffic, none, or only probes.
 //!
-//! **Load pattern.** One of a few endpoints turns slow, answers with errors, refuses connections,
-//! or falls silent on its open connections while new ones work.
+//! **Load pattern.** One of a few endpoints becomes slow, responds with errors, refuses
+//! connections, or stops sending on its open connections while new connections work.
 //!
-//! **Without it.** A slow endpoint takes its full share, and its callers set the worst answer. A
-//! failing one is the fastest to be free again and draws all traffic. Ejecting without a floor is
-//! worse still: when a shared cause slows all endpoints, the first ones to cross the line are taken
-//! out, the rest get their load and cross it as well.
+//! **Without it.** A slow endpoint receives its full share, and its callers see the worst latency.
+//! An endpoint that fails fast is the first to be free again and attracts all traffic. Ejection
+//! without a limit is worse still: when a shared cause slows all endpoints, the first ones above
+//! the threshold are ejected, the rest take over their load and exceed the threshold as well.
 //!
-//! **Rule.** Each endpoint has a slowness (time to first token over the predicted one, smoothed)
-//! and a count of failures in a row. Slower than the group's median means a higher `caution` in
-//! placement's cost. [`FAILURES`] failures in a row, or [`FAR_SLOWER`] times the median, eject it
-//! for a time that doubles; then a probe decides. Ejections on suspicion never take more than a
-//! third of the group, and never leave fewer than the present load needs. An endpoint that refuses
-//! connections is out whatever the floor says, because it couldn't take the work anyway. One that
-//! returns gets a share that rises over [`RAMP`]. Silence alone ejects nobody: see [`silence`].
+//! **Rule.** Each endpoint has a slowness (time to first token divided by the predicted time,
+//! smoothed) and a count of consecutive failures. An endpoint that is slower than the group's
+//! median gets a higher `penalty` in the cost of placement. [`FAILURES_TO_EJECT`] consecutive
+//! failures, or a slowness of [`SLOWNESS_RATIO_TO_EJECT`] times the median, eject it for a period
+//! that doubles with each ejection; then a probe decides. These ejections never remove more than a
+//! third of the group, and never leave fewer endpoints than the present load needs. An endpoint
+//! that refuses connections is ejected regardless of these limits, because it couldn't take the
+//! work anyway. A restored endpoint gets a share that rises over [`RAMP_UP_PERIOD`]. Silence alone
+//! ejects no endpoint: see [`silence`].
 //!
-//! **Grounds.** A third: with three or four endpoints exactly one may go, with two none. The other
-//! figures stand with their constants.
+//! **Grounds.** A third means that of three or four endpoints exactly one may be ejected, and of
+//! two none. The other figures are explained at their constants.
 
 mod record;
 pub mod silence;
@@ -31,74 +33,74 @@
 
 use record::HealthRecord;
 
-/// Failures in a row that eject an endpoint. One is an accident and two may share one cause; at
-/// today's rates three come within a second at a broken endpoint.
+/// Consecutive failures that eject an endpoint. A single failure may be chance, and two may share
+/// one cause; at present request rates a broken endpoint reaches three within a second.
 pub const FAILURES_TO_EJECT: u32 = 3;
 
-/// Refused connections in a row after which an endpoint counts as dead. The second one rules out a
-/// listener that was just being replaced.
+/// Consecutive refused connections after which an endpoint counts as dead. Requiring a second one
+/// rules out a listener that was just being replaced.
 pub const REFUSED_CONNECTIONS_TO_EJECT: u32 = 2;
 
-/// How many times the median's slowness ejects an endpoint. Below it the cost already sends less
-/// there; at five times, one such answer is the worst of its minute.
+/// Multiple of the median slowness at which an endpoint is ejected. Below it, the cost of placement
+/// already sends less there; at five times, a single such answer is the slowest of its minute.
 pub const SLOWNESS_RATIO_TO_EJECT: f64 = 5.0;
 
-/// Answers that have to be seen before slowness counts, so that one odd answer doesn't.
+/// Answers needed before an endpoint's slowness is used, so that a single outlier has no effect.
 pub const MIN_SLOWNESS_SAMPLES: u32 = 5;
 
-/// Of so many endpoints one may be ejected on suspicion.
+/// One endpoint may be ejected for failures or slowness per this many endpoints in the group.
 pub const ENDPOINTS_PER_EJECTION: usize = 3;
 
-/// The first ejection's length: a few times what a process takes to start again.
+/// Duration of the first ejection: a few times what a process needs to restart.
 pub const FIRST_EJECTION_PERIOD: Duration = Duration::from_secs(5);
 
-/// The longest time between two probes of an endpoint that is out.
+/// Maximum time between two probes of an ejected endpoint, before jitter.
 pub const MAX_EJECTION_PERIOD: Duration = Duration::from_secs(60);
 
-/// A probe that was given out and not heard of again is given out anew after this long.
+/// Time after which a probe without a result counts as lost and is issued again.
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long an endpoint's share takes to rise again after it returned.
+/// Time over which the share of a restored endpoint rises to normal.
 pub const RAMP_UP_PERIOD: Duration = Duration::from_secs(10);
 
-/// The caution of an endpoint at the moment of its return.
+/// Penalty of an endpoint at the moment it is restored; it falls to 1 over [`RAMP_UP_PERIOD`].
 pub const RAMP_UP_PENALTY: f64 = 4.0;
 
-/// Whether and how cautiously an endpoint may be used.
+/// Whether an endpoint may receive requests, and at which cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum HealthState {
-    /// It may be used; its cost is multiplied by this number, which is at least 1.
+    /// Requests may be placed on it; its cost is multiplied by this penalty, which is at least 1.
     Usable(f64),
-    /// It gets nothing but probes.
+    /// It receives only probes.
     Ejected,
 }
 
-/// What became of an endpoint in [`Health::assess`].
+/// An ejection decided by [`Health::assess`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ejection {
-    /// The endpoint.
+    /// The ejected endpoint.
     pub endpoint: EndpointId,
-    /// Why it is out.
+    /// Why it was ejected.
     pub cause: EjectionCause,
 }
 
-/// Why an endpoint was taken out.
+/// Reason of an ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// It failed several times in a row.
+    /// [`FAILURES_TO_EJECT`] consecutive failures.
     Failures,
-    /// It is far slower than the others.
+    /// Its slowness exceeds [`SLOWNESS_RATIO_TO_EJECT`] times the median.
     Slow,
-    /// It refuses connections.
+    /// [`REFUSED_CONNECTIONS_TO_EJECT`] consecutive refused connections.
     Dead,
 }
 
-/// The health of one group's endpoints as one instance sees it.
+/// Health of a group's endpoints, as observed by one instance.
 #[derive(Debug)]
 pub struct Health {
     records: IndexMap<EndpointId, HealthRecord>,
-    /// The group's median slowness as of the last assessment: sorting it anew for each request
-    /// would cost more than the whole placement.
+    /// The group's median slowness at the last assessment; sorting for every request would cost
+    /// more than the whole placement.
     median: f64,
 }
 
@@ -109,12 +111,12 @@
 }
 
 impl Health {
-    /// No endpoints yet.
+    /// Creates a tracker without endpoints.
     pub fn new() -> Health {
         Health::default()
     }
 
-    /// Takes over the group's endpoints. New ones count as healthy, others keep their record.
+    /// Replaces the set of endpoints. New ones start as healthy; the others keep their record.
     pub fn configure<'a>(&mut self, endpoints: impl IntoIterator<Item = &'a EndpointId>) {
         let mut old = std::mem::take(&mut self.records);
         for endpoint in endpoints {
@@ -123,22 +125,22 @@
         }
     }
 
-    /// Starts the endpoint's record anew, for it has a new incarnation.
+    /// Clears the endpoint's record, because it has a new incarnation.
     pub fn reset(&mut self, endpoint: &EndpointId) {
         if let Some(record) = self.records.get_mut(endpoint) {
             *record = HealthRecord::default();
         }
     }
 
-    /// Takes note of a first token that came after `taken` where `predicted` was expected.
+    /// Records a first token that arrived after `taken` where `predicted` was expected.
     pub fn record_answer(&mut self, endpoint: &EndpointId, taken: Duration, predicted: Duration) {
         if let Some(record) = self.records.get_mut(endpoint) {
             record.record_answer(taken, predicted);
         }
     }
 
-    /// Takes note of a failed attempt. Causes that say nothing about the endpoint are ignored, and
-    /// so is silence, which [`silence::SilenceDetector`] looks into first.
+    /// Records a failed attempt. Causes that aren't the endpoint's fault are ignored, and so is
+    /// silence, which [`silence::SilenceDetector`] examines first.
     pub fn record_failure(&mut self, endpoint: &EndpointId, cause: FailCause) {
         let Some(record) = self.records.get_mut(endpoint) else {
             return;
@@ -160,21 +162,22 @@
         }
     }
 
-    /// Takes note that another instance had an answer from the endpoint. Failures in a row end with
-    /// it; an ejection doesn't, because the link from here may be the one that is broken.
+    /// Records that another instance received an answer from the endpoint. This resets the
+    /// consecutive failures but doesn't end an ejection, because the link from this instance may be
+    /// the broken one.
     pub fn record_peer_answer(&mut self, endpoint: &EndpointId) {
         if let Some(record) = self.records.get_mut(endpoint) {
             record.failures = 0;
         }
     }
 
-    /// Takes note of a probe's end. A good one brings an ejected endpoint back on the ramp; a bad
-    /// one doubles the time to the next.
+    /// Records a probe's result. A success restores an ejected endpoint, with its share ramping up;
+    /// a failure doubles the time to the next probe.
     pub fn record_probe(&mut self, endpoint: &EndpointId, healthy: bool, now: Time, rng: &mut Rng) {
         let Some(record) = self.records.get_mut(endpoint) else {
             return;
         };
-        match (healthy, record.is_out()) {
+        match (healthy, record.is_ejected()) {
             (true, true) => record.restore(now),
             (true, false) => record.refused = 0,
             (false, true) => record.eject(now, rng),
@@ -182,45 +185,45 @@
         }
     }
 
-    /// Ejects what has to be ejected now; the worst first, as the floor allows. `needed` is how
-    /// many endpoints the present load takes. To be called about once a second.
+    /// Ejects endpoints that exceed a threshold, the worst first, as far as the limits allow.
+    /// `needed` is the number of endpoints that the present load requires. To be called about once
+    /// a second.
     pub fn assess(&mut self, needed: usize, now: Time, rng: &mut Rng) -> Vec<Ejection> {
         let mut ejected = self.eject_dead(now, rng);
         self.median = self.median_slowness();
-        let mut suspects: Vec<EjectionCandidate> = self
+        let mut candidates: Vec<EjectionCandidate> = self
             .records
             .iter()
             .enumerate()
             .filter_map(|(index, (_, record))| {
                 Some(EjectionCandidate {
                     index,
-                    cause: record.suspicion(self.median)?,
+                    cause: record.ejection_cause(self.median)?,
                     severity: record.severity(),
                 })
             })
             .collect();
-        suspects.sort_by(|a, b| b.severity.total_cmp(&a.severity));
-        suspects.truncate(self.ejectable(needed));
-        for suspect in suspects {
-            ejected.extend(self.eject(suspect.index, suspect.cause, now, rng));
+        candidates.sort_by(|a, b| b.severity.total_cmp(&a.severity));
+        candidates.truncate(self.ejectable(needed));
+        for candidate in candidates {
+            ejected.extend(self.eject(candidate.index, candidate.cause, now, rng));
         }
         ejected
     }
 
-    /// Whether and how cautiously to use an endpoint. Where all are out, all may be used, as a
-    /// chance is better than none.
+    /// State of an endpoint. If all endpoints are ejected, all count as usable, since trying one is
+    /// better than refusing every request.
     pub fn state(&self, endpoint: &EndpointId, now: Time) -> HealthState {
         let Some(record) = self.records.get(endpoint) else {
             return HealthState::Usable(1.0);
         };
-        if record.is_out() && self.records.values().any(|record| !record.is_out()) {
+        if record.is_ejected() && self.records.values().any(|record| !record.is_ejected()) {
             return HealthState::Ejected;
         }
         HealthState::Usable(record.penalty(self.median, now))
     }
 
-    /// The endpoints whose probe is due. Each is given out once until its probe has ended or got
-    /// lost.
+    /// Endpoints whose probe is due. Each is returned once until its probe ends or counts as lost.
     pub fn due_probes(&mut self, now: Time) -> Vec<EndpointId> {
         self.records
             .iter_mut()
@@ -228,28 +231,28 @@
             .collect()
     }
 
-    /// When the next probe is due.
+    /// Time of the earliest due probe; none where no endpoint is ejected.
     pub fn next_probe(&self) -> Option<Time> {
         self.records.values().filter_map(|record| record.probe_at()).min()
     }
 
     fn eject_dead(&mut self, now: Time, rng: &mut Rng) -> Vec<Ejection> {
-        let dead = |record: &HealthRecord| {
-            !record.is_out() && record.refused >= REFUSED_CONNECTIONS_TO_EJECT
+        let is_dead = |record: &HealthRecord| {
+            !record.is_ejected() && record.refused >= REFUSED_CONNECTIONS_TO_EJECT
         };
         (0..self.records.len())
-            .filter(|index| dead(&self.records[*index]))
+            .filter(|index| is_dead(&self.records[*index]))
             .collect::<Vec<usize>>()
             .into_iter()
             .filter_map(|index| self.eject(index, EjectionCause::Dead, now, rng))
             .collect()
     }
 
-    /// How many more endpoints may go on suspicion. Dead ones count as gone already.
+    /// How many more endpoints may be ejected for failures or slowness. Dead ones count as ejected.
     fn ejectable(&self, needed: usize) -> usize {
-        let out = self.records.values().filter(|record| record.is_out()).count();
-        let by_share = (self.records.len() / ENDPOINTS_PER_EJECTION).saturating_sub(out);
-        let by_load = (self.records.len() - out).saturating_sub(needed.max(1));
+        let ejected = self.records.values().filter(|record| record.is_ejected()).count();
+        let by_share = (self.records.len() / ENDPOINTS_PER_EJECTION).saturating_sub(ejected);
+        let by_load = (self.records.len() - ejected).saturating_sub(needed.max(1));
         by_share.min(by_load)
     }
 
@@ -265,13 +268,13 @@
         Some(Ejection { endpoint: endpoint.clone(), cause })
     }
 
-    /// The median over endpoints with enough answers; the lower one of an even count, so that with
-    /// two endpoints the slow one is compared with the fast one.
+    /// Median over the endpoints with enough answers. Of an even count it takes the lower middle,
+    /// so that of two endpoints the slow one is compared with the fast one.
     fn median_slowness(&self) -> f64 {
-        let mut known: Vec<f64> =
+        let mut known_slowness: Vec<f64> =
             self.records.values().filter_map(|record| record.slowness()).collect();
-        known.sort_by(f64::total_cmp);
-        known.get(known.len().saturating_sub(1) / 2).copied().unwrap_or(1.0)
+        known_slowness.sort_by(f64::total_cmp);
+        known_slowness.get(known_slowness.len().saturating_sub(1) / 2).copied().unwrap_or(1.0)
     }
 }
 
--- a/crates/policy/src/health/silence.rs
+++ b/crates/policy/src/health/silence.rs
@@ -1,33 +1,34 @@
-//! Tells silent open connections from a dead endpoint.
+//! Distinguishes lost connections from a dead endpoint.
 //!
-//! Something between two ends may lose track of open connections: they stay open and silent for
-//! good, while new connections work. Judged by the silence alone, healthy endpoints would be
-//! ejected one after another; waiting for the silent connections to end would hang their callers.
+//! A device on the network path may lose track of open connections: they stay open and silent
+//! forever, while new connections work. If silence alone counted as failure, healthy endpoints
+//! would be ejected one after another; if requests waited for the silent connections to end, their
+//! callers would hang.
 //!
-//! The rule: silence on any connection asks for one probe over a fresh connection, at once. If it
-//! answers, the endpoint is alive and every connection opened before the probe and not heard of
-//! since is dropped. If it fails too, the endpoint has stopped. The rule holds because the probe
-//! passes the same path anew: whatever lost track of old connections knows the new one.
+//! Silence on any connection triggers one probe over a fresh connection. If the probe is answered,
+//! the endpoint is alive, and every connection that has been silent since before the probe is
+//! dropped. If it fails too, the endpoint is dead. This works because the probe takes the same
+//! network path: a device that lost the old connections tracks the new one.
 
 use indexmap::IndexMap;
 
 use crate::{EndpointId, Time, health::PROBE_TIMEOUT};
 
-/// What to do about an endpoint after news of silence.
+/// What to do after a connection was silent or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceAction {
-    /// Probe it over a fresh connection now.
+    /// Probe the endpoint over a fresh connection now.
     Probe,
-    /// A probe is under way or has just answered; wait for it.
+    /// Wait; a probe is in flight or has just been answered.
     Wait,
-    /// Drop all connections whose last sign of life is before this point; the endpoint is alive.
+    /// The endpoint is alive. Drop all connections whose last activity is before this time.
     DropBefore(Time),
-    /// It doesn't answer on fresh connections either.
+    /// The endpoint doesn't answer on fresh connections either.
     Dead,
 }
 
-/// Judges silence for all endpoints of one instance. Bounded by the number of endpoints, as
-/// [`SilenceDetector::forget`] drops those that are gone.
+/// Handles silent connections for all endpoints of one instance. Its size is bounded by the number
+/// of endpoints, as [`SilenceDetector::forget`] drops removed ones.
 #[derive(Debug, Default)]
 pub struct SilenceDetector {
     probe_records: IndexMap<EndpointId, ProbeRecord>,
@@ -40,17 +41,23 @@
 }
 
 impl SilenceDetector {
-    /// Nothing is known yet.
+    /// Creates a detector without probe results.
     pub fn new() -> SilenceDetector {
         SilenceDetector::default()
     }
 
-    /// A connection to `endpoint` is silent past its deadline; `last_sign` is when it last gave a
-    /// sign of life, or was opened.
-    pub fn silent(&mut self, endpoint: &EndpointId, last_sign: Time, now: Time) -> SilenceAction {
+    /// Reports that a connection to `endpoint` is silent past its deadline. `last_activity` is when it
+    /// was last active, or opened.
+    pub fn silent(
+        &mut self,
+        endpoint: &EndpointId,
+        last_activity: Time,
+        now: Time,
+    ) -> SilenceAction {
         let probe_record = self.probe_records.entry(endpoint.clone()).or_default();
-        // A proof of life newer than the connection's last sign settles it without a probe.
-        if let Some(alive_at) = probe_record.alive_at.filter(|alive_at| *alive_at > last_sign) {
+        // A successful probe that is newer than the connection's last activity makes another one
+        // unnecessary.
+        if let Some(alive_at) = probe_record.alive_at.filter(|alive_at| *alive_at > last_activity) {
             return SilenceAction::DropBefore(alive_at);
         }
         let lost = |started: Time| now.since(started) >= PROBE_TIMEOUT;
@@ -61,7 +68,7 @@
         SilenceAction::Probe
     }
 
-    /// The probe over a fresh connection ended.
+    /// Reports the result of the probe.
     pub fn probed(&mut self, endpoint: &EndpointId, healthy: bool) -> SilenceAction {
         let probe_record = self.probe_records.entry(endpoint.clone()).or_default();
         let Some(started) = probe_record.probing_since.take() else {
@@ -74,7 +81,7 @@
         SilenceAction::DropBefore(started)
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Drops the state of a removed endpoint.
     pub fn forget(&mut self, endpoint: &EndpointId) {
         self.probe_records.swap_remove(endpoint);
     }
--- a/crates/policy/src/quarantine/table.rs
+++ b/crates/policy/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! The entries of the quarantine and their bounds.
+//! Entries of the quarantine, and the bounds of its tables.
 
 use std::{hash::Hash, time::Duration};
 
@@ -9,11 +9,12 @@
     quarantine::{COMMON_CAUSE_WINDOW, FIRST_REFUSAL_PERIOD, MAX_REFUSAL_PERIOD, SUSPICION_TTL},
 };
 
-/// The most suspects kept, at about 60 bytes each: some hundred running requests at each of 40
-/// deaths an hour.
+/// Maximum number of suspects kept, at about 60 bytes each: a hundred running requests at each of
+/// 40 deaths an hour.
 pub const MAX_SUSPECTS: usize = 4_096;
 
-/// The most verdicts kept. Each cost two endpoints, so this many never come about by accident.
+/// Maximum number of refused fingerprints kept. Each took two deaths of endpoints to confirm, so
+/// this many can't come about by chance.
 pub const MAX_CONFIRMED: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
@@ -23,19 +24,19 @@
 }
 
 impl Suspect {
-    /// A suspect whose first death is about to be added.
+    /// A suspect before its first death is added.
     pub(super) fn at(now: Time) -> Suspect {
         Suspect { deaths: 0, last_death: now }
     }
 
-    /// Adds a death at which the suspect was present. One that it `ran_apart` at counts by itself;
-    /// another counts only where it can't have the same cause as the one before.
-    pub(super) fn add_death(&mut self, ran_apart: bool, now: Time) {
+    /// Adds a death at which the suspect was running. It counts if the suspect `ran_isolated`;
+    /// otherwise it counts only if it can't have the same cause as the previous one.
+    pub(super) fn add_death(&mut self, ran_isolated: bool, now: Time) {
         if !self.is_current(now) {
             self.deaths = 0;
         }
-        let is_other_cause = ran_apart || now.since(self.last_death) >= COMMON_CAUSE_WINDOW;
-        if self.deaths == 0 || is_other_cause {
+        let is_separate_cause = ran_isolated || now.since(self.last_death) >= COMMON_CAUSE_WINDOW;
+        if self.deaths == 0 || is_separate_cause {
             self.deaths += 1;
         }
         self.last_death = self.last_death.max(now);
@@ -49,31 +50,31 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Confirmed {
     pub(super) until: Time,
-    next_span: Duration,
+    next_period: Duration,
 }
 
 impl Confirmed {
     pub(super) const NEW: Confirmed =
-        Confirmed { until: Time::ZERO, next_span: FIRST_REFUSAL_PERIOD };
+        Confirmed { until: Time::ZERO, next_period: FIRST_REFUSAL_PERIOD };
 
-    /// Starts the next term, twice as long as the one before.
+    /// Starts the next refusal period, twice as long as the previous one.
     pub(super) fn renew(&mut self, now: Time) {
-        self.until = self.until.max(now + self.next_span);
-        self.next_span = (self.next_span * 2).min(MAX_REFUSAL_PERIOD);
+        self.until = self.until.max(now + self.next_period);
+        self.next_period = (self.next_period * 2).min(MAX_REFUSAL_PERIOD);
     }
 
     pub(super) fn extend(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// Whether the entry still matters: in force, or recent enough to double the next term.
-    pub(super) fn is_remembered(&self, now: Time) -> bool {
-        now < self.until + self.next_span
+    /// Whether the entry is still needed: in force, or recent enough to double the next period.
+    pub(super) fn is_needed(&self, now: Time) -> bool {
+        now < self.until + self.next_period
     }
 }
 
-/// The point `age` before `now`.
-pub(super) fn before(now: Time, age: Duration) -> Time {
+/// The time `age` before `now`.
+pub(super) fn time_before(now: Time, age: Duration) -> Time {
     Time(now.0.saturating_sub(u64::try_from(age.as_micros()).unwrap_or(u64::MAX)))
 }
 
--- a/crates/policy/src/selection/cost.rs
+++ b/crates/policy/src/selection/cost.rs
@@ -1,4 +1,4 @@
-//! The one cost by which endpoints are compared.
+//! The cost function that compares endpoints.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -7,73 +7,74 @@
     selection::{Candidate, SelectionRequest},
 };
 
-/// The part of an engine's step time that a prefill under way takes from each other request on
-/// the engine. Continuous batching mixes a chunk of prefill into each step; half is a first guess
-/// that lets a prefill weigh on its neighbours without outweighing its own wait.
+/// The share of an engine's step time that an ongoing prefill takes from each other request on the
+/// engine. Continuous batching mixes a chunk of prefill into each step. Half is an estimate: a
+/// prefill then affects its neighbours without outweighing its own wait.
 pub const PREFILL_STEP_SHARE: f64 = 0.5;
 
-/// Weighted seconds of delay. Only comparisons between costs of the same request mean anything.
+/// Weighted seconds of delay. Costs are comparable only for the same request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cost {
-    /// What the queue costs.
+    /// Weighted wait in the queue.
     wait: f64,
-    /// What prefill, the way and the delay of others cost.
+    /// Weighted prefill time, network delay, and delay caused to other requests.
     service: f64,
 }
 
 impl Cost {
-    /// A total order, so that a sort never meets an undefined comparison.
+    /// Total order, so that sorting never meets incomparable values.
     pub fn total_cmp(&self, other: &Cost) -> Ordering {
         (self.wait + self.service).total_cmp(&(other.wait + other.service))
     }
 
-    /// Whether this cost can't be told from `best`: the service costs about as much, and the wait
-    /// is longer by less than `unreported_work`.
-    pub(super) fn is_near(
+    /// Whether this cost is indistinguishable from `best`: the service costs about as much, and the
+    /// wait is longer by less than `unreported_work`.
+    pub(super) fn is_equal_to(
         self,
         best: Cost,
-        share: f64,
+        ratio: f64,
         unreported_work: Duration,
         request: &SelectionRequest,
     ) -> bool {
-        let total = (best.wait + best.service) * (1.0 + share);
-        let blurred = total + own_weight(request) * unreported_work.as_secs_f64();
-        let as_good = self.service <= best.service * (1.0 + share);
-        self.wait + self.service <= if as_good { blurred } else { total }
+        let total = (best.wait + best.service) * (1.0 + ratio);
+        let total_with_unreported = total + own_weight(request) * unreported_work.as_secs_f64();
+        let service_is_equal = self.service <= best.service * (1.0 + ratio);
+        self.wait + self.service <= if service_is_equal { total_with_unreported } else { total }
     }
 }
 
-/// The cost of placing `ask` on `candidate`: its own weighted first token and the weighted delay
-/// that its prefill causes to what runs there.
+/// The cost of placing `request` on `candidate`: its own weighted time to first token, and the
+/// weighted delay that its prefill causes to the requests running there.
 pub fn cost(candidate: &Candidate, request: &SelectionRequest) -> Cost {
     let own_weight = own_weight(request) * candidate.penalty.max(1.0);
-    let prefill = prefill(candidate, request);
-    let delayed = f64::from(candidate.shorts_running) * request.weights.short_slowdown
+    let prefill_seconds = prefill_seconds(candidate, request);
+    let delayed_weight = f64::from(candidate.shorts_running) * request.weights.short_slowdown
         + f64::from(candidate.longs_running) * request.weights.long_first_token;
     Cost {
         wait: own_weight * candidate.wait.as_secs_f64(),
-        service: own_weight * served(candidate, request, prefill)
-            + prefill * PREFILL_STEP_SHARE * delayed,
+        service: own_weight * service_seconds(candidate, request, prefill_seconds)
+            + prefill_seconds * PREFILL_STEP_SHARE * delayed_weight,
     }
 }
 
-/// Predicted time until the caller has the first token of `ask`, if placed on `candidate` now.
+/// Predicted time until the caller receives the first token, if placed on `candidate` now.
 pub fn first_token(candidate: &Candidate, request: &SelectionRequest) -> Duration {
-    let served = served(candidate, request, prefill(candidate, request));
-    let served = Duration::try_from_secs_f64(served).unwrap_or(Duration::MAX);
-    candidate.wait.saturating_add(served)
+    let service_seconds = service_seconds(candidate, request, prefill_seconds(candidate, request));
+    let service = Duration::try_from_secs_f64(service_seconds).unwrap_or(Duration::MAX);
+    candidate.wait.saturating_add(service)
 }
 
-/// Seconds from the start of the prefill to the first token at the caller. The prefill of a short
-/// prompt is stretched by the long ones that it shares steps with.
-fn served(candidate: &Candidate, request: &SelectionRequest, prefill: f64) -> f64 {
-    let beside = if request.long { 0.0 } else { f64::from(candidate.longs_running) };
-    prefill * (1.0 + PREFILL_STEP_SHARE * beside) + 2.0 * candidate.distance.as_secs_f64()
+/// Seconds from the start of the prefill until the caller receives the first token. The prefill of
+/// a short prompt is slowed down by the long prompts with which it shares steps.
+fn service_seconds(candidate: &Candidate, request: &SelectionRequest, prefill_seconds: f64) -> f64 {
+    let long_neighbours = if request.long { 0.0 } else { f64::from(candidate.longs_running) };
+    prefill_seconds * (1.0 + PREFILL_STEP_SHARE * long_neighbours)
+        + 2.0 * candidate.distance.as_secs_f64()
 }
 
-/// Seconds to prefill what isn't cached. At least one token is always prefilled, because engines
-/// compute the last one anew even for a prompt they hold whole.
-fn prefill(candidate: &Candidate, request: &SelectionRequest) -> f64 {
+/// Seconds to prefill the uncached part. At least one token is always prefilled, because engines
+/// recompute the last token even if the whole prompt is cached.
+fn prefill_seconds(candidate: &Candidate, request: &SelectionRequest) -> f64 {
     let uncached = (request.prompt - candidate.cached).0.max(1);
     candidate.rate.seconds(Tokens(uncached))
 }
--- a/crates/policy/src/selection/mod.rs
+++ b/crates/policy/src/selection/mod.rs
@@ -1,27 +1,29 @@
-//! Where a request goes: one cost over all endpoints that could take it, with a draw between
-//! equals.
+//! Endpoint selection: one cost over all endpoints that could take the request, with a random
+//! choice between equal ones.
 //!
-//! **Load pattern.** Prompts of a thousand and of a million tokens share engines; several
-//! instances send at once, each with a view of the others' sends that is some hundred milliseconds
-//! old; some prompts share a long prefix; some endpoints stand in another data centre.
+//! **Load pattern.** Prompts of a thousand and of a million tokens share engines. Several instances
+//! send concurrently, each with a view of the others' load that is some hundred milliseconds old.
+//! Some prompts share a long prefix. Some endpoints are in another data centre.
 //!
-//! **Without it.** Round robin puts a short question behind a long dossier while the next engine
-//! idles. Always taking the cheapest endpoint makes all instances pick the same one until their
-//! views catch up: the queue moves from engine to engine and the last in it sees the worst answer.
+//! **Without it.** Round robin causes head-of-line blocking: a short prompt waits behind a long one
+//! while the next engine is idle. Always taking the cheapest endpoint causes a thundering herd: all
+//! instances pick the same one until their views are updated, so the queue moves from engine to
+//! engine and the last request in it gets the worst latency.
 //!
-//! **Rule.** The cost of an endpoint is the predicted first token there (wait, prefill of what
-//! isn't cached, the way there and back), weighted for the request's own kind, plus the delay that
-//! its prefill causes to what runs there, weighted for theirs. Endpoints whose wait differs from
-//! the best one's by less than what other instances have likely sent unheard are its equals; two
-//! of them are drawn and the cheaper one is taken. One that needs more prefill or stands farther
-//! away is no equal, as no late view blurs that: work leaves a cache or a data centre only when
-//! this saves more than it costs. Where some engine holds the prompt's prefix and yet isn't worth
-//! its queue, the next holder is drawn by rendezvous hash, so that all instances warm the same
-//! second engine instead of one each.
+//! **Rule.** The cost of an endpoint is the predicted time to first token there (wait, prefill of
+//! the uncached part, network round trip), weighted for the request's class, plus the delay that
+//! its prefill causes to the requests running there, weighted for theirs. Endpoints are equal to
+//! the best one if their waits differ by less than the unreported work that other instances have
+//! likely sent; two of them are drawn at random and the cheaper one is taken (power of two
+//! choices). An endpoint that needs more prefill or is farther away isn't equal, since stale views
+//! don't affect these figures: work leaves a cache or a data centre only if this saves more than it
+//! costs. If an engine has the prompt's prefix cached but its queue costs more than that saves, the
+//! next engine is chosen by rendezvous hash, so that all instances warm the same second engine
+//! instead of one each.
 //!
-//! **Grounds.** The width of the band is measured in `docs/decisions/placement.md`, against always
-//! taking the cheapest and against other widths. [`STEP_SHARE`] is a first guess from continuous
-//! batching and isn't measured yet.
+//! **Grounds.** The width within which endpoints are equal is measured in
+//! `docs/decisions/placement.md`, against always taking the cheapest and against other widths.
+//! [`PREFILL_STEP_SHARE`] is an estimate derived from continuous batching, not yet measured.
 
 mod cost;
 
@@ -33,64 +35,66 @@
 
 use crate::{EndpointId, TokenRate, Tokens, config::Weights, rendezvous};
 
-/// Costs that differ by less than this share are equal. Learned speeds and reported queues are off
-/// by about this much, so a finer distinction would follow noise.
+/// Costs that differ by less than this ratio are equal. Learned speeds and reported queues have
+/// errors of about this size, so a finer distinction would follow noise.
 pub const EQUAL_COST_RATIO: f64 = 0.1;
 
-/// Waits that differ by less than this are equal, however fresh the view: below it lie loopback
-/// and switch delays.
+/// Lower bound of the unreported work, however fresh the view: smaller differences of the wait are
+/// within loopback and switch delays.
 pub const MIN_UNREPORTED_WORK: Duration = Duration::from_millis(1);
 
-/// No view is taken to be wrong by more than this. Digests come at least twice a second, so an
-/// older view means lost links, and then drawing more widely would only waste what is known.
+/// Upper bound of the unreported work. Digests arrive at least twice a second, so an older view
+/// means lost links, and choosing among even more endpoints would only discard the information
+/// there is.
 pub const MAX_UNREPORTED_WORK: Duration = Duration::from_secs(1);
 
 /// An endpoint that could take the request, as this instance sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Predicted time until this request's prefill could begin there.
+    /// Predicted time until this request's prefill could start there.
     pub wait: Duration,
-    /// Prefill speed, as learned.
+    /// Prefill speed, as learned from earlier answers.
     pub rate: TokenRate,
-    /// How much of the prompt the engine likely has cached.
+    /// Prompt tokens that the engine likely has cached.
     pub cached: Tokens,
-    /// One-way delay to it.
+    /// One-way network delay to it.
     pub distance: Duration,
-    /// Memory that is free there.
+    /// Free KV cache memory there.
     pub free: Tokens,
-    /// Requests with short prompts under way there.
+    /// Running requests with short prompts.
     pub shorts_running: u32,
-    /// Requests with long prompts under way there.
+    /// Running requests with long prompts.
     pub longs_running: u32,
     /// Whether long prompts may be placed there now.
     pub accepts_long: bool,
-    /// 1 for a healthy endpoint, more for a slow or recovering one; see [`crate::health`].
+    /// Factor of the cost: 1 for a healthy endpoint, more for a slow or recovering one; see
+    /// [`crate::health`].
     pub penalty: f64,
 }
 
-/// What is to be placed.
+/// The request to place.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectionRequest {
-    /// Size of the prompt.
+    /// Length of the prompt.
     pub prompt: Tokens,
-    /// Memory it needs, prompt and output.
+    /// KV cache memory for prompt and output.
     pub footprint: Tokens,
-    /// Whether it counts as long.
+    /// Whether the prompt counts as long.
     pub long: bool,
-    /// Hash of the prompt's leading blocks, where it has whole blocks: the last hash of
-    /// [`crate::RequestSpec::prefix`] that others are expected to share, usually the first.
+    /// Hash of the prompt's leading blocks, if it has whole blocks: the last hash of
+    /// [`crate::RequestSpec::prefix`] that other prompts are expected to share, usually the first.
     pub prefix: Option<u64>,
-    /// Work that the other instances have likely added to an endpoint's queue since this
-    /// instance heard of them; see [`unreported_work`].
+    /// Work that the other instances have likely added to an endpoint's queue since their last
+    /// update; see [`unreported_work`].
     pub unreported_work: Duration,
-    /// What the site weighs how much.
+    /// The site's weights of the classes of requests.
     pub weights: Weights,
 }
 
 impl SelectionRequest {
-    /// A request with a bare prompt, the default weights and a fresh view.
+    /// A request whose footprint is its prompt, with default weights and no unreported work.
     pub fn new(prompt: Tokens, long: bool) -> SelectionRequest {
         let weights = Weights::default();
         SelectionRequest {
@@ -103,46 +107,47 @@
         }
     }
 
-    /// Whether `candidate` can take the request at once: it has the memory, and is open to long
-    /// prompts if this is one. What is cached there needs no second copy.
+    /// Whether `candidate` can take the request at once: it has enough memory, and accepts long
+    /// prompts if this is one. The cached part of the prompt needs no extra memory.
     pub fn fits(&self, candidate: &Candidate) -> bool {
         let needed = self.footprint - candidate.cached.min(self.prompt);
         needed <= candidate.free && (candidate.accepts_long || !self.long)
     }
 }
 
-/// Work that other instances have likely added to an endpoint's queue, when the view of them is
-/// `age` old: an endpoint that is busy for this share of the time gets as much work in the same
-/// time, and all but one's own part of it goes unheard.
+/// Work that other instances have likely added to an endpoint's queue if the view of them is `age`
+/// old: an endpoint that is busy for a share of the time receives as much work in the same time,
+/// and all but this instance's own part of it is unreported.
 pub fn unreported_work(age: Duration, busy: f64, instances: usize) -> Duration {
     let others = 1.0 - 1.0 / instances.max(1) as f64;
     age.mul_f64(busy.clamp(0.0, 1.0) * others).min(MAX_UNREPORTED_WORK)
 }
 
-/// Chooses the endpoint for `ask`, as index into `candidates`; none where none can take it now.
+/// Chooses the endpoint for `request`, as an index into `candidates`; none if no candidate can take
+/// it now.
 pub fn choose(
     candidates: &[Candidate],
     request: &SelectionRequest,
     rng: &mut Rng,
 ) -> Option<usize> {
-    let costs: Vec<Priced> = candidates
+    let priced_candidates: Vec<PricedCandidate> = candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| request.fits(candidate))
-        .map(|(index, candidate)| Priced { index, cost: cost(candidate, request) })
+        .map(|(index, candidate)| PricedCandidate { index, cost: cost(candidate, request) })
         .collect();
-    let best = costs.iter().min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-    let near = near_best(candidates, &costs, best, request);
+    let best = priced_candidates.iter().min_by(|a, b| a.cost.total_cmp(&b.cost))?;
+    let equal = equal_to_best(candidates, &priced_candidates, best, request);
     if let Some(prefix) = request.prefix
-        && leaves_its_holder(candidates, &near, request)
+        && prefix_holder_excluded(candidates, &equal, request)
     {
-        return rendezvous::owner(prefix, near.iter().map(|p| &candidates[p.index].endpoint))
-            .map(|winner| near[winner].index);
+        return rendezvous::owner(prefix, equal.iter().map(|p| &candidates[p.index].endpoint))
+            .map(|winner| equal[winner].index);
     }
-    cheaper_of_two(&near, rng)
+    cheaper_of_two_random(&equal, rng)
 }
 
-/// Chooses always the cheapest: the baseline that herds, kept to measure against.
+/// Always chooses the cheapest endpoint: the baseline for measuring the thundering herd.
 pub fn choose_cheapest(candidates: &[Candidate], request: &SelectionRequest) -> Option<usize> {
     (0..candidates.len())
         .filter(|index| request.fits(&candidates[*index]))
@@ -150,44 +155,47 @@
 }
 
 #[derive(Clone, Copy)]
-struct Priced {
+struct PricedCandidate {
     index: usize,
     cost: Cost,
 }
 
-/// The equals of `best`: as good apart from the wait, no farther away, and with a wait that is
-/// longer by no more than what is unheard of.
-fn near_best(
+/// Endpoints equal to `best`: same service cost, no farther away, and a wait that is longer by no
+/// more than the unreported work.
+fn equal_to_best(
     candidates: &[Candidate],
-    costs: &[Priced],
-    best: &Priced,
+    priced_candidates: &[PricedCandidate],
+    best: &PricedCandidate,
     request: &SelectionRequest,
-) -> Vec<Priced> {
+) -> Vec<PricedCandidate> {
     let cheapest = &candidates[best.index];
     let unreported_work = request.unreported_work.clamp(MIN_UNREPORTED_WORK, MAX_UNREPORTED_WORK);
-    costs
+    priced_candidates
         .iter()
-        .filter(|priced| priced.cost.is_near(best.cost, EQUAL_COST_RATIO, unreported_work, request))
+        .filter(|priced| {
+            priced.cost.is_equal_to(best.cost, EQUAL_COST_RATIO, unreported_work, request)
+        })
         .filter(|priced| candidates[priced.index].distance <= cheapest.distance)
         .copied()
         .collect()
 }
 
-/// Whether some engine holds at least half of the prompt and none of the equals does.
-fn leaves_its_holder(
+/// Whether some engine has at least half of the prompt cached and none of the equal ones has.
+fn prefix_holder_excluded(
     candidates: &[Candidate],
-    near: &[Priced],
+    equal: &[PricedCandidate],
     request: &SelectionRequest,
 ) -> bool {
-    let holds = |candidate: &Candidate| candidate.cached.0 * 2 >= request.prompt.0.max(1);
-    candidates.iter().any(holds) && !near.iter().any(|priced| holds(&candidates[priced.index]))
+    let has_cached_half = |candidate: &Candidate| candidate.cached.0 * 2 >= request.prompt.0.max(1);
+    candidates.iter().any(has_cached_half)
+        && !equal.iter().any(|priced| has_cached_half(&candidates[priced.index]))
 }
 
-fn cheaper_of_two(near: &[Priced], rng: &mut Rng) -> Option<usize> {
-    if near.is_empty() {
+fn cheaper_of_two_random(equal: &[PricedCandidate], rng: &mut Rng) -> Option<usize> {
+    if equal.is_empty() {
         return None;
     }
-    let first = near[rng.usize(..near.len())];
-    let second = near[rng.usize(..near.len())];
+    let first = equal[rng.usize(..equal.len())];
+    let second = equal[rng.usize(..equal.len())];
     Some(if second.cost.total_cmp(&first.cost).is_lt() { second.index } else { first.index })
 }
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -1,6 +1,6 @@
 //! The cache index under late, gappy and contradictory news.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use policy::{
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,6 +1,7 @@
-//! Ejection with a floor, probes, the ramp, and silence told from death.
+//! Outlier ejection and its limits, probes, the ramp after a restore, and lost connections versus
+//! dead endpoints.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -34,7 +35,7 @@
         self
     }
 
-    /// Ten answers that took `slowness` times the prediction.
+    /// Records ten answers that took `slowness` times the prediction.
     fn answer(mut self, n: usize, slowness: f64) -> Group {
         let predicted = Duration::from_millis(100);
         (0..10).for_each(|_| {
@@ -80,9 +81,9 @@
         Group::of(4).answer(0, 9.0).answer(1, 8.0).answer(2, 9.0).answer(3, 8.0), needed 1 => [];
 }
 
-/// What a user sees without the floor: one shared cause (a slow store, a lost switch) makes every
-/// engine fail now and then, the first to reach the bound are taken out, the rest get their load
-/// and fail as well, and soon nobody is served.
+/// Guards against ejecting a whole group. A shared cause (a slow store, a lost switch) makes every
+/// engine fail now and then. Without a limit, the first engines at the threshold are ejected, the
+/// rest take over their load and fail as well, until no requests are served.
 #[test]
 fn a_shared_cause_does_not_empty_the_group() {
     let mut group = (0..9).fold(Group::of(9), |group, n| group.fail(n, Broken, 5));
@@ -133,9 +134,9 @@
     assert!(matches!(group.health.state(&endpoint(0), group.now), HealthState::Usable(_)));
 }
 
-/// What a user sees: answers that hang until the deadline, from an endpoint that serves others
-/// well. A device on the way has forgotten all open connections at once. Each would have to time
-/// out by itself, and an endpoint judged by them would be ejected though it is healthy.
+/// Guards against ejecting a healthy endpoint. When a device on the network path loses track of all
+/// open connections at once, answers hang until their deadline. Without the probe, each connection
+/// would have to time out by itself and would count against the endpoint.
 #[test]
 fn one_probe_settles_all_silent_connections() {
     let mut detector = silence::SilenceDetector::new();
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -1,6 +1,7 @@
-//! Placement: near before far, cached before not, no herding on a late view.
+//! Endpoint selection: near before far, cached before uncached, and no thundering herd on a stale
+//! view.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -81,8 +82,8 @@
         [Candidate { shorts_running: 10, ..candidate("a") }, waiting("b", 3_000)] => Some(1);
 }
 
-/// The site that counts only its dossiers puts one beside short requests rather than let it wait;
-/// the site that counts short ones lets it wait.
+/// A site that weighs long prompts more places one next to running short requests instead of
+/// letting it wait; a site that weighs short requests more lets it wait.
 #[test]
 fn the_weights_decide_between_own_wait_and_others_delay() {
     let candidates =
@@ -96,8 +97,8 @@
     assert_eq!(weighed(1.0, 4.0), Some(1));
 }
 
-/// Many instances ask about the same hot dossier at once while its engine has a long queue. If
-/// each chose another engine, all of them would prefill it; they have to agree on one.
+/// Guards against prefilling a popular long prompt on every engine. Many instances place it while
+/// the engine that has it cached has a long queue; they have to agree on one other engine.
 #[test]
 fn instances_agree_on_the_second_holder_of_a_hot_prefix() {
     let holder = Candidate { cached: Tokens(190_000), ..waiting("holder", 60_000) };
@@ -107,39 +108,38 @@
     assert!((1..100).all(|seed| choose(&candidates, &LONG, &mut Rng::with_seed(seed)) == first));
 }
 
-/// What a user sees: every so often a short question takes as long as a dossier. Several instances
-/// look at load reports that are some hundred milliseconds old; in between, each counts only its
-/// own sends. All of them find the same engine idle and send there, and the last one waits behind
-/// the others' sends.
-macro_rules! herding {
+/// Guards against a thundering herd. Instances see load reports that are some hundred milliseconds
+/// old, and in between each knows only its own sends. All find the same engine idle and send there,
+/// so that now and then a short request takes as long as a long prompt.
+macro_rules! herd_cases {
     ($($case:ident: $site:expr;)*) => {$(
         #[test]
         fn $case() {
             let site = $site;
-            let sharp = |request: &SelectionRequest| SelectionRequest { unreported_work: Duration::ZERO, ..*request };
+            let without_unreported = |request: &SelectionRequest| SelectionRequest { unreported_work: Duration::ZERO, ..*request };
             let cheapest = replay(&site, |candidates, request, _| choose_cheapest(candidates, request));
-            let narrow = replay(&site, |all, request, rng| choose(all, &sharp(request), rng));
+            let ties_only = replay(&site, |all, request, rng| choose(all, &without_unreported(request), rng));
             let policy = replay(&site, choose);
-            println!("{site:?}\n cheapest {cheapest:?}\n draw among ties {narrow:?}\n draw within unheard {policy:?}");
+            println!("{site:?}\n cheapest {cheapest:?}\n draw among ties {ties_only:?}\n draw within unreported work {policy:?}");
             assert!(policy.p99 < cheapest.p99, "{policy:?} {cheapest:?}");
             assert!(policy.worst < cheapest.worst, "{policy:?} {cheapest:?}");
         }
     )*};
 }
 
-herding! {
-    four_instances_with_late_views_do_not_herd: Site { instances: 4, late: 0.4, busy: 0.7 };
-    nor_do_they_when_busier: Site { instances: 4, late: 1.0, busy: 0.9 };
-    nor_do_sixteen: Site { instances: 16, late: 1.0, busy: 0.9 };
+herd_cases! {
+    four_instances_with_late_views_do_not_herd: Site { instances: 4, report_interval: 0.4, utilisation: 0.7 };
+    nor_do_they_when_busier: Site { instances: 4, report_interval: 1.0, utilisation: 0.9 };
+    nor_do_sixteen: Site { instances: 16, report_interval: 1.0, utilisation: 0.9 };
 }
 
 #[derive(Debug)]
 struct Site {
     instances: usize,
-    /// Seconds between two reports.
-    late: f64,
-    /// Share of the engines' time that is asked for.
-    busy: f64,
+    /// Seconds between two load reports.
+    report_interval: f64,
+    /// Utilisation of the engines.
+    utilisation: f64,
 }
 
 #[derive(Debug)]
@@ -147,14 +147,14 @@
 struct Waits {
     mean: Duration,
     p99: Duration,
-    /// The longest wait of a run, as mean over the seeds: one run's alone is a single event.
+    /// The longest wait of a run, averaged over the seeds, since a single run's is a single event.
     worst: Duration,
 }
 
 const SEEDS: u64 = 20;
 const ENDPOINTS: usize = 8;
 
-/// Eight engines, one prompt in fifty of 20,000 tokens, twenty seeds of 10,000 requests.
+/// Eight engines, one prompt in fifty of 20,000 tokens, 20 seeds of 10,000 requests.
 fn replay(
     site: &Site,
     choose: impl Fn(&[Candidate], &SelectionRequest, &mut Rng) -> Option<usize>,
@@ -169,15 +169,15 @@
         let mut free_at = [0.0_f64; ENDPOINTS];
         let mut view = vec![free_at; site.instances];
         for _ in 0..10_000 {
-            // 0.069 s is the mean work of a request.
-            now += -rng.f64().max(1e-12).ln() * 0.069 / (site.busy * ENDPOINTS as f64);
-            if now - reported_at >= site.late {
+            // 0.069 s is a request's mean prefill time.
+            now += -rng.f64().max(1e-12).ln() * 0.069 / (site.utilisation * ENDPOINTS as f64);
+            if now - reported_at >= site.report_interval {
                 reported_at = now;
                 view.fill(free_at);
             }
             let prompt = if rng.u32(..50) == 0 { 20_000 } else { 1_000 };
-            let mine = &mut view[rng.usize(..site.instances)];
-            let candidates: Vec<Candidate> = mine
+            let own_view = &mut view[rng.usize(..site.instances)];
+            let candidates: Vec<Candidate> = own_view
                 .iter()
                 .enumerate()
                 .map(|(n, free)| Candidate {
@@ -187,7 +187,7 @@
                 .collect();
             let age = Duration::from_secs_f64(now - reported_at);
             let request = SelectionRequest {
-                unreported_work: unreported_work(age, site.busy, site.instances),
+                unreported_work: unreported_work(age, site.utilisation, site.instances),
                 ..SelectionRequest::new(Tokens(prompt), false)
             };
             let chosen = choose(&candidates, &request, &mut rng).unwrap();
@@ -196,12 +196,13 @@
             waits.push(wait);
             longest = longest.max(wait);
             free_at[chosen] = free_at[chosen].max(now) + work;
-            mine[chosen] = mine[chosen].max(now) + work;
+            own_view[chosen] = own_view[chosen].max(now) + work;
         }
         worst += Duration::from_secs_f64(longest) / SEEDS as u32;
     }
     waits.sort_by(f64::total_cmp);
-    let at = |share: f64| Duration::from_secs_f64(waits[(waits.len() as f64 * share) as usize]);
+    let percentile =
+        |share: f64| Duration::from_secs_f64(waits[(waits.len() as f64 * share) as usize]);
     let mean = Duration::from_secs_f64(waits.iter().sum::<f64>() / waits.len() as f64);
-    Waits { mean, p99: at(0.99), worst }
+    Waits { mean, p99: percentile(0.99), worst }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,6 +1,7 @@
-//! Requests that crash endpoints are found within two deaths, and bystanders cleared.
+//! A poison request is identified at its second crash, and the requests that ran next to it are
+//! cleared.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -19,15 +20,16 @@
     EndpointId::new(&format!("e{n}")).unwrap()
 }
 
-const KILLER: Fingerprint = Fingerprint(0);
+const POISON: Fingerprint = Fingerprint(0);
 
 fn at(seconds: u64) -> Time {
     Time::from_millis(seconds * 1000)
 }
 
-/// What a user sees without it: four engines die one after another within a minute, and again
-/// after each restart, because one request is retried from engine to engine. Here 40 requests run
-/// on each of four engines, one of them kills; the suspects run apart, and the second death tells.
+/// Guards against a poison request taking down all engines. Retried from engine to engine, one
+/// request crashes four engines within a minute, and again after each restart. Here 40 requests run
+/// on an engine, one of them crashes it; suspects are rerun isolated, and the second death
+/// identifies it.
 #[test]
 fn the_second_death_finds_the_killer_and_clears_the_rest() {
     for seed in 0..50 {
@@ -43,7 +45,7 @@
             let target = (1..4).find(|n| quarantine.may_run(fingerprint, &endpoint(*n), 3, now));
             let target = endpoint(target.unwrap());
             quarantine.started(fingerprint, &target, now);
-            if fingerprint == KILLER {
+            if fingerprint == POISON {
                 deaths += 1;
                 quarantine.died(&target, &[fingerprint, Fingerprint(100)], now);
             } else {
@@ -51,8 +53,8 @@
             }
         }
         assert_eq!(deaths, 2);
-        assert!(matches!(quarantine.state(KILLER, now), QuarantineState::Refused(_)));
-        assert!(!quarantine.may_run(KILLER, &endpoint(3), 3, now));
+        assert!(matches!(quarantine.state(POISON, now), QuarantineState::Refused(_)));
+        assert!(!quarantine.may_run(POISON, &endpoint(3), 3, now));
         assert!((1..40).all(|n| quarantine.state(Fingerprint(n), now) == QuarantineState::Clear));
         assert_eq!(quarantine.state(Fingerprint(100), now), QuarantineState::Suspect);
     }
@@ -89,8 +91,8 @@
     assert!(quarantine.may_run(Fingerprint(1), &endpoint(1), 3, at(16)));
 }
 
-/// What a user sees without the rule: a popular question is refused everywhere for ten minutes. A
-/// rack failed, and three engines that all ran it died in the same second.
+/// Guards against refusing a popular request everywhere for ten minutes: a rack fails, and three
+/// engines that all ran it die in the same second.
 #[test]
 fn a_rack_that_fails_convicts_nobody() {
     let mut quarantine = Quarantine::new();
@@ -104,9 +106,9 @@
     assert_eq!(quarantine.state(Fingerprint(1), at(11)), QuarantineState::Suspect);
 }
 
-/// What a user sees without it: all four engines die within a second of one call. The call was run
-/// apart after the first death, killed the next engine at once, and each death counted as one with
-/// the death before, because they came so close together.
+/// Guards against counting separate deaths as one. A poison request, rerun isolated after the first
+/// death, crashes the next engine at once; if that death counted as the first one because they are
+/// so close, all four engines would die within a second.
 #[test]
 fn a_killer_run_apart_is_found_however_soon_it_kills_again() {
     let mut quarantine = suspects(&[1, 2]);
@@ -128,11 +130,11 @@
         quarantine.state(Fingerprint(1), at(20)),
         QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
     );
-    let over = at(20) + FIRST_REFUSAL_PERIOD;
-    assert_eq!(quarantine.state(Fingerprint(1), over), QuarantineState::Clear);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], over);
-    quarantine.died(&endpoint(2), &[Fingerprint(1)], over + Duration::from_secs(10));
-    let again = quarantine.state(Fingerprint(1), over + Duration::from_secs(10));
+    let expiry = at(20) + FIRST_REFUSAL_PERIOD;
+    assert_eq!(quarantine.state(Fingerprint(1), expiry), QuarantineState::Clear);
+    quarantine.died(&endpoint(1), &[Fingerprint(1)], expiry);
+    quarantine.died(&endpoint(2), &[Fingerprint(1)], expiry + Duration::from_secs(10));
+    let again = quarantine.state(Fingerprint(1), expiry + Duration::from_secs(10));
     assert_eq!(again, QuarantineState::Refused(FIRST_REFUSAL_PERIOD * 2));
 }
 
@@ -147,7 +149,7 @@
     let mut here = suspects(&[1, 2]);
     here.died(&endpoint(1), &[Fingerprint(1)], at(20));
     let mut there = Quarantine::new();
-    // Clocks differ between instances: only spans are told.
+    // Instances' clocks differ, so only durations are sent.
     there.import(&here.export(at(30)), at(5_000));
     let left = FIRST_REFUSAL_PERIOD - Duration::from_secs(10);
     assert_eq!(there.state(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,6 +1,6 @@
 //! Retries stay a share of successes, whatever fails.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
