--- a/crates/policy/src/placement/backoff.rs
+++ b/crates/policy/src/placement/backoff.rs
@@ -1,27 +1,27 @@
-//! Whether an engine may read parts of others' prompts, after requests were refused for its sake.
+//! Back-off of an engine as a helper, after requests were refused because of it.
 //!
-//! **Load pattern.** An engine dies, or begins to leave, while every instance takes it as one of a
+//! **Load pattern.** An engine dies, or begins to leave, while every instance uses it as one of a
 //! dozen helpers for each long prompt.
 //!
-//! **Without it.** Each instance learns by its own refusals only. The request that was refused is sent
-//! again with the same helper and is lost, and so are those of the other instances, until the directory
-//! no longer lists the engine.
+//! **Without it.** Each instance learns only from its own refusals. The refused request is sent
+//! again with the same helper and is lost, and so are those of the other instances, until the
+//! directory no longer lists the engine.
 //!
-//! **Rule.** Whoever has a request refused for a helper's sake tells the others at once, and all leave
-//! that helper out for a while that doubles with each further refusal. It still runs requests of its
-//! own: if it can't, that shows there.
+//! **Rule.** An instance whose request is refused because of a helper reports it to the others at
+//! once, and all of them leave that helper out for a period that doubles with each further refusal.
+//! The engine still runs requests as their head: if it can't, those requests show it.
 
-/// The first time for which an engine is left out: what it takes to hear of one that leaves, at most
-/// sites.
+/// First back-off in milliseconds: at most sites, an engine's leaving is known within this time.
 const FIRST_BACKOFF_MS: f64 = 500.0;
 
-/// The longest such time.
+/// Longest back-off in milliseconds.
 const MAX_BACKOFF_MS: f64 = 8_000.0;
 
-/// How many times as long without a refusal makes it as good as any other.
+/// Multiple of the last back-off after whose end, without a refusal, the next one starts from the
+/// first again.
 const RESET_AFTER_FACTOR: f64 = 4.0;
 
-/// An engine's standing as a helper. Times are milliseconds of the instance's clock.
+/// Back-off of one engine. Times are milliseconds of the instance's clock.
 #[derive(Debug, Default)]
 pub(super) struct HelperBackoff {
     backoff_ms: f64,
@@ -29,8 +29,8 @@
 }
 
 impl HelperBackoff {
-    /// A request was refused for its sake. Refusals while it is left out are those of requests that
-    /// were under way.
+    /// Records that a request was refused because of it. Refusals during a back-off belong to
+    /// requests that were already in flight.
     pub(super) fn record_refusal(&mut self, now: f64) {
         if now < self.until {
             return;
@@ -41,7 +41,7 @@
         self.until = now + self.backoff_ms;
     }
 
-    /// Whether it may read a part that reaches it then.
+    /// Whether it may prefill a part that arrives at this time.
     pub(super) fn may_help(&self, arrives_at: f64) -> bool {
         arrives_at >= self.until
     }
--- a/crates/policy/src/placement/decaying.rs
+++ b/crates/policy/src/placement/decaying.rs
@@ -1,10 +1,10 @@
-//! Sums that fade, for what has come of late.
+//! Exponentially decaying sums, for recent rates.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// A sum that fades.
+/// A sum whose terms lose half of their value each half-life.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DecayingSum {
     value: f64,
@@ -22,12 +22,12 @@
         self.updated_at = now;
     }
 
-    /// The sum as faded by now.
+    /// The sum, decayed until now.
     pub(super) fn sum(&self, now: Time) -> f64 {
         self.value * (-now.since(self.updated_at).as_secs_f64() / self.half_life_s).exp2()
     }
 
-    /// The mean of what was added a second.
+    /// Recent mean of the added amounts per second.
     pub(super) fn rate(&self, now: Time) -> f64 {
         self.sum(now) * std::f64::consts::LN_2 / self.half_life_s
     }
--- a/crates/policy/src/placement/decoding.rs
+++ b/crates/policy/src/placement/decoding.rs
@@ -1,36 +1,36 @@
-//! Who writes on an engine, counted by the pause that they bear.
+//! The requests that decode on an engine, counted by pause goal.
 //!
-//! **Load pattern.** Callers with different goals for pauses write on the same engines.
+//! **Load pattern.** Callers with different pause goals have requests on the same engines.
 //!
-//! **Without it.** With fixed classes of pauses, a site whose callers bear less than the lowest class
-//! looks undisturbed by passes that make every answer late.
+//! **Without it.** With fixed classes of pause goals, requests whose goal is below the lowest class
+//! look undisturbed by passes that make all their answers late.
 
 use serde::{Deserialize, Serialize};
 
-/// Different pauses that are told apart; a group of endpoints serves few kinds of callers.
+/// Pause goals that are counted separately; a group of endpoints serves few kinds of callers.
 const MAX_PAUSE_GROUPS: usize = 3;
 
-/// Steps of a weight. Whole steps make sums over instances exact.
+/// Steps per unit of weight. Whole steps make sums over instances exact.
 pub(super) const WEIGHT_STEPS: f64 = 100.0;
 
-/// Writers that bear the same pause.
+/// Requests with the same pause goal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 struct PauseGroup {
     pause_goal_ms: u16,
     weight_steps: u32,
 }
 
-/// One instance's writers on one endpoint.
+/// The requests of one instance that decode on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DecodingLoad([PauseGroup; MAX_PAUSE_GROUPS]);
 
 impl DecodingLoad {
-    /// Their weight.
+    /// Their total weight.
     pub fn weight(&self) -> f64 {
         self.0.iter().map(|group| f64::from(group.weight_steps)).sum::<f64>() / WEIGHT_STEPS
     }
 
-    /// Each pause that some bear, in milliseconds.
+    /// Their pause goals, in milliseconds.
     pub(super) fn pause_goals_ms(&self) -> impl Iterator<Item = u16> {
         self.0.into_iter().filter(|group| group.weight_steps > 0).map(|group| group.pause_goal_ms)
     }
@@ -52,7 +52,7 @@
         group.weight_steps = group.weight_steps.saturating_sub(weight_steps(weight));
     }
 
-    /// The group that bears this pause, or else an empty one, or else the nearest.
+    /// Index of the group with this pause goal, or else of an empty one, or else of the nearest.
     fn index(&self, pause_goal_ms: u16) -> usize {
         let same =
             |group: &PauseGroup| group.weight_steps > 0 && group.pause_goal_ms == pause_goal_ms;
@@ -65,7 +65,7 @@
     }
 }
 
-/// All instances' writers on one endpoint.
+/// The requests of all instances that decode on one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(super) struct TotalDecodingLoad(Vec<(u16, u64)>);
 
@@ -90,7 +90,7 @@
         self.0.retain(|(_, sum)| *sum > 0);
     }
 
-    /// Each pause that some bear, in milliseconds, and the weight of those who do.
+    /// Each pause goal in milliseconds, and the weight of the requests that have it.
     pub(super) fn by_pause_goal(&self) -> impl Iterator<Item = (u16, f64)> {
         self.0.iter().map(|(ms, weight_steps)| (*ms, *weight_steps as f64 / WEIGHT_STEPS))
     }
--- a/crates/policy/src/placement/overdue.rs
+++ b/crates/policy/src/placement/overdue.rs
@@ -1,21 +1,23 @@
-//! Which engine may be the one that an overdue prompt waits for.
+//! Estimates which engine an overdue split prompt waits for.
 //!
-//! **Load pattern.** An engine that helps to read dies without a word, while every long prompt of every
-//! instance is split over a dozen engines.
+//! **Load pattern.** A helper dies silently while every long prompt of every instance is split over
+//! a dozen engines.
 //!
-//! **Without it.** The engine is known only once a request breaks off for its sake, a second and a half
-//! later. Each long prompt until then takes it as a helper again and is lost with the first one; read
-//! anew, they crowd the other engines and meet the next one that dies.
+//! **Without it.** The engine becomes known only when a request fails because of it, a second and a
+//! half later. Until then, each long prompt uses it as a helper again and is lost like the first
+//! one. Prefilled anew, these prompts overload the other engines and meet the next engine that
+//! dies.
 //!
-//! **Rule.** All instances know each split prompt and its first event. One that is overdue waits for one of
-//! its engines, each of which is equally likely, or merely stands in queues: so the chance of each stays
-//! as it is when the others are cleared by having read a later part. Nothing is blamed where an engine is
-//! known to refuse already. A split costs the chance that one of its engines doesn't read, so new prompts
-//! are read by fewer engines, and by those that are proved to read.
+//! **Rule.** All instances know each split prompt and its first event. An overdue prompt waits for
+//! one of its engines, each of which is equally likely, or is merely queued; so an engine's
+//! probability isn't raised when others are cleared because they have prefilled a later part. If
+//! one of the engines is known to refuse already, none is suspected. The cost of a split includes
+//! the probability that one of its engines doesn't prefill its part, so new prompts use fewer
+//! engines, and those that are known to prefill.
 //!
-//! **Grounds.** No message is needed beyond what is told of placements and first events. A part that its
-//! engine is thought to be still reading isn't overdue, so a queue raises no risk.
-//! `docs/incidents/instances-learn-together.md` has the figures.
+//! **Grounds.** No message is needed beyond the updates about placements and first events. A part
+//! that its engine is predicted to be still prefilling isn't overdue, so a queue raises no risk.
+//! The measurements are in `docs/incidents/instances-learn-together.md`.
 
 use std::time::Duration;
 
@@ -27,16 +29,16 @@
 
 /// A split prompt whose first event isn't known.
 struct OverduePrompt {
-    /// Milliseconds for which it has been overdue.
+    /// How long it has been overdue.
     overdue_ms: f64,
-    /// Engines that read parts of it.
+    /// Number of engines that prefill parts of it.
     engines: usize,
     /// One of its engines is known to refuse.
     is_explained: bool,
 }
 
-/// Sets each server's chance that it doesn't read its parts. It is certain that one of a prompt's
-/// engines doesn't once the prompt is overdue by `certain_ms`.
+/// Sets each server's probability of not prefilling its parts. Once a prompt is overdue by
+/// `certain_ms`, one of its engines certainly doesn't.
 pub(super) fn update_risks(
     servers: &mut IndexMap<EndpointId, Server>,
     certain_ms: f64,
--- a/crates/policy/src/placement/pauses.rs
+++ b/crates/policy/src/placement/pauses.rs
@@ -1,26 +1,27 @@
-//! The pauses that callers of one endpoint group bear, as far as they have been seen.
+//! The pause goals of one endpoint group's callers, as observed.
 //!
-//! **Load pattern.** Short questions with tight goals and long dossiers with loose ones share engines, on
-//! sites whose goals aren't known beforehand.
+//! **Load pattern.** Short questions with tight goals and long prompts with loose ones share
+//! engines, on sites whose goals aren't known in advance.
 //!
-//! **Without it.** What is short enough to be read beside writers, and who has to write apart from
-//! reading, is set for one site's goals and hurts callers on another.
+//! **Without it.** Which prompts are short enough to be prefilled on engines that decode, and which
+//! requests have to decode apart from prefill, is tuned to one site's goals and hurts callers at
+//! another.
 //!
-//! **Rule.** A prompt is short if reading it takes no more than a share of the least pause that anybody
-//! bears. All but those who bear the longest pauses write where others write.
+//! **Rule.** A prompt is short if its prefill takes no more than a fraction of the shortest pause
+//! goal. All requests but those with the longest pause goal run where others decode.
 
 use crate::Time;
 use std::time::Duration;
 
-/// How long callers of a kind are remembered.
+/// How long a pause goal is remembered without being used.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Different pauses that are remembered; a group serves few kinds of callers.
+/// Number of pause goals that are remembered; a group serves few kinds of callers.
 const MAX_PAUSE_GOALS: usize = 16;
 
 #[derive(Debug, Default)]
 pub(super) struct PauseGoals {
-    /// Milliseconds, and when they were seen last.
+    /// Pause goals in milliseconds, and when each was last used.
     seen: Vec<(u16, Time)>,
 }
 
@@ -36,12 +37,12 @@
         }
     }
 
-    /// The least pause that anybody bears, in milliseconds; infinite where nobody was seen.
+    /// In milliseconds; infinite before the first request.
     pub(super) fn shortest(&self) -> f64 {
         self.seen.iter().map(|(ms, _)| f64::from(*ms)).fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether somebody bears longer pauses than this one.
+    /// Whether a longer pause goal is in use.
     pub(super) fn is_below_longest(&self, pause_goal_ms: u16) -> bool {
         self.seen.iter().any(|(ms, _)| *ms > pause_goal_ms)
     }
--- a/crates/policy/src/placement/prefill.rs
+++ b/crates/policy/src/placement/prefill.rs
@@ -1,88 +1,89 @@
-//! What one engine reads in which order, followed and foretold.
+//! The order in which one engine prefills its waiting parts, simulated and predicted.
 //!
-//! **Load pattern.** Dossiers are read in parts by a dozen engines each, and several are under way at
-//! once, so each engine has parts of more than one.
+//! **Load pattern.** Each long prompt is prefilled in parts by a dozen engines, and several prompts
+//! are in flight at once, so each engine has parts of more than one.
 //!
-//! **Without it.** An engine reads the part that came last first, whatever it has begun: taken for a
-//! queue, it looks as if the earlier dossier came first, and each new one is sent on top of those that
-//! wait. Their first events then come up to ten seconds later than foretold.
+//! **Without it.** An engine prefills the newest part first, whatever it has started. Modelled as a
+//! first-in-first-out queue, it looks as if earlier prompts were prefilled first, and new ones are
+//! sent on top of those that wait. Their first events then come up to ten seconds later than
+//! predicted.
 //!
-//! **Rule.** An engine on which nobody writes reads the newest part of a split prompt first and whole
-//! prompts after all parts. One on which somebody writes works in passes, each of which reads what has
-//! come before it begins in the same order, up to its number of tokens.
+//! **Rule.** An engine that decodes nothing prefills the newest part of a split prompt first, and
+//! whole prompts after all parts. An engine that decodes works in passes; each one prefills what
+//! arrived before it began, in the same order, up to its number of tokens.
 //!
 //! **Grounds.** `docs/decisions/arrangement.md` compares the orders.
 
 use crate::routes::EngineRules;
 
-/// Passes that are followed in one go. An engine that nothing was heard of for longer starts
-/// afresh, which errs towards idle.
+/// Passes that are simulated in one call. If an engine wasn't simulated for longer, the rest of the
+/// time is skipped, which errs towards idle.
 const MAX_SIMULATED_PASSES: usize = 64;
 
-/// Names a request's parts on all engines and instances.
+/// Identifies a request's parts on all engines and instances.
 pub type PartKey = u64;
 
-/// A part of a prompt that waits to be read. Times are milliseconds of the instance's clock.
+/// A part of a prompt that waits for prefill. Times are milliseconds of the instance's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Part {
-    /// Whose part it is.
+    /// Identifies its request.
     pub(super) key: PartKey,
-    /// When it reaches the engine; parts of requests that are held for a while come later.
+    /// When it reaches the engine; later if the request is held.
     pub(super) arrives_at: f64,
-    /// Milliseconds of reading.
+    /// Remaining prefill time in milliseconds.
     pub(super) prefill_ms: f64,
-    /// Tokens to read.
+    /// Remaining tokens to prefill.
     pub(super) tokens: f64,
-    /// It is one of several, and read before whatever waits.
+    /// It is one of several parts, which engines prefill before everything that waits.
     pub(super) is_split: bool,
-    /// The request runs here, so that it writes here once it is read.
+    /// The request runs here and decodes here once the part is prefilled.
     pub(super) is_head: bool,
-    /// When its request's first event is late.
+    /// The deadline of its request's first event.
     pub(super) due_at: f64,
-    /// How long after its placement that is.
+    /// Goal of the first event, in milliseconds from placement.
     pub(super) goal_ms: f64,
-    /// When all parts of its request were expected to have been read.
+    /// When all parts of its request were expected to be prefilled.
     pub(super) ready_at: f64,
-    /// What its request's being late costs.
+    /// Cost of its request's being late.
     pub(super) weight: f64,
-    /// The longest pass beside writers that has read of it.
+    /// The longest pass during decoding that has prefilled some of it.
     pub(super) longest_pass: Pass,
 }
 
-/// A pass beside writers.
+/// A pass that decodes and prefills.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct Pass {
-    /// Milliseconds that it takes.
+    /// Total duration in milliseconds.
     pub(super) duration_ms: f64,
-    /// Milliseconds of it that read one part.
+    /// Milliseconds of it that were spent on one part.
     pub(super) part_ms: f64,
 }
 
-/// What a part is and when it has been read.
+/// A part and the time at which it is prefilled.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartCompletion {
     pub(super) part: Part,
     pub(super) done_at: f64,
 }
 
-/// The reading of one engine.
+/// The prefill queue of one engine.
 #[derive(Debug, Clone)]
 pub(super) struct PrefillQueue {
-    /// Up to when it has been followed; beyond now where a pass is under way.
+    /// Time up to which the engine is simulated; after now if a pass is in progress.
     simulated_until: f64,
-    /// Parts, or what the pass under way leaves of them.
+    /// Waiting parts, and what the pass in progress will leave of its parts.
     waiting: Vec<Part>,
-    /// What the pass under way reads.
+    /// What the pass in progress prefills.
     in_pass: Vec<Part>,
 }
 
-/// How long passes take there.
+/// What the duration of an engine's passes depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineSpeed<'a> {
     pub(super) rules: &'a EngineRules,
-    /// How many times slower than its figures it is.
+    /// How many times slower it is than its rules predict.
     pub(super) slowdown: f64,
-    /// Requests that run or wait there, those that are being read included.
+    /// Requests that run or wait there, including those that are being prefilled.
     pub(super) running: u32,
 }
 
@@ -101,8 +102,8 @@
         self.waiting.push(part);
     }
 
-    /// Takes back a request's part, wherever it stands, and tells whether there was one. What the
-    /// pass under way reads of it ends with it, as an engine drops a prompt whose caller is gone.
+    /// Removes a request's part, and returns whether there was one. What the pass in progress
+    /// prefills of it ends with it, because an engine drops a prompt whose caller has left.
     pub(super) fn remove(&mut self, key: PartKey, now: f64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|part| part.key != key);
@@ -115,21 +116,21 @@
         self.waiting.len() < before
     }
 
-    /// An event tells that a pass began at `began`, so the engine is busy for a pass at least. It never
-    /// ends one sooner than foretold: first events come in the middle of passes as well, and a pass cut
-    /// short here would lose what it reads.
+    /// Records that a pass began at `pass_start`, so that the engine is busy for at least one pass.
+    /// Never shortens a predicted pass: first events also arrive in the middle of passes, and a
+    /// shortened pass would lose its prefill.
     pub(super) fn record_pass_start(&mut self, pass_start: f64, speed: EngineSpeed<'_>) {
         let ends = pass_start + speed.pass_ms(self.decoding_count(speed.running).max(1));
         self.simulated_until = self.simulated_until.max(ends);
     }
 
-    /// Of the requests that run there, those that have been read.
+    /// How many of the `running` requests are prefilled and decode.
     pub(super) fn decoding_count(&self, running: u32) -> u32 {
         let pending = self.waiting.iter().filter(|part| part.is_head).count();
         running.saturating_sub(u32::try_from(pending).unwrap_or(u32::MAX))
     }
 
-    /// When everything that waits will have been read, with `more` besides.
+    /// When everything that waits will be prefilled, with one `extra` part if given.
     pub(super) fn predict(
         &self,
         speed: EngineSpeed<'_>,
@@ -143,7 +144,7 @@
         let mut completions = Vec::with_capacity(pending.len());
         simulated.simulate(speed, f64::INFINITY, |completion| completions.push(completion));
         for completion in &mut completions {
-            // What is left of a part when it is done says nothing.
+            // A completed part has nothing left; restores its prefill time at the start.
             let whole = pending.iter().find(|part| part.key == completion.part.key);
             completion.part.prefill_ms =
                 whole.map_or(completion.part.prefill_ms, |part| part.prefill_ms);
@@ -151,7 +152,8 @@
         completions
     }
 
-    /// Follows the engine until `until`, or until nothing waits, and tells what it reads.
+    /// Simulates the engine until `end`, or until the queue is empty, and reports each part that is
+    /// completed.
     pub(super) fn simulate(
         &mut self,
         speed: EngineSpeed<'_>,
@@ -181,7 +183,8 @@
         }
     }
 
-    /// Reads on one part until it is done, another arrives, or `until`. Tells the part that is done.
+    /// Prefills one part until it is completed, another one arrives, or `end`. Returns the
+    /// completed part.
     fn prefill_alone(&mut self, end: f64) -> Option<PartCompletion> {
         let now = self.simulated_until;
         let next_arrival = self.waiting.iter().map(|part| part.arrives_at).filter(|at| *at > now);
@@ -211,7 +214,7 @@
         first.map(|(index, _)| index)
     }
 
-    /// Plays one pass with writers, and tells how many more there are after it.
+    /// Simulates one pass during decoding, and returns how many more requests decode after it.
     fn prefill_pass(
         &mut self,
         speed: EngineSpeed<'_>,
@@ -259,7 +262,7 @@
 }
 
 impl Part {
-    /// Milliseconds of it have been read.
+    /// Subtracts prefill that has been done.
     fn consume(&mut self, prefill_ms: f64) {
         let share = (prefill_ms / self.prefill_ms.max(f64::MIN_POSITIVE)).min(1.0);
         self.tokens *= 1.0 - share;
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the scheduler, and what it answers.
+//! What the scheduler is asked to place, and its decision.
 
 use std::{fmt, time::Duration};
 
@@ -9,30 +9,30 @@
     server::millis,
 };
 
-/// A request that looks for a place.
+/// A request to be placed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRequest {
-    /// Tokens of its prompt; zero for a call to a plain service.
+    /// Zero for a call to a plain service.
     pub prompt_tokens: u64,
-    /// Tokens that its answer may have.
+    /// The longest answer that the request allows.
     pub max_output_tokens: u64,
-    /// Milliseconds left until a first byte is late.
+    /// Milliseconds left until the first byte is late.
     pub goal_ms: f64,
-    /// Milliseconds that a pause within the answer may take.
+    /// Goal for the pauses within the answer, in milliseconds.
     pub max_pause_ms: f64,
-    /// Milliseconds after which nobody waits for it any more.
+    /// Milliseconds left until the caller's deadline.
     pub remaining_ms: f64,
     /// Rank; zero is the most urgent.
     pub priority: u8,
-    /// Names the same request when it is sent again.
+    /// Identifies the same request when it is sent again.
     pub fingerprint: Fingerprint,
-    /// An earlier attempt is still under way.
+    /// An earlier attempt is still in flight.
     pub is_hedge: bool,
-    /// Lives of endpoints that have had it already.
+    /// Incarnations of endpoints that have already had it.
     pub tried: Vec<(EndpointId, Incarnation)>,
 }
 
-/// Names a placed request until it ends.
+/// Identifies a placed request until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(pub u64);
 
@@ -42,78 +42,78 @@
     }
 }
 
-/// A request's place.
+/// The decision for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// Names it in later calls.
+    /// Identifies the request in later calls.
     pub job: JobId,
     /// Where it runs.
     pub endpoint: EndpointId,
-    /// The life of the endpoint that was chosen.
+    /// The chosen endpoint's incarnation.
     pub incarnation: Incarnation,
-    /// Further engines that read a part of its prompt.
+    /// Further engines that prefill a part of its prompt.
     pub helpers: Vec<Helper>,
-    /// Its rank on the engine; zero goes first.
+    /// Its rank on the engine; zero is the most urgent.
     pub priority: u8,
     /// When its first byte is expected, in milliseconds from now.
     pub predicted_ms: f64,
-    /// How long to wait before it is sent, because its engines still read what came before.
+    /// How long to hold it before it is sent, because its engines still prefill earlier parts.
     pub hold: Duration,
 }
 
-/// An engine that reads a part of another one's prompt.
+/// An engine that prefills a part of another engine's prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
-    /// The engine.
+    /// Its name.
     pub endpoint: EndpointId,
-    /// Tokens of its memory that the prompt needs, to be reserved before it is sent.
+    /// Tokens of its memory to reserve for the prompt before the request is sent.
     pub reserve_tokens: Option<u64>,
 }
 
-/// Why a request finds no place.
+/// Why a request isn't placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementRefusal {
     /// No endpoint may run it.
     NoEndpoint,
-    /// Endpoints died of it; it isn't run for this long.
+    /// Endpoints crashed while they ran it; it isn't run for this long.
     Quarantined(Duration),
-    /// Its first event would come too late now; this much later there may be room.
+    /// Its first event would be late; there may be room after this time.
     TooLate(Duration),
-    /// Those who write on the engines would lose more by it than it is worth; this much later there
-    /// may be room.
+    /// Serving it would cost the requests that decode on the engines more than it is worth; there
+    /// may be room after this time.
     Crowded(Duration),
 }
 
 /// A request that was placed and hasn't ended.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Names its parts to other instances.
+    /// Identifies its parts in updates.
     pub key: PartKey,
     /// Where it runs.
     pub endpoint: EndpointId,
-    /// Engines that read a part of its prompt.
+    /// Engines that prefill a part of its prompt.
     pub helpers: Vec<Helper>,
-    /// The lives of the engine that runs it and of its helpers, in their order.
+    /// Incarnations of the engine that runs it and of its helpers, in their order.
     pub incarnations: Vec<Incarnation>,
-    /// Milliseconds of reading on each of them.
+    /// Prefill time in milliseconds on each of them.
     pub part_prefill_ms: f64,
-    /// Tokens read on each of them.
+    /// Tokens to prefill on each of them.
     pub part_tokens: f64,
-    /// Tokens of memory that it takes where it runs.
+    /// Tokens of memory on the engine that runs it.
     pub memory_tokens: u64,
-    /// What its being late costs, relative to others.
+    /// Cost of its being late, relative to other requests.
     pub weight: f64,
-    /// The pause that it bears, in milliseconds.
+    /// Goal for the pauses within the answer, in milliseconds.
     pub max_pause_ms: f64,
-    /// Names the same request when it is sent again.
+    /// Identifies the same request when it is sent again.
     pub fingerprint: Fingerprint,
     /// When it was placed.
     pub placed_at: Time,
-    /// Milliseconds from then until its first byte is late.
+    /// Goal of the first byte, in milliseconds from placement.
     pub goal_ms: f64,
-    /// When its first byte was expected, in milliseconds from then.
+    /// When its first byte was expected, in milliseconds from placement.
     pub predicted_ms: f64,
-    /// When its parts were expected to have been read, in milliseconds from then.
+    /// When its parts were expected to be prefilled, in milliseconds from placement.
     pub prefilled_in_ms: f64,
     /// How long it is held before it is sent.
     pub hold: Duration,
@@ -124,7 +124,7 @@
 }
 
 impl Job {
-    /// All endpoints that work on it.
+    /// The engine that runs it, and its helpers.
     pub fn endpoints(&self) -> impl Iterator<Item = &EndpointId> {
         std::iter::once(&self.endpoint).chain(self.helpers.iter().map(|h| &h.endpoint))
     }
--- a/crates/policy/src/placement/rules.rs
+++ b/crates/policy/src/placement/rules.rs
@@ -1,4 +1,4 @@
-//! What a choice of places goes by, as figures that an experiment can vary.
+//! Parameters of placement, which experiments can vary.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,93 +6,98 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementStrategy {
-    /// By what callers lose.
+    /// By the cost to all callers.
     #[default]
     Weighed,
-    /// Where the fewest requests run, as a baseline. Nothing is split, held or refused.
+    /// The engine that runs the fewest requests, as a baseline. Nothing is split, held or refused.
     LeastOutstanding,
-    /// One after the other, as a baseline. Nothing is split, held or refused.
+    /// Each engine in turn, as a baseline. Nothing is split, held or refused.
     RoundRobin,
 }
 
-/// How places are weighed. The defaults are in force everywhere; `trefoilhall experiment` plays others
-/// (docs/decisions/arrangement.md). A weight is the loss of one short prompt's being late.
+/// Parameters of the cost of a placement. The defaults apply everywhere; `trefoilhall experiment`
+/// evaluates others (docs/decisions/arrangement.md). The unit of cost is a weight: the loss when
+/// one short prompt is late.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementRules {
-    /// How an engine is chosen; the other figures are for [`Choice::Weighed`].
+    /// How an engine is chosen; the other parameters apply to [`PlacementStrategy::Weighed`].
     pub choice: PlacementStrategy,
-    /// Milliseconds of reading that weigh one.
+    /// Milliseconds of prefill whose weight is one.
     pub unit_ms: f64,
-    /// How weight grows with a prompt's reading time: less than in proportion, as a long prompt is one
-    /// caller's loss all the same.
+    /// Exponent of the prefill time in a prompt's weight: below one, as a long prompt is still only
+    /// one caller's loss.
     pub weight_power: f64,
-    /// Parts of a bound between which the chance to miss it rises from none to certainty, as predictions
-    /// err by about a pass.
+    /// Fraction of a goal at which the probability of missing it starts to rise from zero; it
+    /// reaches one at `ramp_to`. Predictions err by about a pass.
     pub ramp_from: f64,
     /// See `ramp_from`.
     pub ramp_to: f64,
-    /// The same as `ramp_from` for first events, whose predictions err by more than those of pauses: prompts that
-    /// others place meanwhile come before them.
+    /// The same as `ramp_from` for first events, whose predictions err by more than those of
+    /// pauses: prompts that others place meanwhile come before them.
     pub first_from: f64,
-    /// What each further bound's length of lateness adds, in weights, so that of two late places the
-    /// earlier one is taken.
+    /// Added cost, in weights, per length of the goal, so that the earlier one of two late
+    /// placements is chosen.
     pub per_bound: f64,
-    /// What each further bound's length of a pause adds.
+    /// Added cost of a pause per length of its goal.
     ///
-    /// Guards against parts of seconds on engines full of questions: once a pause is too long, a longer one
-    /// would cost nothing more, and a few large parts would look cheaper than many small ones.
+    /// Guards against parts of several seconds on engines full of questions: once a pause misses
+    /// its goal, a longer one would cost nothing more, and a few large parts would look cheaper
+    /// than many small ones.
     pub per_longer_pause: f64,
-    /// How many times the mean time between two slots that become free is reckoned for each request that
-    /// stands before, as some that stand before aren't heard of yet.
+    /// Assumed wait for each request ahead in the queue, as a multiple of the mean time between two
+    /// freed slots: some requests ahead aren't reported yet.
     pub slot_waits: f64,
-    /// Slots that are left to what other instances have just placed and not told yet.
+    /// Slots left free for other instances' unreported placements.
     pub slots_left: u32,
-    /// What an engine that nobody writes on costs a short prompt, times the share of engines that long
-    /// prompts take: it will soon be wanted for a part that the short one's pause can't bear.
+    /// Cost, in weights, of placing a short prompt on an engine where nothing decodes, multiplied
+    /// by the share of engines that long prompts need: the engine will soon be needed for a part
+    /// whose prefill exceeds the short prompt's pause goal.
     pub apart: f64,
-    /// The most that it costs, in weights. Without this bound, questions queue for the slots of a few engines
-    /// in a burst of dossiers while others have room.
+    /// Upper bound of that cost, in weights. Without it, questions queue for the slots of a few
+    /// engines during a burst of long prompts while other engines have room.
     pub most_apart: f64,
-    /// The least share of engines that long prompts are taken to need, as questions that are written
-    /// everywhere when a burst of long prompts begins can't be moved.
+    /// Minimum share of engines that long prompts are assumed to need, as questions that already
+    /// decode everywhere when a burst of long prompts begins can't be moved.
     pub least_long_share: f64,
-    /// Milliseconds for which a long prompt is held at least, so that instances that placed others in the
-    /// same moment have heard of each other.
+    /// Minimum hold of a long prompt in milliseconds, so that instances that place long prompts at
+    /// the same moment receive each other's updates first.
     pub heard_ms: f64,
-    /// The part of the least pause that callers bear within which a prompt that is read beside writers
-    /// whole has to be read: the pass that reads it has others to read, too.
+    /// Fraction of the shortest pause goal within which a short prompt has to be prefilled: the
+    /// pass that prefills it has other parts to prefill, too.
     pub short_share: f64,
-    /// Milliseconds of reading up to which a prompt is of middle length: what a caller who waits for a
-    /// summary would notice.
+    /// Milliseconds of prefill up to which a prompt is of middle length: a delay that a caller who
+    /// waits for a summary would notice.
     pub middle_ms: f64,
-    /// The part of its goal within which a short prompt's first event has to be predicted; beyond it the
-    /// request is refused at once. A late answer is better than none; where a queue for slots stands, the
-    /// whole goal is the bound.
+    /// Multiple of its goal within which a short prompt's first event has to be predicted;
+    /// otherwise the request is refused at once. A late answer is better than none; while requests
+    /// keep queueing for slots, the goal itself is the bound.
     pub short_bound: f64,
-    /// The same for one of middle length.
+    /// The same for prompts of middle length.
     pub middle_bound: f64,
-    /// The same for a long one: it is worth little when late, and makes the next one late as well.
-    /// Predictions err low, so less than the whole goal is given.
+    /// The same for long prompts: a late one is worth little and delays the next one as well. Below
+    /// one, as predictions tend to be too early.
     pub long_bound: f64,
-    /// A prompt that couldn't be on time even on idle engines is taken on if it would take no more than so
-    /// many times that and `idle_slack_ms`: else the longest would never be served at all.
+    /// A prompt that would be late even on idle engines is accepted if it takes no more than this
+    /// multiple of its time on idle engines plus `idle_slack_ms`; otherwise the longest prompts
+    /// would never be served.
     pub idle_factor: f64,
     /// See `idle_factor`.
     pub idle_slack_ms: f64,
-    /// How many times its own weight a prompt may cost others; beyond it callers in sum lose by serving it.
+    /// Maximum cost to others as a multiple of the prompt's own weight; beyond it, serving the
+    /// prompt costs callers more in total than refusing it.
     pub most_harm: f64,
-    /// Prompts of middle length are written where others write, unless their callers bear the longest
-    /// pauses of all: those also bear the parts of long prompts.
+    /// Prompts of middle length run where other requests decode, unless they have the longest pause
+    /// goal: that one also tolerates the parts of long prompts.
     pub gathers: bool,
-    /// Milliseconds by which a prompt may be read later than predicted, because another instance chose the
-    /// same engines, before another place is looked for.
+    /// Milliseconds by which a held prompt's prefill may fall behind its prediction, because
+    /// another instance chose the same engines, before it is placed anew.
     pub collision_ms: f64,
-    /// Milliseconds by which a split prompt is overdue once it certainly waits for one of its engines.
+    /// Milliseconds after which an overdue split prompt certainly waits for one of its engines.
     pub overdue_ms: f64,
-    /// What a prompt loses, in times its weight, if one of its engines doesn't read its part.
+    /// Loss, as a multiple of a prompt's weight, if one of its engines doesn't prefill its part.
     pub broken_loss: f64,
-    /// Long prompts may be held until their engines have read what came before.
+    /// Long prompts may be held until their engines have prefilled earlier parts.
     pub holds: bool,
 }
 
@@ -136,7 +141,7 @@
 pub(super) const LONG_RANK: u8 = 5;
 
 impl PlacementRules {
-    /// The name of a figure that makes no sense, if there is one.
+    /// The name of an invalid parameter, if there is one.
     pub fn invalid_field(&self) -> Option<&'static str> {
         let positive = [
             ("unit_ms", self.unit_ms),
@@ -170,7 +175,8 @@
         not_positive.or(non_negative.iter().find_map(is_negative)).or(ramp)
     }
 
-    /// A prompt's rank on an engine: what is read soonest goes first, which delays the others least.
+    /// A prompt's rank on an engine: the shortest prefill goes first, which delays the others
+    /// least.
     pub(super) fn rank(&self, prefill_ms: f64, short_prefill_ms: f64) -> u8 {
         match prefill_ms {
             ms if ms <= short_prefill_ms => SHORT_RANK,
@@ -179,7 +185,7 @@
         }
     }
 
-    /// The part of its goal within which a first event has to be predicted.
+    /// The multiple of its goal within which a first event has to be predicted.
     pub(super) fn bound(&self, rank: u8) -> f64 {
         match rank {
             SHORT_RANK => self.short_bound,
@@ -190,30 +196,31 @@
         }
     }
 
-    /// What the lateness of a prompt that takes `read_ms` alone weighs.
+    /// Weight of the lateness of a prompt that takes `prefill_ms` on a single engine.
     pub(super) fn weight(&self, prefill_ms: f64) -> f64 {
         (prefill_ms / self.unit_ms).max(0.2).powf(self.weight_power)
     }
 
-    /// The chance that a pause of `expected_ms` is longer than `bears_ms`, from 0 to 1.
+    /// Probability, from 0 to 1, that a pause predicted as `expected_ms` misses its goal.
     pub(super) fn miss_probability(&self, expected_ms: f64, pause_goal_ms: f64) -> f64 {
         ramp(expected_ms / pause_goal_ms.max(1.0), self.ramp_from, self.ramp_to)
     }
 
-    /// The chance that a first event comes later than `goal_ms`, and a little for each millisecond.
+    /// Cost, in weights, of a first event predicted at `expected_ms`: the probability that it
+    /// misses its goal, plus a small amount for each millisecond.
     pub(super) fn lateness_cost(&self, expected_ms: f64, goal_ms: f64) -> f64 {
         let fraction = expected_ms / goal_ms.max(1.0);
         ramp(fraction, self.first_from, self.ramp_to) + self.per_bound * fraction
     }
 
-    /// What those who write lose by a pass that takes `pass_ms` where they bear `bears_ms`.
+    /// What decoding requests with a pause goal of `pause_goal_ms` lose by a pass of `pass_ms`.
     pub(super) fn disturbance_cost(&self, pass_ms: f64, pause_goal_ms: f64) -> f64 {
         self.miss_probability(pass_ms, pause_goal_ms)
             + self.per_longer_pause * pass_ms / pause_goal_ms.max(1.0)
     }
 }
 
-/// Rises from 0 to 1 between two values.
+/// Rises linearly from 0 to 1 between two values.
 fn ramp(value: f64, from: f64, to: f64) -> f64 {
     ((value - from) / (to - from)).clamp(0.0, 1.0)
 }
--- a/crates/policy/src/placement/running_mean.rs
+++ b/crates/policy/src/placement/running_mean.rs
@@ -1,10 +1,10 @@
-//! A running mean, in which what is older weighs less.
+//! A running mean in which older values weigh less.
 
-/// A running mean.
+/// An exponentially weighted mean; before `window` values, the first one dominates.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunningMean {
     value: Option<f64>,
-    /// Values over which it is taken.
+    /// Number of values over which it is taken.
     window: f64,
 }
 
@@ -13,7 +13,6 @@
         RunningMean { value: None, window }
     }
 
-    /// Takes one more value in.
     pub(super) fn add(&mut self, value: f64) {
         let mean = self.value.get_or_insert(value);
         *mean += (value - *mean) / self.window;
--- a/crates/policy/src/placement/server.rs
+++ b/crates/policy/src/placement/server.rs
@@ -1,19 +1,19 @@
-//! One endpoint's load as this instance sees it.
+//! One endpoint's load, as this instance knows it.
 //!
-//! **Load pattern.** Work comes from several instances; each knows its own at once and the others'
-//! by their words, some milliseconds old or lost.
+//! **Load pattern.** Several instances place work on the same endpoint. Each knows its own work at
+//! once and the others' from their updates, which are some milliseconds old and may be lost.
 //!
-//! **Without it.** Instances that look at the same report of a moment ago all choose the engine
-//! that was idle in it.
+//! **Without it.** Instances that rely on the same load report all choose the engine that was idle
+//! when it was taken.
 //!
-//! **Rule.** What waits to be read is known part by part, with whose it is ([`super::reading`]); each
-//! event that arrives from the engine tells when a pass began. Writing, memory and slots are levels
-//! that each instance tells of its own work. A lost word therefore errs for no longer than a part
-//! takes or until the next level.
+//! **Rule.** Waiting prefill is tracked part by part, with the request that each part belongs to
+//! ([`super::prefill`]); each event that arrives from the engine shows when a pass began. Decoding,
+//! memory and slots are totals that each instance reports of its own work. A lost update is
+//! therefore wrong for no longer than a part's prefill or until the next periodic update.
 //!
-//! **Grounds.** A question's answer has 35 pauses, and one that is too long makes it late: with one
-//! pass in a hundred too long, a third of all answers are late. Reading that is merely taken to
-//! drain with time looks done before its pass has begun.
+//! **Grounds.** A question's answer has 35 pauses, and a single one above its goal makes it late:
+//! with one pass in a hundred too long, a third of all answers are late. Prefill that is merely
+//! assumed to drain with time looks finished before its pass has begun.
 
 use std::time::Duration;
 
@@ -33,64 +33,65 @@
     updates::{EndpointLoad, PartUpdate},
 };
 
-/// Milliseconds over which the shortest pause shows how fast an engine is: a second holds fifteen
-/// passes, and some of them are free of reading.
+/// Length of the window, in milliseconds, whose shortest pause shows how fast an engine is: a
+/// second holds fifteen passes, and some of them prefill nothing.
 const PAUSE_WINDOW_MS: f64 = 1_000.0;
 
-/// Paces below this count as ordinary: servers of one service differ somewhat.
+/// Slowdowns below this count as none: servers of one service differ somewhat.
 const NORMAL_SLOWDOWN: f64 = 1.3;
 
-/// The highest pace that is believed, so that one engine can't look as if it never ended.
+/// Upper bound of the measured slowdown, so that an engine can't look as if it never finished.
 const MAX_SLOWDOWN: f64 = 20.0;
 
-/// One endpoint.
+/// An endpoint with all known work on it.
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) member: Member,
     prefill_queue: PrefillQueue,
     unanswered: UnansweredParts,
-    /// For how long it had stalled when it was last followed.
+    /// Milliseconds for which it had stalled at the last `refresh`.
     stalled_ms: f64,
-    /// The chance that it doesn't read; see [`super::overdue`].
+    /// Probability that it doesn't prefill its parts; see [`super::overdue`].
     pub(super) risk: f64,
     helper_backoff: HelperBackoff,
     pub(super) own_load: EndpointLoad,
     peer_loads: IndexMap<InstanceId, EndpointLoad>,
-    /// What `own` and `peers` make together.
+    /// Sum of `own_load` and `peer_loads`.
     total_load: TotalLoad,
-    /// Parts placed by this instance and not told yet.
+    /// Parts that this instance placed and hasn't reported yet.
     pub(super) unsent_parts: Vec<PartUpdate>,
-    /// Parts told that wait no more: they aren't wanted, or were read sooner than foretold.
+    /// Reported parts that no longer wait: their requests ended, or they were prefilled sooner than
+    /// predicted.
     pub(super) unsent_removals: Vec<PartKey>,
     pub(super) sent_load: EndpointLoad,
-    /// A request failed, or was answered, since the last word.
+    /// A request failed, or was answered, since the last update.
     pub(super) unsent_failure: bool,
     pub(super) unsent_answer: bool,
-    /// A request was refused for its sake since the last word.
+    /// A request was refused because of it since the last update.
     pub(super) unsent_refusal: bool,
-    /// Instances that told of failures since anybody had an answer.
+    /// Instances that have reported failures since the last answer at any instance.
     failing_peers: IndexSet<InstanceId>,
-    /// It is out, and the next request shows whether it is back.
+    /// It is ejected, and the next request there serves as its probe.
     pub(super) is_next_probe: bool,
-    /// Milliseconds that a connection takes to be made, as soon as one was.
+    /// Mean time to connect in milliseconds; none before the first connection.
     round_trip_ms: RunningMean,
-    /// The shortest pause since `pauses_since`, and in the span before.
+    /// The shortest pause of the present window, and that of the window before.
     shortest_pause_ms: f64,
     previous_shortest_pause_ms: f64,
     pause_window_start_ms: f64,
     slowdown: f64,
 }
 
-/// What a part meets on an engine.
+/// Predicted effects of placing a part on an engine.
 #[derive(Debug, Clone)]
 pub(super) struct PartEstimate {
-    /// Milliseconds until it has been read, from now.
+    /// Milliseconds until the part is prefilled, from now.
     pub(super) prefilled_in_ms: f64,
-    /// The longest pause that is known to come once its request writes there.
+    /// The longest pause that is expected once its request decodes there.
     pub(super) pause_ms: f64,
-    /// What those who write there lose by it.
+    /// What the requests that decode there lose by it, in weights.
     pub(super) cost_to_others: f64,
-    /// What waits there and is read later because of it, with the time at which it will have been.
+    /// Waiting parts that it delays, with their new completion times.
     pub(super) delayed: Vec<PartCompletion>,
 }
 
@@ -130,8 +131,8 @@
         EngineSpeed { rules, slowdown: self.slowdown, running: self.running() }
     }
 
-    /// Follows what it reads, and for how long it has answered nobody. Word of others' first events
-    /// takes `told_after`.
+    /// Simulates the engine up to now and updates for how long it has stalled. Other instances'
+    /// first events are reported within `update_delay`.
     pub(super) fn refresh(&mut self, rules: &EngineRules, update_delay: Duration, now: Time) {
         self.advance(rules, now);
         let update_delay_ms = update_delay.as_secs_f64() * 1000.0;
@@ -145,12 +146,13 @@
         });
     }
 
-    /// When each waiting part will have been read, as things stand.
+    /// When each waiting part will be prefilled if no more work arrives.
     pub(super) fn completions(&self, rules: &EngineRules, now: Time) -> Vec<PartCompletion> {
         self.prefill_queue.predict(self.speed(rules), millis(now), None)
     }
 
-    /// What `part` meets there; `base` are the [reads](Self::reads) without it.
+    /// Predicts the effects of placing `part` there; `base` are the
+    /// [completions](Self::completions) without it.
     pub(super) fn estimate(
         &self,
         rules: &EngineRules,
@@ -190,7 +192,7 @@
         PartEstimate { pause_ms, prefilled_in_ms, cost_to_others, delayed: delayed.collect() }
     }
 
-    /// Milliseconds of a pass that reads nothing; zero where nobody writes.
+    /// Milliseconds of a pass that prefills nothing; zero if nothing decodes.
     pub(super) fn decode_pass_ms(&self, rules: &EngineRules) -> f64 {
         match self.prefill_queue.decoding_count(self.running()) {
             0 => 0.0,
@@ -198,7 +200,8 @@
         }
     }
 
-    /// An event arrived: a pass has just ended, and the next one reads what had arrived by then.
+    /// Records an event of an answer: a pass has just ended, and the next one prefills what had
+    /// arrived by then.
     pub(super) fn record_pass_start(&mut self, rules: &EngineRules, now: Time) {
         self.advance(rules, now);
         let pass_start = millis(now) - self.one_way_ms();
@@ -209,12 +212,12 @@
         self.round_trip_ms.add(ms);
     }
 
-    /// Milliseconds that bytes take to get there.
+    /// Milliseconds from here to the endpoint.
     pub(super) fn one_way_ms(&self) -> f64 {
         self.round_trip_ms.get().unwrap_or_default() / 2.0
     }
 
-    /// Weight of those who write there and bear such a pause.
+    /// Total weight of the requests that decode there and whose pause goal satisfies `includes`.
     pub(super) fn decoding_weight(&self, includes: impl Fn(u16) -> bool) -> f64 {
         let each = self.total_load.decoding.by_pause_goal();
         each.filter(|(pause_goal_ms, _)| includes(*pause_goal_ms)).map(|(_, weight)| weight).sum()
@@ -229,7 +232,7 @@
         self.unanswered.splits(update_delay.as_secs_f64() * 1000.0, millis(now))
     }
 
-    /// Whether requests were refused for its sake of late.
+    /// Whether it is left out as a helper because of recent refusals.
     pub(super) fn is_backing_off(&self, now: Time) -> bool {
         !self.helper_backoff.may_help(millis(now))
     }
@@ -239,14 +242,14 @@
         self.total_load.running
     }
 
-    /// Whether it may read a part that reaches it then, in milliseconds of the instance's clock, where
-    /// engines help up to `most` others.
+    /// Whether it may prefill a part that arrives at `arrives_at`, in milliseconds of the
+    /// instance's clock, if engines help up to `max_helping` others.
     pub(super) fn may_help(&self, max_helping: usize, arrives_at: f64, now: Time) -> bool {
         self.helper_backoff.may_help(arrives_at)
             && self.unanswered.count_helping(arrives_at, millis(now)) < max_helping
     }
 
-    /// A request was refused for its sake, here or at another instance.
+    /// Records that a request was refused because of it, here or at another instance.
     pub(super) fn refused_to_help(&mut self, now: Time) {
         self.helper_backoff.record_refusal(millis(now));
     }
@@ -256,7 +259,7 @@
         self.total_load.memory_tokens
     }
 
-    /// What those who write there lose by a pass of `pass_ms`.
+    /// What the requests that decode there lose by a pass of `pass_ms`.
     pub(super) fn disturbance_cost(&self, placement: &PlacementRules, pass_ms: f64) -> f64 {
         let each = self.total_load.decoding.by_pause_goal();
         each.map(|(pause_goal_ms, weight)| {
@@ -265,7 +268,7 @@
         .sum()
     }
 
-    /// Notes a part that an instance placed there; none stands for this one.
+    /// Adds a part that an instance placed there; `placed_by` is none for this instance.
     pub(super) fn add_part(
         &mut self,
         rules: &EngineRules,
@@ -278,13 +281,13 @@
         self.prefill_queue.add(Part { prefill_ms: part.prefill_ms * self.slowdown, ..part });
     }
 
-    /// A part waits no more, and nor does its request for a first event; true where either was thought.
+    /// Removes a part, and its request from those without a first event; true if either was known.
     pub(super) fn remove_part(&mut self, key: PartKey, was_prefilled: bool, now: Time) -> bool {
         let was_unanswered = self.unanswered.remove(key, was_prefilled);
         self.prefill_queue.remove(key, millis(now)) || was_unanswered
     }
 
-    /// The same for a part of this instance's own, of which the others have to hear.
+    /// The same for one of this instance's own parts; the removal is reported to the others.
     pub(super) fn remove_own_part(&mut self, key: PartKey, was_prefilled: bool, now: Time) {
         if !self.remove_part(key, was_prefilled, now) {
             return;
@@ -345,7 +348,7 @@
         self.own_load = own_load;
     }
 
-    /// Takes over what another instance has there now.
+    /// Replaces the load that another instance has there.
     pub(super) fn set_peer_load(&mut self, peer: &InstanceId, load: EndpointLoad) {
         self.remove_peer_load(peer);
         if load != EndpointLoad::default() {
@@ -354,21 +357,21 @@
         }
     }
 
-    /// Another instance told of a failure; true where it is the first from there since anybody had
-    /// an answer.
+    /// Records a failure that another instance reported; true if it is the first from that instance
+    /// since the last answer at any instance.
     ///
-    /// Guards against one instance whose own connections break: it fails everywhere at once, and if
-    /// each of its failures counted here, it would take every endpoint out of service for all.
+    /// Guards against an instance whose own connections break: it fails everywhere at once, and if
+    /// each of its failures counted here, every endpoint would be ejected at all instances.
     pub(super) fn record_peer_failure(&mut self, peer: &InstanceId) -> bool {
         self.failing_peers.insert(peer.clone())
     }
 
-    /// Somebody had an answer.
+    /// Called when a request was answered at any instance.
     pub(super) fn clear_peer_failures(&mut self) {
         self.failing_peers.clear();
     }
 
-    /// Another instance is gone, and what it had there with it.
+    /// Removes another instance that has failed or left, and its work there.
     pub(super) fn remove_peer(&mut self, peer: &InstanceId) {
         self.unanswered.remove_peer(peer);
         self.remove_peer_load(peer);
@@ -380,7 +383,7 @@
         }
     }
 
-    /// Learns from a pause between two events how fast the engine is.
+    /// Updates the engine's slowdown from a pause between two events.
     pub(super) fn record_pause(&mut self, pause_ms: f64, rules: &EngineRules, now: Time) {
         let now = millis(now);
         if now - self.pause_window_start_ms > PAUSE_WINDOW_MS {
--- a/crates/policy/src/placement/unanswered.rs
+++ b/crates/policy/src/placement/unanswered.rs
@@ -1,26 +1,27 @@
-//! Requests at one engine whose first event hasn't come yet, whoever sent them.
+//! Requests of all instances that one engine works on and whose first event hasn't come yet.
 //!
-//! **Load pattern.** A burst of long prompts, each read by a dozen engines; and an engine that turns
-//! slow, hangs or dies without a word while dozens of instances send it questions.
+//! **Load pattern.** A burst of long prompts, each prefilled by a dozen engines; or an engine that
+//! turns slow, hangs or dies silently while dozens of instances send it questions.
 //!
-//! **Without it.** An engine that reads parts for as many others as it has slots refuses one more, and
-//! with it the whole request, of which the other parts are read for nothing. An engine that answers
-//! nobody looks idle, as what was sent there counts as read once its time is over: every instance has
-//! to lose requests of its own there before it knows.
+//! **Without it.** An engine that prefills parts for as many other engines as it has slots refuses
+//! one more. The whole request is refused then, and its other parts are prefilled for nothing. An
+//! engine that answers nothing looks idle, because what was sent there counts as prefilled once its
+//! predicted time is over, so every instance has to lose requests there before it avoids the
+//! engine.
 //!
-//! **Rule.** A part counts until the first event of its request, of which its instance tells the
-//! others, however late that is. What is foretold to be over by then isn't counted ahead, but what is
-//! overdue is. A part of a split prompt that is overdue may be what its request waits for
-//! ([`super::overdue`]), until a later part is known to have been read there. A prompt that its engine
-//! reads alone and that is overdue shows for how long the engine has stalled, and that it may go on for
-//! as long again. Where the word of a first event is lost, that of a later one clears it, or the end of
-//! any caller's patience.
+//! **Rule.** A part counts until the first event of its request, which its instance reports to the
+//! others, however late that is. A part that will be finished by a given time according to its
+//! prediction isn't counted for that time, but an overdue one is. An overdue part of a split prompt
+//! may be what its request waits for ([`super::overdue`]), until a part that arrived later has been
+//! prefilled there. An overdue prompt that its engine prefills alone shows for how long the engine
+//! has stalled, and that it may stall for as long again. If the report of a first event is lost,
+//! the report of a later one replaces it, or the part expires.
 
 use crate::InstanceId;
 
 use super::prefill::{Part, PartKey};
 
-/// Milliseconds beyond what was foretold after which a part counts no more: callers have given up by
+/// Milliseconds after the predicted time when a part no longer counts: all callers have given up by
 /// then.
 const EXPIRY_MS: f64 = 15_000.0;
 
@@ -30,21 +31,22 @@
 #[derive(Debug)]
 struct UnansweredPart {
     key: PartKey,
-    /// Who placed it; none where this instance did.
+    /// The instance that placed it; none for this one.
     placed_by: Option<InstanceId>,
     role: Role,
     /// When it reaches the engine, in milliseconds of the instance's clock.
     arrives_at: f64,
-    /// When all of its prompt is foretold to have been read.
+    /// When all of its prompt is predicted to be prefilled.
     expected_at: f64,
-    /// When the engine is thought to have read it.
+    /// When the engine finished it according to the simulation.
     prefilled_at: Option<f64>,
-    /// A part that came later has been read.
+    /// A part that arrived later has been prefilled.
     is_cleared: bool,
 }
 
 impl UnansweredPart {
-    /// Milliseconds that word of its first event may take, where that of others takes so long.
+    /// Milliseconds until its first event is known here; `peer_delay_ms` applies to other
+    /// instances' parts.
     fn update_delay_ms(&self, peer_delay_ms: f64) -> f64 {
         if self.placed_by.is_some() { peer_delay_ms } else { 0.0 }
     }
@@ -53,9 +55,10 @@
 /// A part of a split prompt whose first event isn't known.
 pub(super) struct UnansweredSplit {
     pub(super) key: PartKey,
-    /// Milliseconds since a first event should have been known, as far as this engine goes.
+    /// Milliseconds since the first event should have been known, as far as this engine is
+    /// concerned.
     pub(super) overdue_ms: f64,
-    /// Whether the engine has read a later part.
+    /// Whether the engine has prefilled a part that arrived later.
     pub(super) is_cleared: bool,
 }
 
@@ -65,12 +68,12 @@
     Helper,
     /// A whole prompt.
     Whole,
-    /// A part of its own prompt, which others read as well.
+    /// A part of its own prompt, which helpers prefill as well.
     Head,
 }
 
 impl UnansweredParts {
-    /// Notes a part that anybody placed there.
+    /// Adds a part that any instance placed there.
     pub(super) fn add(&mut self, new: &Part, placed_by: Option<&InstanceId>, now: f64) {
         self.0.retain(|part| part.expected_at + EXPIRY_MS > now);
         let role = match (new.is_head, new.is_split) {
@@ -89,15 +92,16 @@
         });
     }
 
-    /// The engine is thought to have read a part.
+    /// Records that the simulation has finished a part.
     pub(super) fn record_prefilled(&mut self, key: PartKey, at: f64) {
         if let Some(part) = self.0.iter_mut().find(|part| part.key == key) {
             part.prefilled_at = Some(at);
         }
     }
 
-    /// A request's first event came, or it is over; true where it was awaited. Whole prompts that came
-    /// before it have been read as well. Where its part `was_read`, the engine reads.
+    /// Removes a request whose first event came or that ended; true if it was known. Whole prompts
+    /// that arrived earlier have been prefilled as well. If its part `was_prefilled`, parts that
+    /// arrived earlier are cleared.
     pub(super) fn remove(&mut self, key: PartKey, was_prefilled: bool) -> bool {
         let Some(index) = self.0.iter().position(|part| part.key == key) else { return false };
         let removed = self.0.remove(index);
@@ -111,12 +115,12 @@
         true
     }
 
-    /// An instance is gone, and with it the requests that it had sent.
+    /// Removes the requests of an instance that has failed or left.
     pub(super) fn remove_peer(&mut self, placed_by: &InstanceId) {
         self.0.retain(|part| part.placed_by.as_ref() != Some(placed_by));
     }
 
-    /// For how many others the engine will read parts at a time from now on.
+    /// For how many other engines' prompts the engine will have parts at time `at`.
     pub(super) fn count_helping(&self, at: f64, now: f64) -> usize {
         let counts = |part: &&UnansweredPart| match part.expected_at > now {
             _ if part.role != Role::Helper => false,
@@ -126,7 +130,8 @@
         self.0.iter().filter(counts).count()
     }
 
-    /// Parts of split prompts whose first events aren't known. Word of others' takes `told_after_ms`.
+    /// Parts of split prompts whose first events aren't known. Other instances report theirs within
+    /// `update_delay_ms`.
     pub(super) fn splits(
         &self,
         update_delay_ms: f64,
@@ -140,8 +145,8 @@
         })
     }
 
-    /// For how long the engine has stalled, in milliseconds. What others sent counts only after
-    /// `told_after_ms`, which word of a first event may take.
+    /// For how long the engine has stalled, in milliseconds. Other instances' requests count only
+    /// after `update_delay_ms`, within which their first events are reported.
     pub(super) fn stalled_ms(&self, update_delay_ms: f64, now: f64) -> f64 {
         let stalled = self.0.iter().filter(|part| part.role == Role::Whole).filter_map(|part| {
             Some(now - part.prefilled_at? - part.update_delay_ms(update_delay_ms))
--- a/crates/policy/src/placement/unreported.rs
+++ b/crates/policy/src/placement/unreported.rs
@@ -1,16 +1,18 @@
-//! How many placements of others are under way that this instance hasn't heard of.
+//! Herd avoidance: estimates how many placements of other instances are not yet reported here.
 //!
 //! **Load pattern.** Hundreds of callers come back at once, and a hundred instances place their
 //! requests within milliseconds.
 //!
-//! **Without it.** All instances see the same engine as the best one. Until word of each other's
-//! placements arrives, all choose it, and a dozen prompts queue there while other engines idle.
+//! **Without it.** All instances see the same engine as the best one. Until they receive the
+//! updates about each other's placements, all of them choose it, and a dozen prompts queue there
+//! while other engines are idle (a thundering herd).
 //!
-//! **Rule.** The rate at which others place, times the time that word of it takes, is how many
-//! placements are unknown. A request goes to one of that many more of the best places, drawn at random.
-//! In its first moments an instance doesn't know who else there is, and others may have started with
-//! it, so all places are drawn from. Compare Mitzenmacher, "How Useful Is Old Information?" (2000), and
-//! Dahlin, "Interpreting Stale Load Information" (2000).
+//! **Rule.** The number of unreported placements is the rate at which others place, times the delay
+//! of their updates. That many more of the best endpoints are candidates, and the request goes to
+//! one of them drawn at random. Just after its start, an instance doesn't know the other instances,
+//! which may have started at the same time, so it draws from all endpoints. Compare Mitzenmacher,
+//! "How Useful Is Old Information?" (2000), and Dahlin, "Interpreting Stale Load Information"
+//! (2000).
 
 use std::time::Duration;
 
@@ -18,18 +20,17 @@
 
 use super::{decaying::DecayingSum, running_mean::RunningMean};
 
-/// Half-life of the rate: a herd comes within tens of milliseconds.
+/// Half-life of the rate: a herd arrives within tens of milliseconds.
 const PLACEMENT_RATE_HALF_LIFE: Duration = Duration::from_millis(20);
 
-/// The time that word of a placement takes until anything was measured: a round trip between machines
-/// of one site.
+/// Assumed update delay before any measurement: a round trip between machines of one site.
 const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// Round trips over which the mean is taken, as TCP does.
+/// Number of round trips over which the mean is taken, as in TCP.
 pub(super) const AVERAGED_ROUND_TRIPS: f64 = 8.0;
 
-/// How long after its first endpoints an instance may not have found the others, who may have started
-/// with it: the directory has to be written and read by all, and everybody greeted.
+/// How long after its first endpoints an instance may not know the other instances that started at
+/// the same time: the directory has to be written and read by all, and the peers connected.
 const STARTUP_PERIOD: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -53,17 +54,17 @@
 }
 
 impl UnreportedPlacements {
-    /// Endpoints are known.
+    /// Records that endpoints are known; later calls change nothing.
     pub(super) fn record_start(&mut self, now: Time) {
         self.started_at.get_or_insert(now);
     }
 
-    /// Whether the others may not be known yet.
+    /// Whether the other instances may not be known yet.
     pub(super) fn is_starting(&self, now: Time) -> bool {
         self.started_at.is_some_and(|started_at| now.since(started_at) < STARTUP_PERIOD)
     }
 
-    /// Heard of other instances' placements.
+    /// Records placements that other instances have reported.
     pub(super) fn record(&mut self, placements: usize, now: Time) {
         if placements > 0 {
             self.placed.add(placements as f64, now);
@@ -74,7 +75,7 @@
         self.round_trip_ms.add(ms);
     }
 
-    /// Placements of others that aren't known here yet.
+    /// Expected number of placements that aren't reported yet.
     pub(super) fn estimate(&self, now: Time) -> f64 {
         self.placed.rate(now) * self.round_trip_ms.get().unwrap_or_default() / 1000.0
     }
--- a/crates/policy/src/placement/wire.rs
+++ b/crates/policy/src/placement/wire.rs
@@ -1,16 +1,17 @@
-//! Parts as they travel: whole numbers, which a codec with variable lengths writes in one to
-//! three bytes each.
+//! The wire format of parts: integers, which a variable-length codec writes in one to three bytes
+//! each.
 //!
-//! **Load pattern.** Each placement is told to each instance at once, so with hundreds of instances these
-//! words are most of what travels between data centres.
+//! **Load pattern.** Each placement is sent to each instance at once, so with hundreds of instances
+//! these updates are most of the traffic between data centres.
 //!
-//! **Without it.** A part takes forty bytes, of which most say that a float has a fraction nobody needs.
+//! **Without it.** A part takes forty bytes, most of which are fractions of floats that nobody
+//! needs.
 
 use serde::{Deserialize, Serialize};
 
 use super::{decoding, prefill::PartKey, updates::PartUpdate};
 
-/// Steps of a millisecond of reading: predictions err by far more.
+/// Steps per millisecond of prefill: predictions err by far more.
 const PREFILL_STEPS_PER_MS: f32 = 10.0;
 
 const WEIGHT_STEPS: f32 = decoding::WEIGHT_STEPS as f32;
