--- a/crates/policy/examples/arrange_cost.rs
+++ b/crates/policy/examples/arrange_cost.rs
@@ -1,4 +1,4 @@
-//! Prints how long choosing a place takes, by the number of engines and the length of the prompt.
+//! Prints how long a placement takes, by the number of engines and the length of the prompt.
 //!
 //! Run it with `cargo run --release -p policy --example arrange_cost`.
 
@@ -15,14 +15,14 @@
     routes::EngineRules,
 };
 
-/// Placements measured in each setting.
-const PLACED: usize = 400;
+/// Number of placements measured in each setting.
+const MEASURED_PLACEMENTS: usize = 400;
 
-/// Questions that are written on each engine meanwhile.
-const WRITERS: usize = 3;
+/// Questions that are decoded on each engine meanwhile.
+const DECODING_PER_ENGINE: usize = 3;
 
 /// Microseconds between two questions on one engine.
-const EVERY_US: u64 = 500_000;
+const ARRIVAL_INTERVAL_US: u64 = 500_000;
 
 fn main() {
     println!("engines  prompt   median us   p99 us");
@@ -34,30 +34,30 @@
     }
 }
 
-/// Median and 99th percentile in microseconds, beside questions that are written everywhere.
+/// Median and 99th percentile in microseconds, while questions are decoded on all engines.
 fn measure(engines: usize, prompt: u64) -> (f64, f64) {
-    let mut site = scheduler(engines);
-    let mut written: VecDeque<JobId> = VecDeque::new();
-    let mut took = Vec::with_capacity(PLACED);
-    let step = EVERY_US / engines as u64;
-    for index in 0..(WRITERS * engines + PLACED) as u64 {
+    let mut scheduler = scheduler(engines);
+    let mut decoding: VecDeque<JobId> = VecDeque::new();
+    let mut took = Vec::with_capacity(MEASURED_PLACEMENTS);
+    let step = ARRIVAL_INTERVAL_US / engines as u64;
+    for index in 0..(DECODING_PER_ENGINE * engines + MEASURED_PLACEMENTS) as u64 {
         let now = Time(1_000_000 + index * step.max(1));
-        if let Ok(placed) = site.place(&request(5_000, index), now) {
-            site.record_first_event(placed.job, now);
-            written.push_back(placed.job);
+        if let Ok(placed) = scheduler.place(&request(5_000, index), now) {
+            scheduler.record_first_event(placed.job, now);
+            decoding.push_back(placed.job);
         }
-        if written.len() > WRITERS * engines {
-            let over = written.pop_front().unwrap();
-            site.finish(over, None, now);
+        if decoding.len() > DECODING_PER_ENGINE * engines {
+            let oldest = decoding.pop_front().unwrap();
+            scheduler.finish(oldest, None, now);
         }
-        if index < (WRITERS * engines) as u64 {
+        if index < (DECODING_PER_ENGINE * engines) as u64 {
             continue;
         }
-        let began = Instant::now();
-        let placed = site.place(&request(prompt, u64::MAX - index), now);
-        took.push(began.elapsed().as_secs_f64() * 1e6);
+        let started = Instant::now();
+        let placed = scheduler.place(&request(prompt, u64::MAX - index), now);
+        took.push(started.elapsed().as_secs_f64() * 1e6);
         if let Ok(placed) = placed {
-            site.finish(placed.job, None, now);
+            scheduler.finish(placed.job, None, now);
         }
     }
     took.sort_by(f64::total_cmp);
--- a/crates/policy/tests/arrange.rs
+++ b/crates/policy/tests/arrange.rs
@@ -1,4 +1,4 @@
-//! Where requests go, by what their callers would lose.
+//! Placement on one group of engines, by the cost to callers.
 
 #![allow(clippy::unwrap_used)]
 
@@ -41,13 +41,13 @@
     scheduler.place(&request(prompt), now).unwrap()
 }
 
-/// A burst of questions alone: writing together costs next to nothing, so they gather on few
-/// engines and leave the others free, but never beyond what an engine runs at once.
+/// A burst of questions alone: decoding them together costs next to nothing, so they gather on few
+/// engines and leave the others free, but never exceed an engine's slots.
 #[test]
 fn questions_gather_without_queueing() {
     let mut scheduler = scheduler(16);
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
-    // A dossier a second keeps long prompts in mind.
+    // A dossier every second keeps the share of long prompts up.
     for second in 0..4 {
         place(&mut scheduler, DOSSIER, at(second * 1_000));
     }
@@ -61,30 +61,30 @@
     assert!(counts.values().all(|count| *count <= 16), "{counts:?}");
 }
 
-/// A dossier comes while questions are written on half of the engines. It is read in parts on the
-/// others, and nobody's pause grows.
+/// A dossier arrives while questions are decoded on half of the engines. It is prefilled in parts
+/// on the others, and no caller's pauses grow.
 #[test]
-fn a_dossier_keeps_off_those_who_write() {
+fn a_dossier_avoids_engines_that_decode() {
     let mut scheduler = scheduler(16);
-    let mut writing = Vec::new();
+    let mut decoding = Vec::new();
     for i in 0..40 {
         let now = at(i * 25);
         let placement = place(&mut scheduler, QUESTION, now);
         scheduler.record_first_event(placement.job, now + Duration::from_millis(40));
-        writing.push(placement.endpoint);
+        decoding.push(placement.endpoint);
     }
     let placement = place(&mut scheduler, DOSSIER, at(1_100));
-    let free = (0..16).map(id).filter(|engine| !writing.contains(engine)).count();
+    let free = (0..16).map(id).filter(|engine| !decoding.contains(engine)).count();
     assert!(placement.helpers.len() + 1 >= free.min(3), "{placement:?}");
     let disturbed = std::iter::once(&placement.endpoint)
         .chain(placement.helpers.iter().map(|helper| &helper.endpoint))
-        .filter(|engine| writing.contains(engine))
+        .filter(|engine| decoding.contains(engine))
         .count();
     assert!(disturbed == 0 || free < 3, "{disturbed} of {} disturbed", placement.helpers.len() + 1);
     assert!(placement.predicted_ms < 3_000.0);
 }
 
-/// On an idle site a dossier meets its goal with room to spare, because many engines read it.
+/// On an idle site, a dossier meets its goal with a margin, because many engines prefill it.
 #[test]
 fn an_idle_site_reads_a_dossier_together() {
     let placement = place(&mut scheduler(16), DOSSIER, Time::ZERO);
@@ -92,11 +92,11 @@
     assert!(placement.predicted_ms < 1_000.0, "{placement:?}");
 }
 
-/// Dossiers come while questions of middle length, which several engines read, are asked one after the
-/// other. Each answer takes seconds. Were each written on an idle engine, soon none would be left, and
-/// every part of a dossier would be a caller's pause.
+/// Dossiers arrive while questions of middle length, which several engines prefill, are asked one
+/// after the other. Each answer takes seconds. Guards against decoding each of them on an idle
+/// engine: soon no engine would be idle, and every part of a dossier would cause a pause.
 #[test]
-fn middle_questions_write_together() {
+fn middle_questions_decode_together() {
     let mut scheduler = scheduler(20);
     let mut heads = std::collections::BTreeSet::new();
     for i in 0..14 {
@@ -112,10 +112,11 @@
     assert!(heads.len() <= 5, "{heads:?}");
 }
 
-/// A burst of dossiers has just been placed when a burst of questions begins. The first engine's slots are
-/// soon taken; the next question goes to another engine instead of waiting for a slot until it is late.
+/// A burst of dossiers has just been placed when a burst of questions begins. The first engine's
+/// slots are soon taken; the next question goes to another engine instead of waiting for a slot
+/// until it is late.
 #[test]
-fn questions_dont_queue_for_the_company_of_others() {
+fn questions_dont_queue_to_decode_together() {
     let mut scheduler = scheduler(20);
     for i in 0..24 {
         let dossier = place(&mut scheduler, DOSSIER, at(i * 100));
@@ -128,10 +129,10 @@
     }
 }
 
-/// Two instances place dossiers in the same moment. Word of the first keeps the second off the
-/// engines that are about to read it, as long as others are idle.
+/// Two instances place dossiers at the same moment. The update about the first dossier keeps the
+/// second one off its engines as long as others are idle.
 #[test]
-fn word_of_others_keeps_dossiers_apart() {
+fn updates_keep_dossiers_apart() {
     let (mut one, mut two) = (scheduler(16), scheduler(16));
     let first = place(&mut one, DOSSIER, Time::ZERO);
     let peer = InstanceId::new("entry-1").unwrap();
@@ -143,7 +144,7 @@
     assert!(shared <= (second.helpers.len() + 1).saturating_sub(idle), "{first:?} {second:?}");
 }
 
-/// A slow engine: every pause there is five times as long. It gets less than its share.
+/// Every pause on one engine is five times as long. It gets less than its share.
 #[test]
 fn a_slow_engine_gets_less() {
     let mut scheduler = scheduler(4);
@@ -164,8 +165,8 @@
     assert!(slow < 25, "{counts:?}");
 }
 
-/// An engine fails whatever it gets, at once, and so is always the idlest. It is taken out, and
-/// the others serve.
+/// An engine fails all requests at once, and so always is the idlest. It is ejected, and the others
+/// serve.
 #[test]
 fn a_failing_engine_is_taken_out() {
     let mut scheduler = scheduler(4);
@@ -200,8 +201,8 @@
     assert_eq!(scheduler.place(&request, at(2)), Err(PlacementRefusal::NoEndpoint));
 }
 
-/// Whatever is placed is given back: after all has ended nothing is left to tell, and an idle site
-/// predicts as it did in the beginning.
+/// After all requests have ended, no load is reported, and an idle site predicts the same times as
+/// at the start.
 #[test]
 fn ended_requests_leave_nothing() {
     let mut scheduler = scheduler(8);
@@ -209,9 +210,9 @@
     let mut jobs: Vec<JobId> = vec![fresh.job];
     for i in 0..100 {
         let prompt = [QUESTION, 45_000, DOSSIER][i % 3];
-        let patient = PlacementRequest { goal_ms: 60_000.0, ..request(prompt) };
-        // Some are refused, because those who write would lose more by them.
-        jobs.extend(scheduler.place(&patient, at(i as u64)).map(|placement| placement.job));
+        let request = PlacementRequest { goal_ms: 60_000.0, ..request(prompt) };
+        // Some are refused, because they would cost the decoding requests more than they are worth.
+        jobs.extend(scheduler.place(&request, at(i as u64)).map(|placement| placement.job));
     }
     assert!(jobs.len() > 60, "{}", jobs.len());
     scheduler.take_updates(true);
@@ -220,17 +221,17 @@
         scheduler.finish(job, failed, at(200));
         scheduler.finish(job, failed, at(200));
     }
-    let told = scheduler.take_updates(true);
+    let sent = scheduler.take_updates(true);
     assert!(
-        told.iter().all(|update| update.load.running == 0 && update.load.memory_tokens == 0),
-        "{told:?}"
+        sent.iter().all(|update| update.load.running == 0 && update.load.memory_tokens == 0),
+        "{sent:?}"
     );
     let again = place(&mut scheduler, DOSSIER, at(60_000));
     assert!((again.predicted_ms - fresh.predicted_ms).abs() < 1.0, "{again:?} {fresh:?}");
 }
 
-/// A dossier is larger than any engine's memory. What doesn't fit where it runs is reserved on
-/// others, exactly, and given back with the rest.
+/// A dossier is larger than any engine's memory. Exactly what doesn't fit on its head is reserved
+/// on others, and released with the rest.
 #[test]
 fn the_longest_prompts_reserve_what_is_missing() {
     let mut scheduler = scheduler(16);
@@ -238,17 +239,16 @@
     let reserved: u64 = placement.helpers.iter().filter_map(|helper| helper.reserve_tokens).sum();
     assert!(reserved >= 900_000 + 1_500 - 450_000, "{placement:?}");
     assert!(placement.helpers.iter().filter(|helper| helper.reserve_tokens.is_some()).count() <= 2);
-    let level: u64 =
+    let memory_tokens: u64 =
         scheduler.take_updates(true).iter().map(|update| update.load.memory_tokens).sum();
-    assert_eq!(level, 901_500);
+    assert_eq!(memory_tokens, 901_500);
     scheduler.finish(placement.job, None, at(9_000));
-    let level: u64 =
+    let memory_tokens: u64 =
         scheduler.take_updates(true).iter().map(|update| update.load.memory_tokens).sum();
-    assert_eq!(level, 0);
+    assert_eq!(memory_tokens, 0);
 }
 
-/// Four engines can't hold a million tokens beside what they have. That is said at once instead of
-/// when the time is over.
+/// Engines that can't hold a prompt refuse it at once instead of at its deadline.
 #[test]
 fn what_cannot_fit_is_refused_at_once() {
     let mut two = scheduler(2);
@@ -258,10 +258,10 @@
     assert!(matches!(late, Err(PlacementRefusal::TooLate(_))), "{late:?}");
 }
 
-/// Overload: dossiers come twice as fast as sixteen engines read them, for ten seconds. Those that
-/// are taken on are on time, nearly as many as the engines can read; the others hear at once when
-/// to come back. Without the refusals all but the first seconds' would be late. Answers are one event
-/// long, which comes as foretold.
+/// For ten seconds, dossiers arrive twice as fast as sixteen engines prefill them. The accepted
+/// ones are on time and nearly as many as the engines can prefill; the others are refused at once
+/// with a time to come back. Without the refusals, all dossiers after the first seconds would be
+/// late. Answers are one event long, which comes as predicted.
 #[test]
 fn overload_is_refused_early_and_the_rest_is_on_time() {
     let mut scheduler = scheduler(16);
@@ -294,10 +294,10 @@
     assert!(taken_ms > 0.8 * 16.0 * 10_000.0, "{taken_ms}");
 }
 
-/// A caller leaves before its dossier is read. The other instance, which had heard of it, hears
-/// that it isn't coming, and uses the engines again.
+/// A caller leaves before its dossier is prefilled. The other instance, which knew of it, is sent
+/// its removal and uses the engines again.
 #[test]
-fn others_hear_of_what_was_called_off() {
+fn others_learn_of_cancelled_requests() {
     let (mut one, mut two) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("entry-1").unwrap();
     let first = place(&mut one, DOSSIER, Time::ZERO);
@@ -316,8 +316,9 @@
     scheduler.finish(placement.job, Some(FailCause::Broken), now);
 }
 
-/// Twenty instances serve a site, and an engine begins to reset whatever it gets. Each instance
-/// meets it now and then only; together they know after three failures, not after sixty.
+/// Twenty instances serve a site, and an engine begins to reset all connections. Each instance
+/// meets it only now and then; because they share failures, all avoid it after three failures, not
+/// after sixty.
 #[test]
 fn instances_learn_of_a_broken_engine_together() {
     let mut here = scheduler(6);
@@ -334,10 +335,10 @@
     }
 }
 
-/// One instance's own connections break, and it fails at every engine many times. Nobody else
-/// takes an engine out for that.
+/// One instance's own connections break, so that it fails at every engine many times. No other
+/// instance ejects an engine because of it.
 #[test]
-fn one_instance_in_trouble_condemns_nobody() {
+fn one_failing_instance_ejects_no_engine() {
     let (mut here, mut other) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("entry-9").unwrap();
     for i in 0..40 {
@@ -353,44 +354,44 @@
     }
 }
 
-/// Every engine writes a dozen questions or more. A dossier would be one pause of seconds for some of them or a
-/// shorter one for all; it is refused at once, with a time to come back. Once the questions are over it
-/// is taken on.
+/// Every engine decodes a dozen questions or more. A dossier would cause pauses of seconds for some
+/// of them or shorter ones for all; it is refused at once, with a time to come back. Once the
+/// questions have ended, it is accepted.
 #[test]
 fn what_costs_others_more_than_it_is_worth_waits() {
     let mut scheduler = scheduler(8);
-    let mut writing = Vec::new();
+    let mut decoding = Vec::new();
     for i in 0..120 {
         let placement = place(&mut scheduler, QUESTION, at(i * 12));
         scheduler.record_first_event(placement.job, at(i * 12 + 10));
-        writing.push(placement.job);
+        decoding.push(placement.job);
     }
     let dossier = PlacementRequest { goal_ms: 6_000.0, ..request(DOSSIER) };
     let refused = scheduler.place(&dossier, at(1_500));
     assert!(matches!(refused, Err(PlacementRefusal::Crowded(_))), "{refused:?}");
-    for job in writing {
+    for job in decoding {
         scheduler.finish(job, None, at(1_510));
     }
     assert!(scheduler.place(&dossier, at(1_700)).is_ok());
 }
 
-/// Two instances choose the same idle engines for a dossier before either hears of the other. Once
-/// both have heard, exactly one of them looks for another place.
+/// Two instances choose the same idle engines for a dossier before either receives the other's
+/// update. Once both have received it, exactly one of them looks for another place.
 #[test]
 fn of_two_dossiers_on_the_same_engines_one_moves() {
     let (mut one, mut two) = (scheduler(4), GroupScheduler::new(8));
     two.set_rules(Some(engine()));
     two.set_members((0..4).map(|i| member(i, false)).collect(), Time::ZERO);
     let (first, second) = (place(&mut one, DOSSIER, at(0)), place(&mut two, DOSSIER, at(1)));
-    let (words, others) = (one.take_updates(false), two.take_updates(false));
+    let (updates, others) = (one.take_updates(false), two.take_updates(false));
     one.apply_updates(&InstanceId::new("entry-2").unwrap(), &others, at(4));
-    two.apply_updates(&InstanceId::new("entry-1").unwrap(), &words, at(4));
-    let stand = [one.is_still_valid(first.job, at(8)), two.is_still_valid(second.job, at(9))];
-    assert_eq!(stand.iter().filter(|stands| **stands).count(), 1, "{stand:?}");
+    two.apply_updates(&InstanceId::new("entry-1").unwrap(), &updates, at(4));
+    let valid = [one.is_still_valid(first.job, at(8)), two.is_still_valid(second.job, at(9))];
+    assert_eq!(valid.iter().filter(|is_valid| **is_valid).count(), 1, "{valid:?}");
 }
 
-/// A dossier is held while its engines read an earlier one. One of them begins to leave meanwhile, so
-/// the dossier has to be placed anew.
+/// A dossier is held while its engines prefill an earlier one. One of them begins to leave
+/// meanwhile, so the dossier has to be placed anew.
 #[test]
 fn a_held_dossier_moves_away_from_what_leaves() {
     let mut scheduler = scheduler(4);
@@ -403,51 +404,52 @@
     assert!(!scheduler.is_still_valid(held.job, at(50)));
 }
 
-/// An engine dies in the middle of a dossier's answer, long past the goal for its first event, while
-/// the others are busy. The answer goes on elsewhere although a new dossier would be refused.
+/// An engine dies in the middle of a dossier's answer, long past the goal of its first event, while
+/// the others are busy. The answer continues elsewhere although a new dossier would be refused.
 #[test]
-fn what_was_begun_goes_on_under_load() {
+fn a_begun_answer_continues_under_load() {
     let mut scheduler = scheduler(8);
     while scheduler.place(&request(DOSSIER), at(0)).is_ok() {}
     let tried = vec![(id(0), Incarnation(1))];
-    let going_on =
+    let continued =
         PlacementRequest { tried, goal_ms: 0.0, remaining_ms: 9_000.0, ..request(DOSSIER) };
-    let placed = scheduler.place(&going_on, at(1));
+    let placed = scheduler.place(&continued, at(1));
     assert!(placed.is_ok(), "{placed:?}");
 }
 
-/// Guards against words that grow until they fill the lines between data centres, and against words that
-/// lose what they tell when they are shortened.
+/// Guards against updates that grow until they fill the links between data centres, and against
+/// updates that lose information in their compact form.
 #[test]
-fn words_are_short_and_tell_all() {
+fn updates_are_short_and_complete() {
     let (mut one, mut two) = (scheduler(4), scheduler(4));
     let peer = InstanceId::new("one").unwrap();
     one.place(&request(QUESTION), at(0)).unwrap();
-    let words = one.take_updates(false);
-    let bytes = bincode::serde::encode_to_vec(&words, bincode::config::standard()).unwrap();
+    let updates = one.take_updates(false);
+    let bytes = bincode::serde::encode_to_vec(&updates, bincode::config::standard()).unwrap();
     assert!(bytes.len() <= 45, "{} bytes for a question", bytes.len());
-    let (heard, _): (Vec<EndpointUpdate>, _) =
+    let (decoded, _): (Vec<EndpointUpdate>, _) =
         bincode::serde::decode_from_slice(&bytes, bincode::config::standard()).unwrap();
-    let (told, heard_of) = (&words[0], &heard[0]);
-    assert_eq!(told.endpoint, heard_of.endpoint);
-    assert_eq!(told.load.running, heard_of.load.running);
-    assert_eq!(told.placed[0].key, heard_of.placed[0].key);
-    assert!((told.placed[0].prefill_ms - heard_of.placed[0].prefill_ms).abs() < 0.1);
-    assert!((told.load.decoding.weight() - heard_of.load.decoding.weight()).abs() < 0.01);
-    two.apply_updates(&peer, &heard, at(2));
+    let (sent, received) = (&updates[0], &decoded[0]);
+    assert_eq!(sent.endpoint, received.endpoint);
+    assert_eq!(sent.load.running, received.load.running);
+    assert_eq!(sent.placed[0].key, received.placed[0].key);
+    assert!((sent.placed[0].prefill_ms - received.placed[0].prefill_ms).abs() < 0.1);
+    assert!((sent.load.decoding.weight() - received.load.decoding.weight()).abs() < 0.01);
+    two.apply_updates(&peer, &decoded, at(2));
     assert!(two.take_updates(true).is_empty());
 }
 
-/// Guards against writers that bear less than others being counted as if they bore as much.
+/// Guards against counting decoding requests with short pause goals as if their goals were long.
 #[test]
-fn a_long_pass_goes_where_it_is_borne() {
+fn a_long_pass_goes_where_pause_goals_are_long() {
     let mut scheduler = scheduler(2);
     let dossier = place(&mut scheduler, DOSSIER, at(0));
     scheduler.finish(dossier.job, None, at(0));
     for (engine, pause_ms) in [(0, 90.0), (1, 250.0)] {
         let other = vec![(id(1 - engine), Incarnation(1))];
-        let writer = PlacementRequest { max_pause_ms: pause_ms, tried: other, ..request(QUESTION) };
-        let placed = scheduler.place(&writer, at(0)).unwrap();
+        let decoding =
+            PlacementRequest { max_pause_ms: pause_ms, tried: other, ..request(QUESTION) };
+        let placed = scheduler.place(&decoding, at(0)).unwrap();
         assert_eq!(placed.endpoint, id(engine));
         scheduler.record_first_event(placed.job, at(40));
     }
@@ -455,8 +457,8 @@
     assert_eq!(placed.endpoint, id(1), "{placed:?}");
 }
 
-/// Guards against prompts that are read beside writers whole where the callers bear less than the first
-/// site's.
+/// Guards against prefilling prompts whole on engines that decode where callers have shorter pause
+/// goals than at the first site.
 #[test]
 fn what_is_short_depends_on_the_callers() {
     let prompt = 17_000;
@@ -469,37 +471,37 @@
     }
 }
 
-/// Questions come twice as fast as slots become free. Guards against a queue that stands at the longest
-/// wait that is accepted, so that all answers are late.
+/// Questions arrive twice as fast as slots become free. Guards against a queue that stays at the
+/// longest accepted wait, so that all answers are late.
 #[test]
 fn a_standing_queue_is_refused_what_would_be_late() {
     const HELD_MS: u64 = 1_600;
     let mut scheduler = scheduler(2);
     let slots = u64::from(engine().slots) * 2;
-    let every_ms = HELD_MS / slots / 2;
+    let interval_ms = HELD_MS / slots / 2;
     let mut free_at = vec![0; usize::try_from(slots).unwrap()];
-    // When each begins and ends; none for a beginning that was told.
+    // When each starts and ends; the start is none once it was recorded.
     let mut running: Vec<(Option<u64>, u64, JobId)> = Vec::new();
     let (mut on_time, mut late, mut refused) = (0, 0, 0);
-    for now in (0..20_000).step_by(usize::try_from(every_ms).unwrap()) {
-        running.retain_mut(|(begins, ends, job)| {
-            if let Some(begun) = begins.take_if(|begins| *begins <= now) {
-                scheduler.record_first_event(*job, at(begun));
+    for now in (0..20_000).step_by(usize::try_from(interval_ms).unwrap()) {
+        running.retain_mut(|(starts_at, ends_at, job)| {
+            if let Some(started_at) = starts_at.take_if(|starts_at| *starts_at <= now) {
+                scheduler.record_first_event(*job, at(started_at));
             }
-            if *ends <= now {
-                scheduler.finish(*job, None, at(*ends));
+            if *ends_at <= now {
+                scheduler.finish(*job, None, at(*ends_at));
             }
-            *ends > now
+            *ends_at > now
         });
         match scheduler.place(&request(QUESTION), at(now)) {
             Ok(placed) => {
                 let slot = free_at.iter_mut().min().unwrap();
-                let begins = (*slot).max(now) + 25;
-                *slot = begins + HELD_MS;
-                running.push((Some(begins), *slot, placed.job));
-                // The first seconds show that the queue stands.
+                let starts_at = (*slot).max(now) + 25;
+                *slot = starts_at + HELD_MS;
+                running.push((Some(starts_at), *slot, placed.job));
+                // The first seconds show that requests keep queueing.
                 if now > 4_000 {
-                    *(if begins - now <= 300 { &mut on_time } else { &mut late }) += 1;
+                    *(if starts_at - now <= 300 { &mut on_time } else { &mut late }) += 1;
                 }
             }
             Err(PlacementRefusal::TooLate(_)) => refused += 1,
--- a/crates/policy/tests/arranging/mod.rs
+++ b/crates/policy/tests/arranging/mod.rs
@@ -1,6 +1,6 @@
-//! Arrangers of sites that have engines of one kind, and what callers ask of them.
+//! Schedulers of sites with engines of one kind, and requests for them.
 
-// Each test file uses a part.
+// Each test file uses only some of these.
 #![allow(dead_code, missing_docs, unreachable_pub, clippy::unwrap_used)]
 
 use policy::{
@@ -13,7 +13,7 @@
     EndpointId::new(&format!("i-{index}")).unwrap()
 }
 
-/// Which engine it is.
+/// The index of an engine with an [`id`].
 pub fn index(engine: &EndpointId) -> usize {
     engine.as_str()["i-".len()..].parse().unwrap()
 }
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -1,4 +1,4 @@
-//! The engines of today's sites, by the figures that they publish.
+//! The engines of the present sites, by their published figures.
 
 #![allow(missing_docs, unreachable_pub)]
 
--- a/crates/policy/tests/helpers.rs
+++ b/crates/policy/tests/helpers.rs
@@ -1,4 +1,4 @@
-//! Engines refuse to read parts for more others than they have slots.
+//! Engines refuse to prefill parts for more other engines than they have slots.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// Summaries come at once on two instances. Guards against requests that are refused because one of
-/// their engines helps too many others.
+/// Summaries arrive at the same time on two instances. Guards against requests that are refused
+/// because one of their engines helps too many others.
 #[test]
 fn no_engine_helps_more_others_than_it_has_slots() {
     let (mut one, mut two) = (scheduler(1), scheduler(2));
@@ -49,7 +49,7 @@
         let Ok(placement) = here.place(&summary(index), now) else { continue };
         there.apply_updates(name, &here.take_updates(false), now);
         placed += 1;
-        // What is held is sent only when its engines have read the others' parts.
+        // A held prompt is sent only when its engines have prefilled the others' parts.
         if placement.hold.as_millis() < 20 {
             for helper in &placement.helpers {
                 *helping.entry(helper.endpoint.clone()).or_default() += 1;
@@ -63,10 +63,10 @@
 
 /// How a full engine becomes free.
 enum Freed {
-    /// The first events come.
-    Begun,
-    /// The instance that placed the parts is gone.
-    Forgotten,
+    /// The requests' first events come.
+    FirstEvent,
+    /// The instance that placed the parts is removed.
+    PeerRemoved,
 }
 
 macro_rules! counts_until {
@@ -76,28 +76,28 @@
 }
 
 counts_until! {
-    /// Guards against a part that counts as read because its time is over: engines count it until the
-    /// request's first event.
-    a_late_prompt_counts_until_its_first_event: 100, Freed::Begun;
+    /// Guards against counting a part as prefilled because its predicted time is over: engines
+    /// count it until the request's first event.
+    a_late_prompt_counts_until_its_first_event: 100, Freed::FirstEvent;
 
-    /// Guards against an engine that has turned slow, holds on to its parts for seconds, and is sent
-    /// more.
-    a_very_late_prompt_counts_until_its_first_event: 6_000, Freed::Begun;
+    /// Guards against sending more parts to an engine that has turned slow and holds on to its
+    /// parts for seconds.
+    a_very_late_prompt_counts_until_its_first_event: 6_000, Freed::FirstEvent;
 
-    /// Guards against parts that count for seconds although the instance that waited for them is gone.
-    a_late_prompt_counts_until_its_instance_is_gone: 6_000, Freed::Forgotten;
+    /// Guards against counting parts for seconds although the instance that placed them has failed.
+    a_late_prompt_counts_until_its_instance_is_gone: 6_000, Freed::PeerRemoved;
 }
 
 fn counts_until(late_ms: u64, freed: Freed) {
-    // What it costs those who write, and whether it waits, is another matter.
-    let heedless = PlacementRules { most_harm: 1e9, holds: false, ..PlacementRules::default() };
+    // The cost to decoding requests and holds aren't under test here.
+    let permissive = PlacementRules { most_harm: 1e9, holds: false, ..PlacementRules::default() };
     let few_slots = EngineRules { slots: 5, ..engine() };
     let rules = PlacementRules::default();
     let mut one = arranging::scheduler(ENGINES, few_slots.clone(), rules, 1);
-    let mut two = arranging::scheduler(ENGINES, few_slots.clone(), heedless, 2);
+    let mut two = arranging::scheduler(ENGINES, few_slots.clone(), permissive, 2);
     let name = InstanceId::new("one").unwrap();
     let mut helping: BTreeMap<EndpointId, u32> = BTreeMap::new();
-    let (mut jobs, mut foretold_ms) = (Vec::new(), 0);
+    let (mut jobs, mut predicted_ms) = (Vec::new(), 0);
     for index in 0..200 {
         let Ok(placement) = one.place(&summary(index), Time(index)) else { continue };
         if placement.hold.as_millis() >= 20 {
@@ -107,37 +107,37 @@
         for helper in placement.helpers {
             *helping.entry(helper.endpoint).or_default() += 1;
         }
-        foretold_ms = foretold_ms.max(placement.predicted_ms as u64);
+        predicted_ms = predicted_ms.max(placement.predicted_ms as u64);
         jobs.push(placement.job);
     }
-    let mut words = one.take_updates(false);
-    for update in &mut words {
-        // Who runs and writes there makes an engine unattractive as well.
+    let mut updates = one.take_updates(false);
+    for update in &mut updates {
+        // Running and decoding requests would also make the engine unattractive.
         update.load = EndpointLoad::default();
     }
-    two.apply_updates(&name, &words, Time(200));
+    two.apply_updates(&name, &updates, Time(200));
     let mut full = helping.into_iter().filter(|(_, count)| *count >= few_slots.slots - 1);
     let (full, _) = full.next().expect("an engine helps as many as it may");
-    let late = Time::from_millis(foretold_ms + late_ms);
-    let takes_full = |two: &mut GroupScheduler| {
-        // A prompt that all engines are needed for.
+    let late = Time::from_millis(predicted_ms + late_ms);
+    let uses_full = |two: &mut GroupScheduler| {
+        // A prompt that needs all engines.
         let dossier = PlacementRequest { prompt_tokens: 300_000, goal_ms: 9_000.0, ..summary(900) };
         let placement = two.place(&dossier, late).unwrap();
         two.finish(placement.job, None, late);
         let helps = |endpoint| placement.helpers.iter().any(|h| h.endpoint == endpoint);
-        // Where it runs alone, nobody helps.
+        // A prompt that runs on a single engine needs no helpers.
         !placement.helpers.is_empty() && (placement.endpoint == full || helps(full.clone()))
     };
-    assert!(!takes_full(&mut two), "{full} refuses");
+    assert!(!uses_full(&mut two), "{full} refuses");
     match freed {
-        Freed::Begun => {
+        Freed::FirstEvent => {
             for job in jobs {
                 one.record_first_event(job, late);
                 one.finish(job, None, late);
             }
             two.apply_updates(&name, &one.take_updates(true), late);
         }
-        Freed::Forgotten => two.remove_peer(&name),
+        Freed::PeerRemoved => two.remove_peer(&name),
     }
-    assert!(takes_full(&mut two), "{full} is free again");
+    assert!(uses_full(&mut two), "{full} is free again");
 }
--- a/crates/policy/tests/late_memory.rs
+++ b/crates/policy/tests/late_memory.rs
@@ -1,4 +1,4 @@
-//! Prompts admitted before the engines have told how much memory they have.
+//! Prompts that are admitted before the engines have reported their memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -79,9 +79,10 @@
     })
 }
 
-/// A dossier hangs until its deadline although four idle engines could read it together.
-/// It came before the engines had told their memory, so it was queued as one that fits an engine
-/// and sent to one, which refused it. From then on no engine was large enough for it.
+/// Guards against a dossier that hangs until its deadline although four idle engines could prefill
+/// it together. It arrived before the engines had reported their memory, so it was queued as one
+/// that fits on an engine and was sent to one, which refused it. From then on, no engine was large
+/// enough for it.
 #[test]
 fn a_prompt_admitted_before_memory_is_known_still_spreads() {
     let mut scheduler = scheduler();
@@ -104,6 +105,6 @@
         now = now + Duration::from_millis(50);
         second = start(scheduler.poll(now));
     }
-    let lent: Tokens = second.unwrap().shards.iter().map(|shard| shard.tokens).sum();
-    assert!(lent >= dossier().footprint(), "{lent}");
+    let reserved: Tokens = second.unwrap().shards.iter().map(|shard| shard.tokens).sum();
+    assert!(reserved >= dossier().footprint(), "{reserved}");
 }
--- a/crates/policy/tests/stalls.rs
+++ b/crates/policy/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Engines that answer nobody, or don't read parts for others, before many instances that each send
+//! Engines that answer nothing or don't prefill parts for others, while many instances each send
 //! them little.
 
 #![allow(clippy::unwrap_used)]
@@ -17,75 +17,75 @@
 const ENGINES: usize = 40;
 const INSTANCES: usize = 32;
 
-/// Milliseconds between two looks at what has to be told to all, as with so many instances.
-const LEVELS_EVERY: u64 = 200;
+/// Interval of the periodic load updates in milliseconds, as with so many instances.
+const LOAD_UPDATE_INTERVAL_MS: u64 = 200;
 
-/// Milliseconds for which an answer is written.
-const WRITING: u64 = 800;
+/// How long an answer is decoded, in milliseconds.
+const DECODE_MS: u64 = 800;
 
-/// Milliseconds until the first of a request's helpers is named as the one at fault.
-const REFUSED_AFTER: u64 = 3;
+/// Milliseconds until a request is refused because of one of its helpers.
+const REFUSAL_DELAY_MS: u64 = 3;
 
-/// Instances that hear of each other within the millisecond.
+/// Instances that receive each other's updates within the millisecond.
 struct Site {
     instances: Vec<GroupScheduler>,
-    /// What happens later, in milliseconds, with the instance and the job.
-    later: VecDeque<(u64, usize, JobId, Event)>,
+    /// Future events in order of their time in milliseconds, with the instance and the job.
+    pending_events: VecDeque<(u64, usize, JobId, Event)>,
 }
 
 enum Event {
-    Begins,
-    Ends,
-    Refused(EndpointId),
+    FirstEvent,
+    End,
+    HelperRefusal(EndpointId),
 }
 
 impl Site {
     fn new() -> Site {
         let rules = PlacementRules::default();
         let scheduler = |index| arranging::scheduler(ENGINES, engine(), rules, index as u64);
-        Site { instances: (0..INSTANCES).map(scheduler).collect(), later: VecDeque::new() }
+        Site { instances: (0..INSTANCES).map(scheduler).collect(), pending_events: VecDeque::new() }
     }
 
-    fn at(&mut self, at: u64, instance: usize, job: JobId, event: Event) {
-        let place = self.later.partition_point(|(known, ..)| *known <= at);
-        self.later.insert(place, (at, instance, job, event));
+    fn schedule(&mut self, at: u64, instance: usize, job: JobId, event: Event) {
+        let place = self.pending_events.partition_point(|(known, ..)| *known <= at);
+        self.pending_events.insert(place, (at, instance, job, event));
     }
 
-    /// Lets happen what is due, and tells the instance and job of what was refused.
+    /// Applies the events that are due, and returns the instance and job of each refused request.
     fn advance(&mut self, now: u64) -> Vec<(usize, JobId)> {
         let mut refused = Vec::new();
-        while self.later.front().is_some_and(|(at, ..)| *at <= now) {
-            let (at, from, job, event) = self.later.pop_front().unwrap();
+        while self.pending_events.front().is_some_and(|(at, ..)| *at <= now) {
+            let (at, from, job, event) = self.pending_events.pop_front().unwrap();
             let time = Time::from_millis(at);
             let instance = &mut self.instances[from];
             match event {
-                Event::Begins => {
+                Event::FirstEvent => {
                     instance.record_first_event(job, time);
-                    self.at(at + WRITING, from, job, Event::Ends);
+                    self.schedule(at + DECODE_MS, from, job, Event::End);
                 }
-                Event::Ends => instance.finish(job, None, time),
-                Event::Refused(fault) => {
-                    instance.record_helper_refusal(&fault, time);
+                Event::End => instance.finish(job, None, time),
+                Event::HelperRefusal(endpoint) => {
+                    instance.record_helper_refusal(&endpoint, time);
                     instance.finish(job, Some(FailCause::Rejected), time);
                     refused.push((from, job));
-                    self.tell(from, false, time);
+                    self.send_updates(from, false, time);
                 }
             }
         }
-        if now.is_multiple_of(LEVELS_EVERY) {
+        if now.is_multiple_of(LOAD_UPDATE_INTERVAL_MS) {
             for from in 0..INSTANCES {
-                self.tell(from, true, Time::from_millis(now));
+                self.send_updates(from, true, Time::from_millis(now));
             }
         }
         refused
     }
 
-    fn tell(&mut self, from: usize, is_due: bool, now: Time) {
-        let words = self.instances[from].take_updates(is_due);
+    fn send_updates(&mut self, from: usize, is_due: bool, now: Time) {
+        let updates = self.instances[from].take_updates(is_due);
         let peer = InstanceId::new(&format!("p-{from}")).unwrap();
         for (to, other) in self.instances.iter_mut().enumerate() {
-            if to != from && !words.is_empty() {
-                other.apply_updates(&peer, &words, now);
+            if to != from && !updates.is_empty() {
+                other.apply_updates(&peer, &updates, now);
             }
         }
     }
@@ -93,7 +93,7 @@
     fn place(&mut self, from: usize, request: &PlacementRequest, now: u64) -> Option<Placement> {
         let now = Time::from_millis(now);
         let placement = self.instances[from].place(request, now).ok()?;
-        self.tell(from, false, now);
+        self.send_updates(from, false, now);
         Some(placement)
     }
 }
@@ -108,22 +108,22 @@
     PlacementRequest { tried, is_hedge: true, ..request(5_000, index) }
 }
 
-/// Guards against an engine that died without a word: it looks idle, as what was sent there counts as
-/// read, and each instance sends questions there until it has lost some of its own.
+/// Guards against an engine that died silently: it looks idle, because what was sent there counts
+/// as prefilled, and each instance sends questions there until it has lost some of its own.
 #[test]
 fn questions_leave_an_engine_that_answers_nobody() {
     let rules = PlacementRules::default();
     let [mut one, mut two] = [1, 2].map(|seed| arranging::scheduler(2, engine(), rules, seed));
     let peer = InstanceId::new("p-1").unwrap();
-    let to = |scheduler: &mut GroupScheduler, engine: usize, index: u64, now: u64| {
+    let place_on = |scheduler: &mut GroupScheduler, engine: usize, index: u64, now: u64| {
         scheduler.place(&question_for(engine, index), Time::from_millis(now)).unwrap()
     };
-    let unanswered = to(&mut one, 0, 0, 1);
+    let unanswered = place_on(&mut one, 0, 0, 1);
     two.apply_updates(&peer, &one.take_updates(true), Time::from_millis(1));
-    // The other engine answers, and has a few questions to read.
+    // The other engine answers, and has a few questions to prefill.
     let now = unanswered.predicted_ms as u64 + 700;
     for index in 1..4 {
-        to(&mut two, 1, index, now);
+        place_on(&mut two, 1, index, now);
     }
     let place = |two: &mut GroupScheduler, index| {
         two.place(&request(5_000, index), Time::from_millis(now)).unwrap()
@@ -135,53 +135,53 @@
     assert_eq!(place(&mut two, 11).endpoint, arranging::id(0));
 }
 
-/// Guards against a helper that refuses everybody, and is taken again by each instance and by each
-/// second try, until the directory no longer lists it.
+/// Guards against a helper that refuses all requests and is used again by each instance and by each
+/// retry until the directory no longer lists it.
 #[test]
 fn long_prompts_leave_a_helper_that_refuses() {
     let mut site = Site::new();
-    let refuses = arranging::id(3);
+    let refusing = arranging::id(3);
     let mut runs = vec![0_usize; ENGINES];
-    let (mut asked, mut twice) = (0_usize, 0_usize);
-    let mut tries: Vec<(usize, JobId, u64, usize)> = Vec::new();
+    let (mut requests, mut lost) = (0_usize, 0_usize);
+    let mut attempts: Vec<(usize, JobId, u64, usize)> = Vec::new();
     for index in 0..500_u64 {
         let now = index * 10;
         let refused = site.advance(now);
         let again = refused.iter().filter_map(|(from, job)| {
-            tries.iter().find(|(instance, known, ..)| instance == from && known == job).copied()
+            attempts.iter().find(|(instance, known, ..)| instance == from && known == job).copied()
         });
-        let mut wanted: Vec<(usize, u64, usize)> =
-            again.map(|(from, _, index, nth)| (from, index, nth + 1)).collect();
+        let mut to_place: Vec<(usize, u64, usize)> =
+            again.map(|(from, _, index, attempt)| (from, index, attempt + 1)).collect();
         if index % 5 == 0 {
-            wanted.push(((index / 5 * 7) as usize % INSTANCES, index, 1));
-            asked += 1;
+            to_place.push(((index / 5 * 7) as usize % INSTANCES, index, 1));
+            requests += 1;
         }
-        for (from, index, nth) in wanted {
-            if nth > 2 {
-                twice += 1;
+        for (from, index, attempt) in to_place {
+            if attempt > 2 {
+                lost += 1;
                 continue;
             }
             let Some(placed) = site.place(from, &request(60_000, index), now) else { continue };
-            tries.push((from, placed.job, index, nth));
+            attempts.push((from, placed.job, index, attempt));
             let engine = arranging::index(&placed.endpoint);
             runs[engine] += 1;
             let hold = placed.hold.as_millis() as u64;
-            if placed.helpers.iter().any(|helper| helper.endpoint == refuses) {
-                let event = Event::Refused(refuses.clone());
-                site.at(now + hold + REFUSED_AFTER, from, placed.job, event);
+            if placed.helpers.iter().any(|helper| helper.endpoint == refusing) {
+                let event = Event::HelperRefusal(refusing.clone());
+                site.schedule(now + hold + REFUSAL_DELAY_MS, from, placed.job, event);
             } else {
-                let begins = now + placed.predicted_ms as u64 + 1;
-                site.at(begins, from, placed.job, Event::Begins);
+                let first_event_at = now + placed.predicted_ms as u64 + 1;
+                site.schedule(first_event_at, from, placed.job, Event::FirstEvent);
             }
         }
     }
     let most = runs.iter().max().unwrap();
     let share = runs.iter().sum::<usize>() as f64 / ENGINES as f64;
     assert!(*most as f64 <= 3.0 * share.max(1.0), "{most} runs on one engine: {runs:?}");
-    assert!(twice * 50 < asked, "{twice} of {asked} refused twice");
+    assert!(lost * 50 < requests, "{lost} of {requests} refused twice");
 }
 
-/// Guards against an engine that is left out for good because it once was full.
+/// Guards against leaving out an engine for good because it was full once.
 #[test]
 fn a_helper_that_refused_is_taken_again() {
     let rules = PlacementRules::default();
@@ -200,10 +200,10 @@
     assert!(helps(&mut scheduler, later));
 }
 
-/// Guards against engines of a large site that all look as if they stalled: with many instances, word
-/// of a first event comes late.
+/// Guards against taking all engines of a large site for stalled: with many instances, first events
+/// are reported late.
 #[test]
-fn many_instances_tell_late_of_first_events() {
+fn many_instances_report_first_events_late() {
     let rules = PlacementRules::default();
     let [mut one, mut two] = [1, 2].map(|seed| arranging::scheduler(2, engine(), rules, seed));
     for index in 0..120 {
@@ -218,7 +218,7 @@
     assert!(next.predicted_ms < 100.0);
 }
 
-/// An instance that places dossiers, and another one that hears of them.
+/// An instance that places dossiers, and another one that receives its updates.
 struct Pair {
     one: GroupScheduler,
     two: GroupScheduler,
@@ -226,17 +226,17 @@
 }
 
 impl Pair {
-    /// The first of them has placed a dossier.
+    /// A pair whose first instance has placed a dossier.
     fn new() -> Pair {
         let rules = PlacementRules::default();
         let [mut one, two] = [1, 2].map(|seed| arranging::scheduler(20, engine(), rules, seed));
         let first = one.place(&request(210_000, 1), Time::from_millis(1)).unwrap();
         let mut pair = Pair { one, two, first };
-        pair.tell(Time::from_millis(1));
+        pair.send_updates(Time::from_millis(1));
         pair
     }
 
-    fn tell(&mut self, now: Time) {
+    fn send_updates(&mut self, now: Time) {
         let peer = InstanceId::new("p-1").unwrap();
         self.two.apply_updates(&peer, &self.one.take_updates(true), now);
     }
@@ -246,9 +246,9 @@
         Time::from_millis(self.first.predicted_ms as u64 + late_ms)
     }
 
-    /// How many of its engines the other instance takes for the next one.
+    /// How many of its engines the other instance uses for the next dossier.
     fn shared(mut self, now: Time) -> usize {
-        self.tell(now);
+        self.send_updates(now);
         let second = self.two.place(&request(210_000, 2), now).unwrap();
         let first = engines(&self.first);
         engines(&second).iter().filter(|engine| first.contains(engine)).count()
@@ -260,16 +260,16 @@
     helpers.chain([arranging::index(&placement.endpoint)]).collect()
 }
 
-/// Names each case by what the first dossier's instance learns before the second one is placed.
+/// Each case is named by what is known of the first dossier before the second one is placed.
 macro_rules! shares {
-    ($($(#[$line:meta])* $case:ident: $late_ms:expr, $then:expr, $expected:expr;)*) => {$(
+    ($($(#[$line:meta])* $case:ident: $late_ms:expr, $action:expr, $expected:expr;)*) => {$(
         $(#[$line])*
         #[test]
         fn $case() {
             let mut pair = Pair::new();
             let now = pair.overdue_by($late_ms);
-            let then: fn(&mut Pair, Time) = $then;
-            then(&mut pair, now);
+            let action: fn(&mut Pair, Time) = $action;
+            action(&mut pair, now);
             let shared = pair.shared(now);
             assert!($expected.contains(&shared), "{shared} engines");
         }
@@ -277,22 +277,24 @@
 }
 
 shares! {
-    /// Guards against a helper that died without a word and is taken again for each dossier until the
-    /// first one breaks off.
+    /// Guards against a helper that died silently and is used again for each dossier until the
+    /// first one fails.
     dossiers_leave_the_engines_of_an_overdue_one: 1_000, |_, _| {}, (0..=2);
-    /// Guards against engines that are avoided because word of a first event takes its time.
-    dossiers_share_engines_before_word_is_due: 100, |_, _| {}, (8..);
-    /// Guards against engines that are avoided although they answered, if late.
-    dossiers_share_engines_that_read: 1_000, |pair, now| pair.one.record_first_event(pair.first.job, now), (8..);
-    /// Guards against engines that are avoided although they have read a later dossier.
-    dossiers_share_engines_that_read_a_later_one: 1_000, |pair, now| {
+    /// Guards against avoiding engines because the report of a first event takes its time.
+    dossiers_share_engines_before_an_update_is_due: 100, |_, _| {}, (8..);
+    /// Guards against avoiding engines that answered, if late.
+    dossiers_share_engines_that_prefill: 1_000, |pair, now| {
+        pair.one.record_first_event(pair.first.job, now)
+    }, (8..);
+    /// Guards against avoiding engines that have prefilled a later dossier.
+    dossiers_share_engines_that_prefilled_a_later_one: 1_000, |pair, now| {
         let soon = Time::from_millis(10);
         let later = pair.one.place(&request(210_000, 3), soon).unwrap();
-        pair.tell(soon);
+        pair.send_updates(soon);
         pair.one.record_first_event(later.job, now);
     }, (8..);
-    /// Guards against engines that are avoided after another one was named.
-    dossiers_share_engines_once_one_is_named: 1_000, |pair, now| {
+    /// Guards against avoiding engines once another one is known to have refused.
+    dossiers_share_engines_once_another_refuses: 1_000, |pair, now| {
         pair.one.record_helper_refusal(&arranging::id(0), now);
         pair.one.finish(pair.first.job, Some(FailCause::Rejected), now);
     }, (8..);
