--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -296,10 +296,10 @@
 
 fn update_group(group: &Group, entries: &[&EndpointEntry], clock: Clock) {
     let addresses = entries.iter().map(|entry| (entry.id.clone(), entry.address)).collect();
-    let mut known = group.addresses.write().unwrap_or_else(PoisonError::into_inner);
-    log_changes(group, &known, entries);
-    *known = addresses;
-    drop(known);
+    let mut current = group.addresses.write().unwrap_or_else(PoisonError::into_inner);
+    log_changes(group, &current, entries);
+    *current = addresses;
+    drop(current);
     let members = entries.iter().map(|entry| Member {
         endpoint: entry.id.clone(),
         incarnation: entry.incarnation,
@@ -312,17 +312,19 @@
 /// Logs the changes of a group in one line, however many endpoints there are.
 fn log_changes(
     group: &Group,
-    known: &IndexMap<EndpointId, SocketAddr>,
+    previous: &IndexMap<EndpointId, SocketAddr>,
     entries: &[&EndpointEntry],
 ) {
     let ids = |entries: Vec<&EndpointEntry>| join_names(entries.iter().map(|e| e.id.as_str()));
-    let new: Vec<_> = entries.iter().copied().filter(|e| !known.contains_key(&e.id)).collect();
+    let new: Vec<_> = entries.iter().copied().filter(|e| !previous.contains_key(&e.id)).collect();
     let leaving: Vec<_> = entries.iter().copied().filter(|e| e.leaving).collect();
-    let removed: Vec<_> = known.keys().filter(|id| !entries.iter().any(|e| e.id == **id)).collect();
+    let removed: Vec<_> =
+        previous.keys().filter(|id| !entries.iter().any(|e| e.id == **id)).collect();
     if new.is_empty() && leaving.is_empty() && removed.is_empty() {
         return;
     }
     log::info!(group = group.name.as_str(), known = entries.len(), new = ids(new).as_str(),
-        leaving = ids(leaving).as_str(), gone = join_names(removed.iter().map(|id| id.as_str())).as_str();
+        leaving = ids(leaving).as_str(),
+        gone = join_names(removed.iter().map(|id| id.as_str())).as_str();
         "endpoints_changed");
 }
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -112,7 +112,8 @@
                 Some(transfer)
             }
             Err(e) => {
-                log::info!(source, peer:% = peer, after = after.0, cause:% = e; "snapshot_not_taken");
+                log::info!(source, peer:% = peer, after = after.0, cause:% = e;
+                    "snapshot_not_taken");
                 None
             }
         }
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -416,8 +416,8 @@
             return;
         }
         let ids = |ids: &[InstanceId]| join_names(ids.iter().map(InstanceId::as_str));
-        log::info!(live = self.live_peers().len(), found = ids(&found).as_str(), lost = ids(&lost).as_str();
-            "peers_changed");
+        log::info!(live = self.live_peers().len(), found = ids(&found).as_str(),
+            lost = ids(&lost).as_str(); "peers_changed");
     }
 
     fn mark_dead(&mut self, instance: &InstanceId) {
--- a/crates/router/tests/directory.rs
+++ b/crates/router/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Instances that start together and know nobody yet.
+//! Instances that start together and don't know any peer yet.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,43 +16,43 @@
 };
 use smol::{Timer, channel::unbounded, future::FutureExt};
 
-/// A directory that turns everybody away.
-struct Busy {
+/// A directory that refuses all listings, and all registrations unless it accepts them.
+struct BusyDirectory {
     calls: Arc<AtomicUsize>,
-    registers: bool,
+    accepts_registration: bool,
 }
 
-impl Busy {
-    fn call(&self) -> SourceError {
+impl BusyDirectory {
+    fn refuse(&self) -> SourceError {
         self.calls.fetch_add(1, Ordering::Relaxed);
         SourceError::Busy(429)
     }
 }
 
-impl PeerDirectory for Busy {
+impl PeerDirectory for BusyDirectory {
     async fn register(&mut self, _: &PeerEntry) -> Result<(), SourceError> {
-        if self.registers { Ok(()) } else { Err(self.call()) }
+        if self.accepts_registration { Ok(()) } else { Err(self.refuse()) }
     }
 
     async fn list(&mut self) -> Result<Vec<PeerEntry>, SourceError> {
-        Err(self.call())
+        Err(self.refuse())
     }
 }
 
-/// Guards against instances that all start at once and keep the directory too busy to serve any of them:
-/// before they have heard of one another, none can know with how many it shares the retries.
+/// Guards against overload of the directory by instances that all start at once: until they know
+/// each other, none of them can tell how many share the retries.
 #[test]
 fn a_busy_directory_is_tried_twice_a_second() {
-    for registers in [false, true] {
+    for accepts_registration in [false, true] {
         let calls = Arc::new(AtomicUsize::new(0));
-        let directory = Busy { calls: calls.clone(), registers };
-        let me =
+        let directory = BusyDirectory { calls: calls.clone(), accepts_registration };
+        let own_entry =
             PeerEntry { instance: "entry-1".parse().unwrap(), address: ([127, 0, 0, 1], 1).into() };
-        let (tx, _rx) = unbounded();
+        let (entries_tx, _entries_rx) = unbounded();
         let stop = async {
             Timer::after(Duration::from_millis(2_200)).await;
         };
-        smol::block_on(follow_directory(directory, me, tx).or(stop));
+        smol::block_on(follow_directory(directory, own_entry, entries_tx).or(stop));
         let calls = calls.load(Ordering::Relaxed);
         assert!((2..=5).contains(&calls), "{calls} calls in 2.2 s");
     }
