--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -1,4 +1,5 @@
-//! What an outside system's headers say, as facts. One type for each wire format implements it.
+//! Converts an outside system's headers to and from plain values. Each wire format implements
+//! [`Dialect`].
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,102 +7,103 @@
 use http::{HeaderMap, request, response};
 use policy::{EndpointId, Workspace};
 
-/// What a caller says of a request besides its method, path and body.
+/// What a caller's headers and URI state about a request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestMetadata {
-    /// The caller's own name for this request.
+    /// The caller's id for this request.
     pub request_id: Option<String>,
-    /// The host by which routes are chosen, without a port.
+    /// The host for choosing a route, without a port.
     pub host: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The caller's key.
+    /// The API key.
     pub api_key: Option<String>,
-    /// Tokens of the prompt and the most of the answer, where the caller counts them.
+    /// Tokens of the prompt, and the maximum of the answer, if the caller states them.
     pub tokens: Option<(u64, u64)>,
-    /// The last event that the caller has of a stream that it resumes.
+    /// Id of the last event received of a stream that the caller resumes.
     pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint is told besides what the caller sent.
+/// What the router tells an endpoint in addition to the caller's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptMetadata<'a> {
-    /// How long the caller still waits.
+    /// How long the caller will still wait.
     pub time_left: Duration,
-    /// The endpoint that is meant; another one at the same address refuses.
+    /// The intended endpoint; another one at the same address refuses the request.
     pub endpoint: &'a EndpointId,
-    /// Whose request it is.
+    /// Workspace of the API key.
     pub workspace: Option<&'a Workspace>,
-    /// Rank on the engine; zero goes first.
+    /// Priority on the engine; 0 is the highest.
     pub priority: Option<u8>,
-    /// Engines that read a part of the prompt.
+    /// Engines that prefill parts of the prompt.
     pub helpers: &'a [HelperEngine],
-    /// The last event that the caller has, where the answer goes on behind it.
+    /// Id of the last event that the caller has received, if the endpoint has to resume after it.
     pub resume_after: Option<u64>,
 }
 
-/// An engine that reads a part of a prompt.
+/// An engine that prefills a part of the prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HelperEngine {
-    /// Where it listens.
+    /// Address for the runner's requests.
     pub address: SocketAddr,
-    /// The reservation that holds a part of the prompt's memory there.
+    /// Id of the reservation of KV memory for that part.
     pub reservation: Option<String>,
 }
 
-/// An order to an engine, as it goes out.
+/// An HTTP POST that makes, renews or releases a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReservationRequest {
-    /// The path.
+    /// Path on the engine.
     pub path: &'static str,
-    /// Headers.
+    /// All headers except `Host`.
     pub headers: HeaderMap,
-    /// The body.
+    /// Encoded content.
     pub body: Bytes,
 }
 
-/// What an endpoint says of an answer besides its status and body.
+/// What an endpoint's headers state about a response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ResponseMetadata {
-    /// The request that it answers, as the caller named it.
+    /// The caller's id of the request that this is the response to.
     pub request_id: Option<String>,
-    /// The endpoint declares that it didn't run the request and won't.
+    /// Whether the endpoint declares that it hasn't run the request and won't.
     pub not_run: bool,
-    /// The endpoint vouches that this is its answer.
+    /// Whether the response carries the endpoint's seal, which confirms that the endpoint produced
+    /// it.
     pub is_sealed: bool,
-    /// Where another endpoint is at fault: its address.
+    /// Address of another endpoint that caused the refusal.
     pub at_fault: Option<SocketAddr>,
 }
 
-/// A request whose headers can't be read.
+/// A request header that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidHeader {
-    /// The header.
+    /// Name of the header.
     pub name: &'static str,
-    /// What was expected.
+    /// Description of the expected value.
     pub expected: &'static str,
 }
 
-/// Reads and writes one wire format's headers. It decides nothing.
+/// Reads and writes the headers of one wire format. It makes no decisions.
 pub trait Dialect: Send + Sync + 'static {
-    /// What a caller says.
+    /// Reads the headers of a request.
     ///
     /// # Errors
     ///
-    /// The first header that can't be read.
+    /// The first header that can't be parsed.
     fn read_request(&self, head: &request::Parts) -> Result<RequestMetadata, InvalidHeader>;
 
-    /// The caller's own name for a request, for logs.
+    /// The caller's request id, for logs.
     fn request_id(&self, headers: &HeaderMap) -> Option<String>;
 
-    /// The headers of an attempt: the caller's, less what concerns only its connection and what
-    /// endpoints must not see, and what the endpoint is told.
+    /// Headers of an attempt: those of the caller, without the ones that concern only its
+    /// connection or that endpoints must not get, and the attempt's metadata.
     fn write_attempt(&self, caller: &HeaderMap, attempt: &AttemptMetadata<'_>) -> HeaderMap;
 
-    /// What an endpoint says.
+    /// Reads the headers of a response.
     fn read_response(&self, head: &response::Parts) -> ResponseMetadata;
 
-    /// An order to reserve memory under an id for a while, or to go on doing so.
+    /// Builds a request that reserves KV memory under an id for `hold`, or renews the reservation.
     fn reserve(
         &self,
         endpoint: &EndpointId,
@@ -110,12 +112,12 @@
         hold: Duration,
     ) -> ReservationRequest;
 
-    /// An order to end a reservation.
+    /// Builds a request that releases a reservation.
     fn release(&self, endpoint: &EndpointId, id: &str) -> ReservationRequest;
 
-    /// The endpoint's headers as the caller gets them.
+    /// Headers for the caller's response, from those of the endpoint's.
     fn response_headers(&self, answer: &HeaderMap) -> HeaderMap;
 
-    /// The path at which the balancer asks whether the instance is ready.
+    /// Path of the balancer's readiness probe.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,4 +1,4 @@
-//! What answers callers and the balancer.
+//! The HTTP services for callers and for the balancer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,11 +13,12 @@
     state::{Configuration, Groups, Lifecycle, Stage},
 };
 
-/// Beyond this age of the configuration the balancer is asked to look elsewhere, where there is a
-/// better informed instance. A reading that is held and one that fails are no reason yet.
-const READY_FOR: Duration = Duration::from_millis(3_700);
+/// Maximum age of the configuration at which the instance reports that it is ready. Beyond it the
+/// balancer should use an instance with newer configuration. It leaves room for one held long poll
+/// and one failed read.
+const MAX_READY_CONFIGURATION_AGE: Duration = Duration::from_millis(3_700);
 
-/// Answers callers.
+/// Serves callers.
 pub(crate) struct CallerService<D, H> {
     pub(crate) chain: H,
     pub(crate) dialect: Arc<D>,
@@ -28,7 +29,7 @@
 
 impl<D: Dialect, H: Handler<Request<Incoming>>> Service for CallerService<D, H> {
     async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
-        let open = self.lifecycle.count_request();
+        let guard = self.lifecycle.count_request();
         let request_id = self.dialect.request_id(req.headers());
         let mut resp = match self.chain.handle(req).await {
             Ok(resp) => resp,
@@ -47,7 +48,7 @@
         if self.lifecycle.stage() == Stage::Closing {
             resp.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        resp.map(|body| body.counted(open))
+        resp.map(|body| body.with_guard(guard))
     }
 
     fn connection_limits(&self) -> ConnectionLimits {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Answers the balancer.
+/// Serves the balancer's readiness probes.
 pub(crate) struct ReadinessService {
     pub(crate) path: &'static str,
     pub(crate) configuration: Arc<Configuration>,
@@ -73,14 +74,15 @@
 
 impl ReadinessService {
     fn is_ready(&self) -> bool {
-        let known = self.configuration.age().is_some_and(|age| age <= READY_FOR);
-        let serving = self.lifecycle.stage() == Stage::Serving;
+        let is_known =
+            self.configuration.age().is_some_and(|age| age <= MAX_READY_CONFIGURATION_AGE);
+        let is_serving = self.lifecycle.stage() == Stage::Serving;
         let has_endpoints = self
             .groups
             .all()
             .iter()
             .any(|group| crate::lock(&group.scheduler).usable_endpoints() > 0);
-        known && serving && has_endpoints && self.configuration.table().version.0 > 0
+        is_known && is_serving && has_endpoints && self.configuration.table().version.0 > 0
     }
 }
 
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,80 +1,81 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into whole server-sent events.
 //!
-//! Guards against an endpoint that stops in the middle of an event: its caller would take the half
-//! for the whole, and the endpoint that goes on sends the event again. Only whole events leave
-//! here, and the id of each is known, so that the next endpoint can be asked to go on behind it.
+//! Guards against an endpoint that stops in the middle of an event: its caller would take the
+//! partial event for complete, and the endpoint that resumes sends the event again. Only whole
+//! events are returned, each with its id, so that the next endpoint can be asked to resume after
+//! it.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest event that is collected, in bytes. Events here hold a few hundred; one without an
-/// end must not take all memory.
-const MAX_EVENT: usize = 1 << 20;
+/// Maximum size of an event. Events usually have a few hundred bytes; an event without an end must
+/// not use up all memory.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event with the blank line that ends it.
+/// One whole event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes.
+    /// The event as received.
     pub bytes: Bytes,
-    /// Its id, where it has one that is a number.
+    /// The event's id, if it is a number.
     pub id: Option<u64>,
 }
 
-/// An event is longer than [`MAX_EVENT`].
+/// An event is longer than [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Collects bytes until an event is whole.
+/// Incremental parser: buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventParser {
     buf: BytesMut,
-    searched: usize,
+    searched_bytes: usize,
 }
 
 impl EventParser {
-    /// Adds bytes.
+    /// Appends received bytes.
     ///
     /// # Errors
     ///
-    /// [`EventTooLong`] where an event has no end.
+    /// [`EventTooLong`] if the buffered bytes would exceed the maximum size of an event.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
-        if self.buf.len() + bytes.len() > MAX_EVENT {
+        if self.buf.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         self.buf.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The next whole event.
+    /// Returns the next whole event, if one is buffered.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = match find_end(&self.buf, self.searched) {
+        let end = match find_end(&self.buf, self.searched_bytes) {
             Some(end) => end,
             None => {
-                // The end may be cut: a blank line with carriage returns has four bytes.
-                self.searched = self.buf.len().saturating_sub(3);
+                // The end marker may be split: with carriage returns it has up to four bytes.
+                self.searched_bytes = self.buf.len().saturating_sub(3);
                 return None;
             }
         };
-        self.searched = 0;
+        self.searched_bytes = 0;
         let bytes = self.buf.split_to(end).freeze();
         let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Bytes behind the last whole event.
+    /// Number of buffered bytes after the last whole event.
     pub fn remaining(&self) -> usize {
         self.buf.remaining()
     }
 }
 
 fn find_end(buf: &[u8], from: usize) -> Option<usize> {
-    let ends = |at: usize| -> Option<usize> {
+    let end_at = |at: usize| -> Option<usize> {
         let rest = &buf[at..];
         if rest.starts_with(b"\n\n") {
             return Some(at + 2);
         }
         (rest.starts_with(b"\n\r\n")).then_some(at + 3)
     };
-    (from..buf.len()).find_map(|at| if buf[at] == b'\n' { ends(at) } else { None })
+    (from..buf.len()).find_map(|at| if buf[at] == b'\n' { end_at(at) } else { None })
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
--- a/crates/router/src/filter/attempt.rs
+++ b/crates/router/src/filter/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt at one endpoint, on a connection of its own.
+//! One attempt at one endpoint, on a new connection.
 //!
-//! Guards against answers that belong to other requests: late and repeated answers arrive on
-//! connections that are used again, and a connection that was open for a while may be silent for
-//! good. A fresh connection has neither, and costs a round trip.
+//! Guards against responses that belong to other requests: late and duplicate responses arrive on
+//! reused connections, and a connection that has been idle may have failed without notice. A new
+//! connection has neither problem, and costs one round trip.
 
 use std::{
     net::SocketAddr,
@@ -20,97 +20,97 @@
 
 use crate::net;
 
-/// How long a connection may take. Two round trips between data centres and the endpoint's own
-/// work take a few milliseconds; a lost opening packet is sent again only after a second, which is
-/// longer than asking elsewhere takes.
-const CONNECT: Duration = Duration::from_millis(350);
+/// Two round trips between data centres and the endpoint's own work take a few milliseconds. A lost
+/// SYN is retransmitted only after a second, and trying another endpoint is faster than that.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// An endpoint that said nothing for this long is silent. Routes may leave less time than their
-/// endpoints ordinarily take; running out of that says nothing about the endpoint.
-const SILENT_AFTER: Duration = Duration::from_millis(600);
+/// An endpoint that sends nothing for this long counts as silent. A shorter timeout says nothing
+/// about the endpoint, because routes may allow less time than their endpoints usually need.
+const SILENCE_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// The largest answer that is held until it is whole.
-const MAX_ANSWER: usize = 4 << 20;
+/// The largest response body that is buffered as a whole.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// An answer whose head has come. Dropping it closes the connection, which ends the run.
-pub(super) struct Upstream {
+/// A response whose head has arrived. Dropping it closes the connection, which ends the run on the
+/// endpoint.
+pub(super) struct EndpointResponse {
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
-    _driver: Task<()>,
+    _connection: Task<()>,
 }
 
-/// Why there is no answer.
+/// Why an attempt has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptError {
-    /// Nothing was sent.
+    /// No part of the request was sent.
     NotSent {
-        /// The endpoint's machine answered that nobody listens.
+        /// Whether the connection was refused, that is, nothing listens at the address.
         is_refused: bool,
     },
-    /// It was sent, and what became of it is unknown.
+    /// The request was sent, and its outcome is unknown.
     Unknown(FailCause),
 }
 
-/// Sends a request and waits for the head of its answer. `sending` is told right before the first
-/// byte goes out, with the time that the connection took.
+/// Sends a request and waits for the head of the response. `before_send` is called right before the
+/// first byte is sent, with the time that connecting took.
 pub(super) async fn send(
     executor: &Executor<'static>,
     address: SocketAddr,
     req: Request<Full<Bytes>>,
-    patience: Duration,
-    sending: impl FnOnce(Duration),
-) -> Result<Upstream, AttemptError> {
-    let began = Instant::now();
-    let stream = net::connect(address, patience.min(CONNECT)).await.map_err(|e| {
+    timeout: Duration,
+    before_send: impl FnOnce(Duration),
+) -> Result<EndpointResponse, AttemptError> {
+    let started = Instant::now();
+    let stream = net::connect(address, timeout.min(CONNECT_TIMEOUT)).await.map_err(|e| {
         let is_refused = e.kind() == std::io::ErrorKind::ConnectionRefused;
         AttemptError::NotSent { is_refused }
     })?;
-    let took = began.elapsed();
+    let connect_time = started.elapsed();
     let (mut sender, connection) = http1::handshake(FuturesIo::new(stream))
         .await
         .map_err(|_| AttemptError::NotSent { is_refused: false })?;
-    let driver = executor.spawn(async move {
+    let connection_task = executor.spawn(async move {
         if let Err(e) = connection.await {
             log::debug!(cause:% = e; "endpoint_connection_ended");
         }
     });
-    sending(took);
-    let answer = async {
+    before_send(connect_time);
+    let response = async {
         sender.send_request(req).await.map_err(|e| match e.is_canceled() {
             true => AttemptError::NotSent { is_refused: false },
             false if e.is_parse() => AttemptError::Unknown(FailCause::BadAnswer),
             false => AttemptError::Unknown(FailCause::Broken),
         })
     };
-    let late = async {
-        Timer::after(patience).await;
-        Err(AttemptError::Unknown(out_of_time(patience)))
+    let timed_out = async {
+        Timer::after(timeout).await;
+        Err(AttemptError::Unknown(timeout_cause(timeout)))
     };
-    let (head, body) = answer.or(late).await?.into_parts();
-    Ok(Upstream { head, body, _driver: driver })
+    let (head, body) = response.or(timed_out).await?.into_parts();
+    Ok(EndpointResponse { head, body, _connection: connection_task })
 }
 
-impl Upstream {
-    /// The whole body.
-    pub(super) async fn collect(self, patience: Duration) -> Result<Bytes, FailCause> {
+impl EndpointResponse {
+    /// Reads the whole body.
+    pub(super) async fn collect(self, timeout: Duration) -> Result<Bytes, FailCause> {
         let whole = async {
-            let body = Limited::new(self.body, MAX_ANSWER).collect().await;
+            let body = Limited::new(self.body, MAX_RESPONSE_BYTES).collect().await;
             body.map(|body| body.to_bytes()).map_err(|_| FailCause::Broken)
         };
-        let late = async {
-            Timer::after(patience).await;
-            Err(out_of_time(patience))
+        let timed_out = async {
+            Timer::after(timeout).await;
+            Err(timeout_cause(timeout))
         };
-        whole.or(late).await
+        whole.or(timed_out).await
     }
 }
 
-/// What it says of an endpoint that nothing came within `waited`.
-fn out_of_time(waited: Duration) -> FailCause {
-    if waited < SILENT_AFTER { FailCause::Deadline } else { FailCause::Silent }
+/// Failure cause of an attempt that got no response within `waited`.
+fn timeout_cause(waited: Duration) -> FailCause {
+    if waited < SILENCE_THRESHOLD { FailCause::Deadline } else { FailCause::Silent }
 }
 
-/// The request as an endpoint gets it.
+/// Builds the request for an endpoint from the caller's request and the attempt's headers.
 pub(super) fn request(
     caller: &http::request::Parts,
     headers: HeaderMap,
@@ -123,5 +123,5 @@
     req
 }
 
-/// Shares an executor with attempts.
-pub(super) type Spawner = Arc<Executor<'static>>;
+/// Executor that runs the connections of attempts.
+pub(super) type SharedExecutor = Arc<Executor<'static>>;
--- a/crates/router/src/filter/body.rs
+++ b/crates/router/src/filter/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Bodies of responses to callers.
 
 use std::{
     fmt,
@@ -13,48 +13,49 @@
 
 use crate::state::InFlightGuard;
 
-/// The answer broke off; the caller's connection is cut, so that it can't take it for whole.
+/// A response that broke off. Its connection to the caller is cut, so that the caller can't take it
+/// for complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct TruncatedResponse;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for TruncatedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the answer broke off")
+        write!(f, "the response broke off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for TruncatedResponse {}
 
-/// The body of an answer.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it is here.
+    /// A complete body, until it has been sent.
     Whole(Option<Bytes>, Option<InFlightGuard>),
-    /// It comes event by event.
+    /// A body that arrives event by event.
     Events(EventBody),
 }
 
-/// A body that a task feeds. Dropping it ends the task, and with it the run on the endpoint: that
-/// is how a caller's hang-up gets there.
+/// A body that a task feeds. Dropping it cancels the task and with it the run on the endpoint; this
+/// is how a caller's disconnect ends the run.
 #[derive(Debug)]
 pub struct EventBody {
-    pub(super) events: Pin<Box<Receiver<Result<Bytes, BrokenOff>>>>,
+    pub(super) events: Pin<Box<Receiver<Result<Bytes, TruncatedResponse>>>>,
     pub(super) _feeder: Task<()>,
-    pub(super) _open: Option<InFlightGuard>,
+    pub(super) _guard: Option<InFlightGuard>,
 }
 
 impl ResponseBody {
-    /// A body that is here.
+    /// A complete body.
     pub fn whole(bytes: Bytes) -> ResponseBody {
         ResponseBody::Whole(Some(bytes), None)
     }
 
-    /// The body, counted as under way until it is sent.
-    pub fn counted(self, open: InFlightGuard) -> ResponseBody {
+    /// Attaches the guard that counts the request as in flight until the body is sent or dropped.
+    pub fn with_guard(self, guard: InFlightGuard) -> ResponseBody {
         match self {
-            ResponseBody::Whole(bytes, _) => ResponseBody::Whole(bytes, Some(open)),
+            ResponseBody::Whole(bytes, _) => ResponseBody::Whole(bytes, Some(guard)),
             ResponseBody::Events(body) => {
-                ResponseBody::Events(EventBody { _open: Some(open), ..body })
+                ResponseBody::Events(EventBody { _guard: Some(guard), ..body })
             }
         }
     }
@@ -62,12 +63,12 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match &mut *self {
             ResponseBody::Whole(bytes, _) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             ResponseBody::Events(body) => {
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -1,4 +1,4 @@
-//! One request on its way to an answer: where it may be sent next, and how it ends.
+//! One call: where the request may be sent next, and how it ends.
 
 use std::{
     sync::{Arc, Mutex, atomic::Ordering},
@@ -13,304 +13,315 @@
 
 use super::{
     Received, Refusal, ResponseBody,
-    dispatch::{DispatchContext, ROOM_SOON},
+    dispatch::{CAPACITY_RETRY_AFTER, DispatchContext},
     hedge,
     refusal::Reason,
-    run::{Live, Run},
+    run::{ActiveResponse, Run},
 };
 use crate::{dialect::Dialect, lock, state::Group};
 
-/// When to come back if no endpoint may run a request now: what it takes to hear of new ones.
-pub(super) const ENDPOINTS_SOON: Duration = Duration::from_millis(400);
+/// `Retry-After` of requests that no endpoint may run now: the time it takes to learn of new
+/// endpoints.
+pub(super) const ENDPOINTS_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// The latest time to come back that is told: bursts last for seconds, and a caller that stays
-/// away longer than needed finds nobody before it.
-const LATEST_RETURN: Duration = Duration::from_millis(2_500);
+/// Upper bound of `Retry-After` before randomisation. Bursts last for seconds, and capacity that
+/// becomes free before a caller returns is left unused.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Connections that may fail and wrong servers that may be met for one request. Each costs its
-/// caller up to a third of a second.
-const MAX_NOT_SENT: u32 = 3;
+/// Maximum attempts per request that weren't sent, because the connection failed or another server
+/// had the address. Each one takes up to a third of a second of the caller's time.
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
-/// The outcome of a request whose caller has the whole answer.
-pub(super) const FINISHED: &str = "finished";
+/// Outcome of a request whose caller has received the whole response.
+pub(super) const OUTCOME_FINISHED: &str = "finished";
 
-/// One request on its way to an answer. Two attempts of what is idempotent may be under way at
-/// once, so what they change stands under a lock.
+/// One request until it has its response. Two attempts of an idempotent request may be in flight at
+/// once, so its mutable state is behind a lock.
 pub(super) struct Call<D> {
-    pub(super) parts: Arc<DispatchContext<D>>,
+    pub(super) context: Arc<DispatchContext<D>>,
     pub(super) received: Received,
     pub(super) group: Arc<Group>,
     pub(super) progress: Mutex<Progress>,
 }
 
-/// Helpers as they stand in a log line.
-fn names(helpers: &[Helper]) -> String {
+/// Formats helpers for a log line.
+fn helper_names(helpers: &[Helper]) -> String {
     let names: Vec<&str> = helpers.iter().map(|helper| helper.endpoint.as_str()).collect();
     names.join(",")
 }
 
-/// Whether another attempt of the same request is under way.
+/// Whether another attempt of the same request is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Beside {
-    /// None is.
-    Nothing,
-    /// One is, and takes long.
-    Another,
+pub(super) enum OtherAttempt {
+    /// No other attempt is in flight.
+    None,
+    /// One is in flight and slow.
+    InFlight,
 }
 
-/// How far a request is.
+/// Mutable state of a call.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) tried: Vec<(EndpointId, Incarnation)>,
-    /// Endpoints that got it.
+    /// Number of attempts that were sent to an endpoint.
     pub(super) sent: u32,
-    /// Attempts at which nothing was sent, or another server was met.
+    /// Number of attempts at which nothing was sent, or another server had the endpoint's address.
     pub(super) not_sent: u32,
-    /// Attempts of which it is unknown whether they ran.
-    pub(super) doubtful: u32,
-    /// The last event that the caller has.
-    pub(super) last_event: Option<u64>,
-    /// When it got that.
+    /// Number of attempts that may have run.
+    pub(super) unknown_outcomes: u32,
+    /// Id of the last event sent to the caller.
+    pub(super) last_event_id: Option<u64>,
+    /// When that event was sent.
     pub(super) last_event_at: Option<Time>,
-    /// How long after its arrival the first byte of its answer went out.
-    pub(super) began: Option<Duration>,
-    /// The longest wait between two events of its answer.
+    /// Time from the request's arrival to the first byte of its response.
+    pub(super) first_byte_after: Option<Duration>,
+    /// The longest pause between two events of the stream.
     pub(super) longest_pause: Duration,
-    /// The last answer of an endpoint that was a failure of its own.
-    pub(super) failure: Option<Response<ResponseBody>>,
+    /// The last response that reported an error of the endpoint itself.
+    pub(super) endpoint_failure: Option<Response<ResponseBody>>,
 }
 
 impl<D: Dialect> Call<D> {
     pub(super) fn new(
-        parts: Arc<DispatchContext<D>>,
+        context: Arc<DispatchContext<D>>,
         received: Received,
         group: Arc<Group>,
     ) -> Self {
-        let last_event = received.caller.last_event_id;
-        group.record_first_attempt(parts.clock.now());
-        let progress = Mutex::new(Progress { last_event, ..Progress::default() });
-        Call { parts, received, group, progress }
+        let last_event_id = received.caller.last_event_id;
+        group.record_first_attempt(context.clock.now());
+        let progress = Mutex::new(Progress { last_event_id, ..Progress::default() });
+        Call { context, received, group, progress }
     }
 
     pub(super) fn id(&self) -> &str {
         self.received.caller.request_id.as_deref().unwrap_or("-")
     }
 
-    pub(super) fn left(&self) -> Duration {
-        self.parts.clock.until(self.received.deadline)
+    pub(super) fn time_left(&self) -> Duration {
+        self.context.clock.until(self.received.deadline)
     }
 
-    /// The last event that the caller has.
-    pub(super) fn last_event(&self) -> Option<u64> {
-        lock(&self.progress).last_event
+    /// Id of the last event sent to the caller.
+    pub(super) fn last_event_id(&self) -> Option<u64> {
+        lock(&self.progress).last_event_id
     }
 
-    /// Notes that the caller has an event.
-    pub(super) fn set_last_event(&self, id: u64) {
+    /// Records that an event is being sent to the caller.
+    pub(super) fn set_last_event_id(&self, id: u64) {
         let mut progress = lock(&self.progress);
-        progress.last_event = Some(id);
-        progress.last_event_at = Some(self.parts.clock.now());
+        progress.last_event_id = Some(id);
+        progress.last_event_at = Some(self.context.clock.now());
     }
 
-    /// An answer that is passed on once it is whole, so that what breaks off can be asked again.
-    pub(super) async fn whole(self) -> Result<Response<ResponseBody>, Refusal> {
-        let answered = hedge::first(&self, Beside::Nothing, async |call, live: Live<D>| {
-            let head = live.upstream.head.clone();
-            match live.upstream.collect(call.left()).await {
-                Ok(body) => {
-                    live.run.end(None);
-                    Ok((head, body))
+    /// Collects the whole response before any of it goes to the caller, so that a request whose
+    /// response breaks off can be retried.
+    pub(super) async fn respond_buffered(self) -> Result<Response<ResponseBody>, Refusal> {
+        let outcome = hedge::first_accepted(
+            &self,
+            OtherAttempt::None,
+            async |call, active: ActiveResponse<D>| {
+                let head = active.response.head.clone();
+                match active.response.collect(call.time_left()).await {
+                    Ok(body) => {
+                        active.run.end(None);
+                        Ok((head, body))
+                    }
+                    Err(cause) => {
+                        call.attempt_failed(active.run, cause);
+                        Err(cause)
+                    }
                 }
-                Err(cause) => {
-                    call.failed(live.run, cause);
-                    Err(cause)
-                }
-            }
-        });
-        match answered.await {
+            },
+        );
+        match outcome.await {
             Ok((head, body)) => {
-                self.note_began();
-                self.note_end(FINISHED, head.status);
-                Ok(self.answer(&head, body))
+                self.record_first_byte();
+                self.record_end(OUTCOME_FINISHED, head.status);
+                Ok(self.response(&head, body))
             }
-            Err(refusal) => self.take_failure().ok_or(refusal),
+            Err(refusal) => self.take_endpoint_failure().ok_or(refusal),
         }
     }
 
-    /// The caller's answer with an endpoint's head.
-    pub(super) fn answer(
+    /// Builds the caller's response from an endpoint's head and a complete body.
+    pub(super) fn response(
         &self,
         head: &http::response::Parts,
         body: bytes::Bytes,
     ) -> Response<ResponseBody> {
-        self.answer_with(head, ResponseBody::whole(body))
+        self.response_with_body(head, ResponseBody::whole(body))
     }
 
-    pub(super) fn answer_with(
+    pub(super) fn response_with_body(
         &self,
         head: &http::response::Parts,
         body: ResponseBody,
     ) -> Response<ResponseBody> {
         let mut resp = Response::new(body);
         *resp.status_mut() = head.status;
-        *resp.headers_mut() = self.parts.dialect.response_headers(&head.headers);
+        *resp.headers_mut() = self.context.dialect.response_headers(&head.headers);
         resp
     }
 
-    /// A run failed after it began.
-    pub(super) fn failed(&self, run: Run<D>, cause: FailCause) {
+    /// Ends an attempt that failed after it was sent.
+    pub(super) fn attempt_failed(&self, run: Run<D>, cause: FailCause) {
         log::info!(id = self.id(), endpoint = run.endpoint.as_str(), cause:? = cause,
-            last_event:? = self.last_event(); "attempt_failed");
-        self.parts.metrics.failed(cause);
+            last_event:? = self.last_event_id(); "attempt_failed");
+        self.context.metrics.failed(cause);
         run.end(Some(cause));
     }
 
-    /// Another endpoint answered first although it was asked later.
-    pub(super) fn outrun(&self, job: JobId) {
-        let now = self.parts.clock.now();
+    /// Ends the first attempt because the hedge that was sent later answered first.
+    pub(super) fn hedge_won(&self, job: JobId) {
+        let now = self.context.clock.now();
         lock(&self.group.scheduler).finish(job, Some(FailCause::Silent), now);
     }
 
-    /// The next place for it, if one more attempt is allowed.
-    pub(super) fn next_place(&self, beside: Beside) -> Result<Placement, Refusal> {
-        if self.left().is_zero() {
+    /// Places the next attempt, if one more is allowed.
+    pub(super) fn next_placement(&self, other: OtherAttempt) -> Result<Placement, Refusal> {
+        if self.time_left().is_zero() {
             return Err(self.give_up(Reason::Expired));
         }
         if !self.may_send() {
-            let reason = if self.may_have_run() { Reason::Unknown } else { Reason::Rejected };
+            let reason =
+                if self.may_have_run() { Reason::OutcomeUnknown } else { Reason::Rejected };
             return Err(self.give_up(reason));
         }
-        self.place(beside)
+        self.place(other)
     }
 
     fn may_have_run(&self) -> bool {
-        lock(&self.progress).doubtful > 0
+        lock(&self.progress).unknown_outcomes > 0
     }
 
-    /// Whether one more endpoint may get it.
+    /// Whether the request may be sent to one more endpoint.
     fn may_send(&self) -> bool {
         let route = &self.received.route;
         let progress = lock(&self.progress);
-        if progress.not_sent > MAX_NOT_SENT || progress.sent >= route.max_attempts {
+        if progress.not_sent > MAX_UNSENT_ATTEMPTS || progress.sent >= route.max_attempts {
             return false;
         }
-        if progress.doubtful > 0 && !route.repeat.is_idempotent() {
+        if progress.unknown_outcomes > 0 && !route.repeat.is_idempotent() {
             return false;
         }
-        let instances = self.parts.instances.load(Ordering::Relaxed);
-        let now = self.parts.clock.now();
+        let instances = self.context.instances.load(Ordering::Relaxed);
+        let now = self.context.clock.now();
         progress.sent + progress.not_sent == 0
-            || self.group.may_retry(&self.parts.retry_rules, instances, now)
+            || self.group.may_retry(&self.context.retry_rules, instances, now)
     }
 
-    fn place(&self, beside: Beside) -> Result<Placement, Refusal> {
-        let now = self.parts.clock.now();
-        let ask = self.ask(beside, now);
-        let placed = lock(&self.group.scheduler).place(&ask, now);
+    fn place(&self, other: OtherAttempt) -> Result<Placement, Refusal> {
+        let now = self.context.clock.now();
+        let request = self.placement_request(other, now);
+        let placed = lock(&self.group.scheduler).place(&request, now);
         match placed {
             Ok(placement) => {
                 log::info!(
                     id = self.id(),
                     route = self.received.route.name.as_str(),
-                    prompt = ask.prompt_tokens,
+                    prompt = request.prompt_tokens,
                     endpoint = placement.endpoint.as_str(),
-                    helpers = names(&placement.helpers).as_str(),
+                    helpers = helper_names(&placement.helpers).as_str(),
                     predicted_ms = placement.predicted_ms as u64,
                     hold_ms = placement.hold.as_millis() as u64,
-                    attempt = ask.tried.len() + 1;
+                    attempt = request.tried.len() + 1;
                     "placed"
                 );
-                if ask.prompt_tokens > 0 {
-                    self.parts.urgent.raise();
+                if request.prompt_tokens > 0 {
+                    self.context.urgent.raise();
                 }
                 Ok(placement)
             }
             Err(PlacementRefusal::NoEndpoint) => Err(self.give_up(Reason::NoEndpoint)),
             Err(PlacementRefusal::Quarantined(_)) => Err(self.give_up(Reason::Quarantined)),
             Err(PlacementRefusal::TooLate(by)) => {
-                log::info!(id = self.id(), prompt = ask.prompt_tokens, late_ms = by.as_millis() as u64;
+                log::info!(id = self.id(), prompt = request.prompt_tokens, late_ms = by.as_millis() as u64;
                     "too_late");
-                Err(self.come_back(Reason::TooLate, by))
+                Err(self.refuse_with_retry_after(Reason::TooLate, by))
             }
             Err(PlacementRefusal::Crowded(after)) => {
-                log::info!(id = self.id(), prompt = ask.prompt_tokens; "crowded");
-                Err(self.come_back(Reason::Crowded, after))
+                log::info!(id = self.id(), prompt = request.prompt_tokens; "crowded");
+                Err(self.refuse_with_retry_after(Reason::Crowded, after))
             }
         }
     }
 
-    fn ask(&self, beside: Beside, now: Time) -> PlacementRequest {
+    fn placement_request(&self, other: OtherAttempt, now: Time) -> PlacementRequest {
         let received = &self.received;
         let (prompt, output) = received.caller.tokens.unwrap_or((0, 0));
         let progress = lock(&self.progress);
         let since_event = progress.last_event_at.map(|at| now.since(at));
         let goal = received.route.time_to_bound(now.since(received.arrived), since_event);
-        let rank = received.owner.as_ref().and_then(|owner| owner.priority);
+        let workspace_priority = received.owner.as_ref().and_then(|owner| owner.priority);
         PlacementRequest {
             prompt_tokens: prompt,
             max_output_tokens: output,
-            remaining_ms: self.left().as_secs_f64() * 1000.0,
+            remaining_ms: self.time_left().as_secs_f64() * 1000.0,
             goal_ms: goal.as_secs_f64() * 1000.0,
             max_pause_ms: received.route.pause_goal.as_secs_f64() * 1000.0,
-            priority: rank.unwrap_or(received.route.priority),
+            priority: workspace_priority.unwrap_or(received.route.priority),
             fingerprint: received.fingerprint,
-            is_hedge: beside == Beside::Another,
+            is_hedge: other == OtherAttempt::InFlight,
             tried: progress.tried.clone(),
         }
     }
 
-    /// The end of a request that there is no room for before `after`. Callers refused together
-    /// come back spread out.
-    fn come_back(&self, reason: Reason, after: Duration) -> Refusal {
+    /// Refuses a request that has no capacity before `after`. `Retry-After` is randomised, so that
+    /// callers refused together don't return together.
+    fn refuse_with_retry_after(&self, reason: Reason, after: Duration) -> Refusal {
         if self.may_have_run() {
-            return Refusal::unknown(reason);
+            return Refusal::outcome_unknown(reason);
         }
-        let after = after.clamp(ROOM_SOON, LATEST_RETURN).mul_f64(1.0 + 0.25 * fastrand::f64());
+        let after = after
+            .clamp(CAPACITY_RETRY_AFTER, MAX_RETRY_AFTER)
+            .mul_f64(1.0 + 0.25 * fastrand::f64());
         Refusal::not_run(reason, after)
     }
 
-    /// The end of the request without an answer to pass on.
+    /// Ends the call without a response to pass on.
     pub(super) fn give_up(&self, reason: Reason) -> Refusal {
         if self.may_have_run() {
-            return Refusal::unknown(reason);
+            return Refusal::outcome_unknown(reason);
         }
         let after = match reason {
-            Reason::Rejected => ROOM_SOON,
-            _ => ENDPOINTS_SOON,
+            Reason::Rejected => CAPACITY_RETRY_AFTER,
+            _ => ENDPOINTS_RETRY_AFTER,
         };
         Refusal::not_run(reason, after)
     }
 
-    /// An endpoint's own failure, where there was one.
-    pub(super) fn take_failure(&self) -> Option<Response<ResponseBody>> {
-        lock(&self.progress).failure.take()
+    /// Takes the last error response of an endpoint, if there was one.
+    pub(super) fn take_endpoint_failure(&self) -> Option<Response<ResponseBody>> {
+        lock(&self.progress).endpoint_failure.take()
     }
 
-    /// Tokens of its prompt, where its caller counts them.
-    fn prompt(&self) -> Option<u64> {
+    /// Prompt length, if the caller stated it.
+    fn prompt_tokens(&self) -> Option<u64> {
         self.received.caller.tokens.map(|(prompt, _)| prompt)
     }
 
-    /// The first byte of the answer is about to go to the caller.
-    pub(super) fn note_began(&self) {
-        let taken = self.parts.clock.now().since(self.received.arrived);
-        lock(&self.progress).began = Some(taken);
-        self.parts.metrics.first_byte_received(self.prompt(), taken);
+    /// Records that the first byte of the response is about to be sent to the caller.
+    pub(super) fn record_first_byte(&self) {
+        let elapsed = self.context.clock.now().since(self.received.arrived);
+        lock(&self.progress).first_byte_after = Some(elapsed);
+        self.context.metrics.first_byte_received(self.prompt_tokens(), elapsed);
     }
 
-    /// The caller waited for an event.
-    pub(super) fn note_pause(&self, pause: Duration) {
+    /// Records a pause between two events.
+    pub(super) fn record_pause(&self, pause: Duration) {
         let mut progress = lock(&self.progress);
         progress.longest_pause = progress.longest_pause.max(pause);
     }
 
-    pub(super) fn note_end(&self, outcome: &'static str, status: StatusCode) {
-        let total = self.parts.clock.now().since(self.received.arrived);
-        self.parts.metrics.ended(outcome, self.prompt(), total);
+    pub(super) fn record_end(&self, outcome: &'static str, status: StatusCode) {
+        let total = self.context.clock.now().since(self.received.arrived);
+        self.context.metrics.ended(outcome, self.prompt_tokens(), total);
         let progress = lock(&self.progress);
         let route = self.received.route.name.as_str();
-        if let Some(began) = progress.began.filter(|_| outcome == FINISHED) {
-            lock(&self.parts.answer_times).record(route, total.saturating_sub(began));
+        if let Some(first_byte_after) =
+            progress.first_byte_after.filter(|_| outcome == OUTCOME_FINISHED)
+        {
+            lock(&self.context.answer_times).record(route, total.saturating_sub(first_byte_after));
         }
         log::info!(
             id = self.id(),
@@ -318,7 +329,7 @@
             outcome,
             status = status.as_u16(),
             attempts = progress.tried.len(),
-            first_ms = progress.began.map_or(-1, |taken| taken.as_millis() as i64),
+            first_ms = progress.first_byte_after.map_or(-1, |elapsed| elapsed.as_millis() as i64),
             goal_ms = self.received.route.goal.as_millis() as u64,
             pause_ms = progress.longest_pause.as_millis() as u64,
             pause_goal_ms = self.received.route.pause_goal.as_millis() as u64,
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -1,4 +1,5 @@
-//! Takes a request on, unless the instance stops before it would be done, and has it answered.
+//! Chooses an endpoint group for a request and starts the call, unless the instance will stop
+//! before the response could be complete.
 
 use std::{
     sync::{Arc, Mutex, atomic::AtomicUsize},
@@ -10,11 +11,11 @@
 
 use super::{
     Handler, Received, Refusal, ResponseBody,
-    attempt::Spawner,
-    call::{Call, ENDPOINTS_SOON},
-    memory::ReservationIds,
+    attempt::SharedExecutor,
+    call::{Call, ENDPOINTS_RETRY_AFTER},
     refusal::Reason,
     relay,
+    reservations::ReservationIds,
 };
 use crate::{
     clock::Clock,
@@ -25,72 +26,80 @@
     state::{Group, Groups, Lifecycle},
 };
 
-/// When to come back if endpoints refused a request as full: a few short answers' time.
-pub(super) const ROOM_SOON: Duration = Duration::from_millis(250);
+/// `Retry-After` of requests that endpoints refused for lack of capacity: about the time of a few
+/// short answers.
+pub(super) const CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How many times its goal a plain call is expected to take at most, before a stop.
-const PLAIN_GOALS: u32 = 3;
+/// Upper estimate of the duration of a call without token counts, as a multiple of its route's
+/// goal. Used to decide whether the call fits in before a stop.
+const PLAIN_CALL_GOALS: u32 = 3;
 
-/// What dispatching needs of its instance.
+/// State of the instance that dispatching shares with its other tasks.
 pub struct DispatchContext<D> {
-    /// The outside system's headers.
+    /// Reads and writes the headers of the outside system.
     pub dialect: Arc<D>,
-    /// The instance's clock.
+    /// Clock of the instance.
     pub clock: Clock,
-    /// All endpoint groups.
+    /// All known endpoint groups.
     pub groups: Arc<Groups>,
-    /// Where tasks run.
-    pub executor: Spawner,
-    /// Counts requests under way.
+    /// Executor of the tasks that feed streams and send reservations.
+    pub executor: SharedExecutor,
+    /// Stage of the instance and its requests in flight.
     pub lifecycle: Arc<Lifecycle>,
-    /// Repeats that operators allow.
+    /// The operators' limits on retries.
     pub retry_rules: RetryRules,
-    /// Instances that share what is allowed, this one included.
+    /// Number of instances that share the retry budget, including this one.
     pub instances: Arc<AtomicUsize>,
-    /// Wakes the links for work that other instances have to hear of at once.
+    /// Wakes the links to report new work to other instances immediately.
     pub urgent: Signal,
-    /// Counts what happens.
+    /// Metrics of the instance.
     pub metrics: Arc<Metrics>,
-    /// Names reservations of engines' memory.
+    /// Generates ids for reservations of engine memory.
     pub reservation_ids: ReservationIds,
-    /// How long answers take to be written.
+    /// Observed decoding times of finished answers, by route.
     pub answer_times: Mutex<AnswerTimes>,
 }
 
-/// Sends requests to endpoints.
+/// The last filter: sends requests to endpoints.
 pub struct Dispatch<D>(Arc<DispatchContext<D>>);
 
 impl<D> Dispatch<D> {
-    /// A dispatcher.
+    /// Creates the filter.
     pub fn new(parts: DispatchContext<D>) -> Self {
         Dispatch(Arc::new(parts))
     }
 
-    /// Refuses a request that a stop under way would cut.
+    /// Refuses a request that is expected to outlast a stop in progress.
     ///
-    /// Guards against a planned stop that cuts answers: callers still come long after its
-    /// beginning, because their connection is open or every other instance is stopping too. One
-    /// that hears at once that it hasn't run goes elsewhere with all its time. What would be done
-    /// in time is served, as the other instances may be stopping as well ([`policy::answers`]).
-    fn outlasts(&self, received: &Received, group: &Group) -> Result<(), Refusal> {
+    /// Guards against a planned stop that cuts answers off: requests keep arriving long after the
+    /// stop has begun, because their connection is still open or because all other instances are
+    /// stopping too. A caller that learns at once that its request hasn't run can retry elsewhere
+    /// with all its time left. Requests that would finish in time are served, since the other
+    /// instances may be stopping as well ([`policy::answers`]).
+    fn check_stop_deadline(&self, received: &Received, group: &Group) -> Result<(), Refusal> {
         let Some(left) = self.0.lifecycle.time_until_cutoff() else { return Ok(()) };
         let needed = match received.caller.tokens {
-            Some(tokens) => self.needed(&received.route.name, tokens, group),
-            None => received.route.goal * PLAIN_GOALS,
+            Some(tokens) => self.expected_duration(&received.route.name, tokens, group),
+            None => received.route.goal * PLAIN_CALL_GOALS,
         };
         match needed > left {
-            true => Err(Refusal::not_run(Reason::Stopping, ROOM_SOON)),
+            true => Err(Refusal::not_run(Reason::Stopping, CAPACITY_RETRY_AFTER)),
             false => Ok(()),
         }
     }
 
-    /// How long a prompt and its answer take: by what was seen on the route, or else as if the answer
-    /// were as long as it may be.
-    fn needed(&self, route: &str, (prompt, output): (u64, u64), group: &Group) -> Duration {
-        let seen = lock(&self.0.answer_times).upper_bound(route);
+    /// Expected duration of a prompt and its answer, from the decoding times observed on the route.
+    /// Without observations the answer is assumed to have its maximum length.
+    fn expected_duration(
+        &self,
+        route: &str,
+        (prompt, output): (u64, u64),
+        group: &Group,
+    ) -> Duration {
+        let decode_bound = lock(&self.0.answer_times).upper_bound(route);
         let scheduler = lock(&group.scheduler);
-        match seen {
-            Some(writing) => scheduler.typical_duration(prompt, 0) + writing,
+        match decode_bound {
+            Some(decode_time) => scheduler.typical_duration(prompt, 0) + decode_time,
             None => scheduler.typical_duration(prompt, output),
         }
     }
@@ -100,13 +109,14 @@
     async fn handle(&self, received: Received) -> Result<Response<ResponseBody>, Refusal> {
         let draw = fastrand::f64();
         let name = received.route.group(draw).cloned();
-        let name = name.ok_or_else(|| Refusal::not_run(Reason::NoEndpoint, ENDPOINTS_SOON))?;
+        let name =
+            name.ok_or_else(|| Refusal::not_run(Reason::NoEndpoint, ENDPOINTS_RETRY_AFTER))?;
         let group = self.0.groups.get_or_create(&name);
-        self.outlasts(&received, &group)?;
+        self.check_stop_deadline(&received, &group)?;
         let call = Call::new(self.0.clone(), received, group);
         if call.received.route.streams {
             return relay::stream(call).await;
         }
-        call.whole().await
+        call.respond_buffered().await
     }
 }
--- a/crates/router/src/filter/hedge.rs
+++ b/crates/router/src/filter/hedge.rs
@@ -1,16 +1,16 @@
-//! Asks a second endpoint beside one that takes long, without giving the first one up.
+//! Hedges a slow attempt: sends the request to a second endpoint without giving up the first.
 //!
-//! **Load pattern.** An endpoint goes silent: it died without a word, hangs, or merely reads
-//! something long. From outside these look alike.
+//! **Load pattern.** An endpoint falls silent: it has died without closing its connections, hangs,
+//! or is merely prefilling a long prompt. From outside these look the same.
 //!
-//! **Without it.** Whoever gives up at the first silence cuts answers that were about to come;
-//! whoever waits for certainty loses the caller's patience.
+//! **Without it.** Giving up at the first silence cuts off answers that were about to come; waiting
+//! for certainty exceeds the caller's timeout.
 //!
-//! **Rule.** After a while another endpoint is asked as well, and whichever gives the first part of
-//! an answer is the one. The other is dropped only then. Only what is idempotent is asked twice,
-//! within the attempts that its route and the budget of repeats allow.
+//! **Rule.** After a delay the request is sent to another endpoint as well, and the first response
+//! that can be used wins. Only then is the other attempt dropped. Only idempotent requests are
+//! hedged, within their route's maximum number of attempts and the retry budget.
 //!
-//! **Grounds.** The times stand with [`super::send`] and [`super::relay`].
+//! **Grounds.** The delays are explained in [`super::send`] and [`super::relay`].
 
 use std::{future::Future, pin::pin, time::Duration};
 
@@ -20,85 +20,90 @@
 
 use super::{
     Refusal,
-    call::{Beside, Call},
-    run::Live,
+    call::{Call, OtherAttempt},
+    run::ActiveResponse,
 };
 use crate::dialect::Dialect;
 
-/// What happened first of two things.
-pub(super) enum First<A, B> {
-    /// The left one.
+/// The output of the future that completed first.
+pub(super) enum Either<A, B> {
+    /// Output of the left future.
     Left(A),
-    /// The right one.
+    /// Output of the right future.
     Right(B),
 }
 
-/// Waits for the first of two.
+/// Waits for the first of two futures; the left one wins if both are ready.
 pub(super) async fn race<A, B>(
     left: impl Future<Output = A>,
     right: impl Future<Output = B>,
-) -> First<A, B> {
-    let left = async { First::Left(left.await) };
-    let right = async { First::Right(right.await) };
+) -> Either<A, B> {
+    let left = async { Either::Left(left.await) };
+    let right = async { Either::Right(right.await) };
     left.or(right).await
 }
 
-/// Tries endpoints until `take` has made something of an answer. `take` says why where it couldn't.
-pub(super) async fn first<D, T, F>(call: &Call<D>, beside: Beside, take: F) -> Result<T, Refusal>
+/// Sends attempts, and hedges where they are slow, until `accept` has accepted a response. `accept`
+/// returns the failure cause of a response that it rejects, after ending its run.
+pub(super) async fn first_accepted<D, T, F>(
+    call: &Call<D>,
+    other: OtherAttempt,
+    accept: F,
+) -> Result<T, Refusal>
 where
     D: Dialect,
-    F: AsyncFn(&Call<D>, Live<D>) -> Result<T, FailCause>,
+    F: AsyncFn(&Call<D>, ActiveResponse<D>) -> Result<T, FailCause>,
 {
     loop {
-        let placement = call.next_place(beside)?;
-        let patience = call.patience(&placement);
+        let placement = call.next_placement(other)?;
+        let delay = call.hedge_delay(&placement);
         let first_job = placement.job;
-        let mut one = pin!(attempt(call, placement, &take));
-        match race(one.as_mut(), wait(patience)).await {
-            First::Left(Some(taken)) => return Ok(taken),
-            First::Left(None) => continue,
-            First::Right(()) => {}
+        let mut first = pin!(attempt(call, placement, &accept));
+        match race(first.as_mut(), wait(delay)).await {
+            Either::Left(Some(accepted)) => return Ok(accepted),
+            Either::Left(None) => continue,
+            Either::Right(()) => {}
         }
-        let Ok(placement) = call.next_place(Beside::Another) else {
-            // Nobody else may be asked, so the one that was asked gets all the time there is.
-            match one.await {
-                Some(taken) => return Ok(taken),
+        let Ok(placement) = call.next_placement(OtherAttempt::InFlight) else {
+            // No other endpoint may get the request, so the first one gets all the remaining time.
+            match first.await {
+                Some(accepted) => return Ok(accepted),
                 None => continue,
             }
         };
-        call.parts.metrics.hedged();
+        call.context.metrics.hedged();
         log::info!(id = call.id(), endpoint = placement.endpoint.as_str(),
-            after_ms = patience.as_millis() as u64; "hedged");
-        let mut two = pin!(attempt(call, placement, &take));
-        let taken = match race(one.as_mut(), two.as_mut()).await {
-            First::Left(Some(taken)) => Some(taken),
-            First::Right(Some(taken)) => {
-                call.outrun(first_job);
-                Some(taken)
+            after_ms = delay.as_millis() as u64; "hedged");
+        let mut second = pin!(attempt(call, placement, &accept));
+        let accepted = match race(first.as_mut(), second.as_mut()).await {
+            Either::Left(Some(accepted)) => Some(accepted),
+            Either::Right(Some(accepted)) => {
+                call.hedge_won(first_job);
+                Some(accepted)
             }
-            First::Left(None) => two.await,
-            First::Right(None) => one.await,
+            Either::Left(None) => second.await,
+            Either::Right(None) => first.await,
         };
-        if let Some(taken) = taken {
-            return Ok(taken);
+        if let Some(accepted) = accepted {
+            return Ok(accepted);
         }
     }
 }
 
-async fn attempt<D, T, F>(call: &Call<D>, placement: Placement, take: &F) -> Option<T>
+async fn attempt<D, T, F>(call: &Call<D>, placement: Placement, accept: &F) -> Option<T>
 where
     D: Dialect,
-    F: AsyncFn(&Call<D>, Live<D>) -> Result<T, FailCause>,
+    F: AsyncFn(&Call<D>, ActiveResponse<D>) -> Result<T, FailCause>,
 {
-    let live = call.attempt(placement).await?;
-    take(call, live).await.ok()
+    let active = call.attempt(placement).await?;
+    accept(call, active).await.ok()
 }
 
-async fn wait(patience: Duration) {
-    match patience {
+async fn wait(delay: Duration) {
+    match delay {
         Duration::MAX => std::future::pending().await,
-        patience => {
-            Timer::after(patience).await;
+        delay => {
+            Timer::after(delay).await;
         }
     }
 }
--- a/crates/router/src/filter/identify.rs
+++ b/crates/router/src/filter/identify.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and whose it is.
+//! Resolves a request's route and workspace.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,65 +15,67 @@
     state::Configuration,
 };
 
-/// Beyond this age a route or key that isn't there may have been added meanwhile; asking again
-/// after a moment is better than hearing that it doesn't exist. News arrive at once, so a reading
-/// that is held while nothing changes is no sign of age; beyond its end and a retry it is.
-const TRUSTED_FOR: Duration = Duration::from_millis(3_300);
+/// Maximum age of the configuration at which a missing route or key is reported as such. With an
+/// older one it may have been added in the meantime, so the caller is told to retry. Changes arrive
+/// immediately, so a long poll that is held because nothing changes is no sign of staleness; an age
+/// beyond such a poll and one retry is.
+const MAX_AGE_FOR_NOT_FOUND: Duration = Duration::from_millis(3_300);
 
-/// When to come back to an instance that knows too little: two readings of the configuration.
-const KNOWN_SOON: Duration = Duration::from_millis(500);
+/// `Retry-After` of an instance whose configuration is too old: the time of two reads.
+const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The part of the operators' bound for revoked keys up to which a table of keys is trusted. The
-/// rest covers what lies between the look at the clock and the endpoint.
-const REVOKE_MARGIN: f64 = 0.9;
+/// Share of the operators' limit for revoked keys up to which the key table is trusted. The rest
+/// covers the time between the check here and the request's arrival at the endpoint.
+const REVOKE_DELAY_SHARE: f64 = 0.9;
 
-/// A request whose route and workspace are known.
+/// A request with its route and workspace.
 #[derive(Debug)]
 pub struct Identified {
-    /// The request.
+    /// The request, with its body unread.
     pub req: Request<Incoming>,
-    /// What the caller says of it.
+    /// What the caller's headers state.
     pub caller: RequestMetadata,
-    /// The configuration it began with.
+    /// The route table by which the request was resolved.
     pub table: Arc<RouteTable>,
-    /// Its route.
+    /// The route that matches host and path.
     pub route: Arc<Route>,
-    /// Whose it is, where its route asks for a key.
+    /// Owner of the API key; `None` on routes that don't require one.
     pub owner: Option<Owner>,
 }
 
 impl Identified {
-    /// The workspace.
+    /// Workspace of the API key; `None` on routes that don't require one.
     pub fn workspace(&self) -> Option<&Workspace> {
         self.owner.as_ref().map(|owner| &owner.workspace)
     }
 }
 
-/// Finds route and workspace.
+/// Filter that resolves route and workspace, and refuses requests without a valid API key.
 pub struct Identify<D, N> {
     dialect: Arc<D>,
     configuration: Arc<Configuration>,
-    /// How long a key that was taken away may still run.
-    revoke: Duration,
+    /// How long a revoked key may still be accepted.
+    max_revoke_delay: Duration,
     next: N,
 }
 
 impl<D, N> Identify<D, N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(
         dialect: Arc<D>,
         configuration: Arc<Configuration>,
-        revoke: Duration,
+        max_revoke_delay: Duration,
         next: N,
     ) -> Self {
-        Identify { dialect, configuration, revoke, next }
+        Identify { dialect, configuration, max_revoke_delay, next }
     }
 
-    /// 404 or 401, unless the configuration is too old to be sure.
-    fn absent(&self, reason: Reason, status: StatusCode) -> Refusal {
+    /// Refuses with `status`, unless the configuration is too old to be sure that the route or key
+    /// is missing.
+    fn not_found_or_stale(&self, reason: Reason, status: StatusCode) -> Refusal {
         match self.configuration.age() {
-            Some(age) if age <= TRUSTED_FOR => Refusal::caller(reason, status),
-            _ => Refusal::not_run(Reason::Stale, KNOWN_SOON),
+            Some(age) if age <= MAX_AGE_FOR_NOT_FOUND => Refusal::client_error(reason, status),
+            _ => Refusal::not_run(Reason::ConfigurationStale, CONFIGURATION_RETRY_AFTER),
         }
     }
 
@@ -86,11 +88,18 @@
         if !table.keys.is_required() || route.is_public {
             return Ok(None);
         }
-        if self.configuration.age().is_none_or(|age| age > self.revoke.mul_f64(REVOKE_MARGIN)) {
-            return Err(Refusal::not_run(Reason::Stale, KNOWN_SOON));
+        if self
+            .configuration
+            .age()
+            .is_none_or(|age| age > self.max_revoke_delay.mul_f64(REVOKE_DELAY_SHARE))
+        {
+            return Err(Refusal::not_run(Reason::ConfigurationStale, CONFIGURATION_RETRY_AFTER));
         }
         let owner = key.and_then(|key| table.keys.owner(key));
-        owner.cloned().map(Some).ok_or_else(|| self.absent(Reason::NoKey, StatusCode::UNAUTHORIZED))
+        owner
+            .cloned()
+            .map(Some)
+            .ok_or_else(|| self.not_found_or_stale(Reason::NoKey, StatusCode::UNAUTHORIZED))
     }
 }
 
@@ -100,13 +109,14 @@
         let caller = self
             .dialect
             .read_request(&head)
-            .map_err(|_| Refusal::caller(Reason::Malformed, StatusCode::BAD_REQUEST))?;
+            .map_err(|_| Refusal::client_error(Reason::Malformed, StatusCode::BAD_REQUEST))?;
         let table = self.configuration.table();
         if table.version.0 == 0 {
-            return Err(Refusal::not_run(Reason::Stale, KNOWN_SOON));
+            return Err(Refusal::not_run(Reason::ConfigurationStale, CONFIGURATION_RETRY_AFTER));
         }
         let route = table.find(&caller.host, head.uri.path()).cloned();
-        let route = route.ok_or_else(|| self.absent(Reason::NoRoute, StatusCode::NOT_FOUND))?;
+        let route =
+            route.ok_or_else(|| self.not_found_or_stale(Reason::NoRoute, StatusCode::NOT_FOUND))?;
         let owner = self.owner(&table, &route, caller.api_key.as_deref())?;
         let req = Request::from_parts(head, body);
         self.next.handle(Identified { req, caller, table, route, owner }).await
--- a/crates/router/src/filter/mod.rs
+++ b/crates/router/src/filter/mod.rs
@@ -1,9 +1,10 @@
-//! The path of a request, one file a filter: [`start`] waits for what an instance learns first,
-//! [`identify`] finds route and workspace, [`receive`] takes the body, [`dispatch`] takes it on,
-//! [`call`] and [`send`] find endpoints for it, [`relay`] passes events on.
+//! The request path, one module per filter: [`start`] delays requests until the first configuration
+//! and endpoints are known, [`identify`] resolves route and workspace, [`receive`] reads the body,
+//! [`dispatch`] chooses an endpoint group, [`call`] and [`send`] place the request on endpoints,
+//! and [`relay`] passes event streams to the caller.
 //!
-//! Each filter takes what the one before it made, so that a request can't skip one; the chain is
-//! composed by generics alone.
+//! Each filter takes the output type of the one before it, so a request can't skip a filter. The
+//! chain is composed with generics only.
 
 mod attempt;
 mod body;
@@ -11,10 +12,10 @@
 mod dispatch;
 mod hedge;
 mod identify;
-mod memory;
 mod receive;
 mod refusal;
 mod relay;
+mod reservations;
 mod run;
 mod send;
 mod start;
@@ -26,14 +27,14 @@
 pub use body::ResponseBody;
 pub use dispatch::{Dispatch, DispatchContext};
 pub use identify::{Identified, Identify};
-pub use memory::ReservationIds;
 pub use receive::{Receive, Received};
 pub use refusal::Refusal;
+pub use reservations::ReservationIds;
 pub use start::StartupGate;
 
-/// One stage of the path of a request.
+/// A filter of the request path.
 pub trait Handler<In>: Send + Sync + 'static {
-    /// Answers, usually by calling the next stage.
+    /// Produces the response, usually by calling the next filter.
     fn handle(
         &self,
         input: In,
--- a/crates/router/src/filter/receive.rs
+++ b/crates/router/src/filter/receive.rs
@@ -1,7 +1,7 @@
-//! Takes the body of a request, within its limits.
+//! Reads the body of a request, within its limits.
 //!
-//! It is held as a whole, because it may have to go to a second endpoint, and because a request
-//! that crashes endpoints is recognised by it.
+//! The whole body is buffered, because it may have to be sent to a second endpoint, and because
+//! requests that crash endpoints are recognised by it.
 
 use std::time::Duration;
 
@@ -19,38 +19,38 @@
 use super::{Handler, Identified, Refusal, ResponseBody, refusal::Reason};
 use crate::{clock::Clock, dialect::RequestMetadata};
 
-/// How long a caller that states no deadline is waited for.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of requests whose caller states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request with its body.
+/// A request with its whole body.
 #[derive(Debug)]
 pub struct Received {
-    /// Its head.
+    /// Method, URI and headers as received.
     pub head: request::Parts,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// What the caller says of it.
+    /// What the caller's headers state.
     pub caller: RequestMetadata,
-    /// Its route.
+    /// The route that matches host and path.
     pub route: Arc<Route>,
-    /// Whose it is.
+    /// Owner of the API key; `None` on routes that don't require one.
     pub owner: Option<Owner>,
-    /// When its head had come.
+    /// When the head had been received.
     pub arrived: Time,
-    /// By when the answer has to be whole.
+    /// When the response has to be complete.
     pub deadline: Time,
-    /// Names the same request when it is sent again.
+    /// Identifies the request when it is sent again.
     pub fingerprint: Fingerprint,
 }
 
-/// Takes bodies.
+/// Filter that reads the body and sets the deadline.
 pub struct Receive<N> {
     clock: Clock,
     next: N,
 }
 
 impl<N> Receive<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(clock: Clock, next: N) -> Self {
         Receive { clock, next }
     }
@@ -60,23 +60,23 @@
     async fn handle(&self, input: Identified) -> Result<Response<ResponseBody>, Refusal> {
         let arrived = self.clock.now();
         let Identified { req, caller, table, route, owner } = input;
-        let timeout = caller.timeout.unwrap_or(DEFAULT_PATIENCE);
+        let timeout = caller.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let deadline = arrived + timeout.min(route.timeout);
         let (head, body) = req.into_parts();
         let read = async {
             match Limited::new(body, table.limits.body_bytes).collect().await {
                 Ok(body) => Ok(body.to_bytes()),
                 Err(e) if e.is::<LengthLimitError>() => {
-                    Err(Refusal::caller(Reason::TooLarge, StatusCode::PAYLOAD_TOO_LARGE))
+                    Err(Refusal::client_error(Reason::TooLarge, StatusCode::PAYLOAD_TOO_LARGE))
                 }
-                Err(_) => Err(Refusal::caller(Reason::Malformed, StatusCode::BAD_REQUEST)),
+                Err(_) => Err(Refusal::client_error(Reason::Malformed, StatusCode::BAD_REQUEST)),
             }
         };
-        let late = async {
+        let timed_out = async {
             Timer::after(self.clock.until(deadline)).await;
-            Err(Refusal::caller(Reason::Slow, StatusCode::REQUEST_TIMEOUT))
+            Err(Refusal::client_error(Reason::BodyTimeout, StatusCode::REQUEST_TIMEOUT))
         };
-        let body = read.or(late).await?;
+        let body = read.or(timed_out).await?;
         let fingerprint = fingerprint(&head, &owner, &body);
         let received =
             Received { head, body, caller, route, owner, arrived, deadline, fingerprint };
--- a/crates/router/src/filter/refusal.rs
+++ b/crates/router/src/filter/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the instance's own where no endpoint's answer is passed on.
+//! Responses that the instance produces itself when no endpoint's response is passed on.
 
 use std::{fmt, time::Duration};
 
@@ -7,56 +7,56 @@
 
 use super::ResponseBody;
 
-/// Why an instance answers itself.
+/// Why the instance refuses a request or ends it without an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// A header or the body can't be read.
+    /// A header or the body is malformed.
     Malformed,
-    /// The body is too large.
+    /// The body exceeds the limit.
     TooLarge,
-    /// The body didn't come in time.
-    Slow,
+    /// The body didn't arrive before the deadline.
+    BodyTimeout,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     NoKey,
-    /// No configuration is known yet, or it is too old to tell whose key is whose.
-    Stale,
-    /// No endpoint may run it now.
+    /// No configuration is known yet, or it is too old to accept or reject the request by it.
+    ConfigurationStale,
+    /// No endpoint may run the request now.
     NoEndpoint,
-    /// Its answer would come after its caller's time.
+    /// The answer would miss the caller's deadline.
     TooLate,
-    /// Others would lose more by it than it is worth.
+    /// Admission control: running the request would cost other requests more than it is worth.
     Crowded,
-    /// The instance stops before it would be done.
+    /// The instance will stop before the request would be finished.
     Stopping,
-    /// Endpoints died of it.
+    /// The request is quarantined, because endpoints died while running it.
     Quarantined,
-    /// Endpoints refused it without running it.
+    /// Endpoints refused the request without running it.
     Rejected,
-    /// An endpoint failed, and whether it ran the request is unknown.
-    Unknown,
-    /// The time is over.
+    /// An endpoint failed, and it is unknown whether the request ran.
+    OutcomeUnknown,
+    /// The caller's deadline has passed.
     Expired,
 }
 
 impl Reason {
-    /// The reason as it stands in bodies, logs and metrics.
+    /// The reason as written in response bodies, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Malformed => "malformed",
             Reason::TooLarge => "too_large",
-            Reason::Slow => "slow_body",
+            Reason::BodyTimeout => "slow_body",
             Reason::NoRoute => "no_route",
             Reason::NoKey => "no_key",
-            Reason::Stale => "configuration_stale",
+            Reason::ConfigurationStale => "configuration_stale",
             Reason::NoEndpoint => "no_endpoint",
             Reason::TooLate => "too_late",
             Reason::Crowded => "crowded",
             Reason::Stopping => "stopping",
             Reason::Quarantined => "quarantined",
             Reason::Rejected => "rejected",
-            Reason::Unknown => "outcome_unknown",
+            Reason::OutcomeUnknown => "outcome_unknown",
             Reason::Expired => "expired",
         }
     }
@@ -68,31 +68,31 @@
     }
 }
 
-/// An answer of the instance's own.
+/// A response of the instance itself instead of an endpoint's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Written into the body and the logs.
     pub reason: Reason,
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// When asking again is likely to succeed.
+    /// Value of the `Retry-After` header: when a retry is likely to succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A request that the caller has to change.
-    pub fn caller(reason: Reason, status: StatusCode) -> Refusal {
+    /// A request that the caller has to change before it can succeed.
+    pub fn client_error(reason: Reason, status: StatusCode) -> Refusal {
         Refusal { reason, status, retry_after: None }
     }
 
-    /// A request that has not run and won't.
+    /// A request that hasn't run and won't.
     pub fn not_run(reason: Reason, retry_after: Duration) -> Refusal {
         let retry_after = Some(retry_after);
         Refusal { reason, status: StatusCode::SERVICE_UNAVAILABLE, retry_after }
     }
 
     /// A request that may have run.
-    pub fn unknown(reason: Reason) -> Refusal {
+    pub fn outcome_unknown(reason: Reason) -> Refusal {
         let status = match reason {
             Reason::Expired => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
@@ -100,7 +100,7 @@
         Refusal { reason, status, retry_after: None }
     }
 
-    /// The answer.
+    /// Builds the HTTP response.
     pub fn response(self) -> Response<ResponseBody> {
         let text = format!("{{\"error\":\"{}\"}}", self.reason);
         let mut resp = Response::new(ResponseBody::whole(Bytes::from(text)));
--- a/crates/router/src/filter/relay.rs
+++ b/crates/router/src/filter/relay.rs
@@ -1,12 +1,13 @@
-//! Passes a stream of events on as they come, over as many endpoints as it takes.
+//! Passes an event stream to the caller while it arrives, from as many endpoints as it takes.
 //!
-//! Guards against a stream that breaks in the middle: only whole events are passed on, the next
-//! endpoint is asked to go on behind the last one, and what it repeats is dropped. Where nothing
-//! may go on, the caller's connection is cut, so that half an answer never looks whole.
+//! Guards against streams that break in the middle: only whole events are passed on, the next
+//! endpoint is asked to resume after the last one, and events that it repeats are dropped. If the
+//! stream can't be resumed, the caller's connection is cut, so that a partial answer never looks
+//! complete.
 //!
-//! An endpoint that merely falls silent isn't given up: another one is asked to go on beside it,
-//! and the first event of either decides. An engine that reads a long prompt is silent too, and
-//! cutting it would lose an answer that was about to go on.
+//! An endpoint that merely falls silent isn't given up. Another one is asked to resume the stream
+//! concurrently, and keeps it from its first event on. An engine that prefills a long prompt is
+//! silent too, and cutting it off would lose an answer that was about to continue.
 
 use std::{pin::pin, time::Duration};
 
@@ -21,275 +22,291 @@
 
 use super::{
     Refusal, ResponseBody,
-    body::{BrokenOff, EventBody},
-    call::{Beside, Call, FINISHED},
-    hedge::{self, First, race},
-    run::Live,
+    body::{EventBody, TruncatedResponse},
+    call::{Call, OUTCOME_FINISHED, OtherAttempt},
+    hedge::{self, Either, race},
+    run::ActiveResponse,
 };
 use crate::{
     dialect::Dialect,
     events::{Event, EventParser},
 };
 
-/// Events that wait for a slow caller. Beyond them its endpoint is held up as well, which is the
-/// caller's own doing.
-const WAITING_EVENTS: usize = 16;
+/// Capacity of the queue of events for a slow caller. When it is full, the endpoint's stream isn't
+/// read any further; the resulting delay is the caller's own.
+const MAX_QUEUED_EVENTS: usize = 16;
 
-/// The least pause after which another endpoint is asked to go on. Callers give a stream up after
-/// two seconds at the earliest, and going on elsewhere takes a tenth of that.
-const LEAST_SILENCE: Duration = Duration::from_millis(900);
+/// Minimum silence after which another endpoint is asked to resume. Callers abandon a stream after
+/// two seconds at the earliest, and resuming elsewhere takes a tenth of that.
+const MIN_SILENCE: Duration = Duration::from_millis(900);
 
-/// Pauses within the route's goal after which another endpoint is asked to go on.
-const SILENT_PAUSES: u32 = 4;
+/// Silence after which another endpoint is asked to resume, as a multiple of the route's pause
+/// goal.
+const PAUSE_GOALS_UNTIL_SILENT: u32 = 4;
 
-/// What comes next on a stream.
-enum Next {
+/// The next item of a stream.
+enum StreamStep {
     Event(Event),
-    /// The answer is whole.
+    /// The stream is complete.
     End,
     Failed(FailCause),
 }
 
-/// A stream whose first event has come.
-struct Flow<D: Dialect> {
-    live: Live<D>,
+/// An open stream with its next item.
+struct EventStream<D: Dialect> {
+    active: ActiveResponse<D>,
     events: EventParser,
-    next: Next,
+    next: StreamStep,
 }
 
-/// The beginning of an answer.
-enum Opened<D: Dialect> {
-    Flow(Box<Flow<D>>),
-    /// A final answer that is no stream.
+/// A response whose first part has arrived.
+enum ResponseStart<D: Dialect> {
+    Stream(Box<EventStream<D>>),
+    /// A complete response that isn't a stream, such as an error.
     Whole(response::Parts, Bytes),
 }
 
-/// Why a stream ends before its answer is whole.
-enum Ended {
+/// Why a stream ends before it is complete.
+enum StreamError {
     Expired,
     Broken,
     CallerLeft,
 }
 
-type EventSender = Sender<Result<Bytes, BrokenOff>>;
+type EventSender = Sender<Result<Bytes, TruncatedResponse>>;
 
-/// Answers with a stream of events.
+/// Responds with an event stream.
 pub(super) async fn stream<D: Dialect>(call: Call<D>) -> Result<Response<ResponseBody>, Refusal> {
-    let flow = match hedge::first(&call, Beside::Nothing, open).await {
-        Ok(Opened::Flow(flow)) => *flow,
-        Ok(Opened::Whole(head, body)) => {
-            call.note_end("answered", head.status);
-            return Ok(call.answer(&head, body));
+    let stream = match hedge::first_accepted(&call, OtherAttempt::None, open_stream).await {
+        Ok(ResponseStart::Stream(stream)) => *stream,
+        Ok(ResponseStart::Whole(head, body)) => {
+            call.record_end("answered", head.status);
+            return Ok(call.response(&head, body));
         }
-        Err(refusal) => return call.take_failure().ok_or(refusal),
+        Err(refusal) => return call.take_endpoint_failure().ok_or(refusal),
     };
-    call.note_began();
-    let (tx, rx) = bounded(WAITING_EVENTS);
-    let executor = call.parts.executor.clone();
-    let resp = call.answer_with(&flow.live.upstream.head, ResponseBody::whole(Bytes::new()));
-    let feeder = executor.spawn(feed(call, flow, tx));
-    let body = EventBody { events: Box::pin(rx), _feeder: feeder, _open: None };
+    call.record_first_byte();
+    let (tx, rx) = bounded(MAX_QUEUED_EVENTS);
+    let executor = call.context.executor.clone();
+    let resp =
+        call.response_with_body(&stream.active.response.head, ResponseBody::whole(Bytes::new()));
+    let feeder = executor.spawn(feed_body(call, stream, tx));
+    let body = EventBody { events: Box::pin(rx), _feeder: feeder, _guard: None };
     Ok(resp.map(|_| ResponseBody::Events(body)))
 }
 
-/// Waits for the first event of an answer.
-async fn open<D: Dialect>(call: &Call<D>, mut live: Live<D>) -> Result<Opened<D>, FailCause> {
-    let head = live.upstream.head.clone();
+/// Waits for the first event of a response.
+async fn open_stream<D: Dialect>(
+    call: &Call<D>,
+    mut active: ActiveResponse<D>,
+) -> Result<ResponseStart<D>, FailCause> {
+    let head = active.response.head.clone();
     if !head.status.is_success() {
-        return match live.upstream.collect(call.left()).await {
+        return match active.response.collect(call.time_left()).await {
             Ok(body) => {
-                live.run.end(None);
-                Ok(Opened::Whole(head, body))
+                active.run.end(None);
+                Ok(ResponseStart::Whole(head, body))
             }
             Err(cause) => {
-                call.failed(live.run, cause);
+                call.attempt_failed(active.run, cause);
                 Err(cause)
             }
         };
     }
     let mut events = EventParser::default();
-    let late = async {
-        Timer::after(call.left()).await;
-        Next::Failed(FailCause::Deadline)
+    let timed_out = async {
+        Timer::after(call.time_left()).await;
+        StreamStep::Failed(FailCause::Deadline)
     };
-    let next = match race(next_event(&mut live, &mut events), late).await {
-        First::Left(next) | First::Right(next) => next,
+    let next = match race(next_event(&mut active, &mut events), timed_out).await {
+        Either::Left(next) | Either::Right(next) => next,
     };
-    if let Next::Failed(cause) = next {
-        call.failed(live.into_run(), cause);
+    if let StreamStep::Failed(cause) = next {
+        call.attempt_failed(active.into_run(), cause);
         return Err(cause);
     }
-    live.run.began();
-    Ok(Opened::Flow(Box::new(Flow { live, events, next })))
+    active.run.first_event_received();
+    Ok(ResponseStart::Stream(Box::new(EventStream { active, events, next })))
 }
 
-async fn feed<D: Dialect>(call: Call<D>, flow: Flow<D>, tx: EventSender) {
-    let (outcome, broken) = match follow(&call, flow, &tx).await {
-        Ok(()) => (FINISHED, false),
-        Err(Ended::Expired) => ("expired", true),
-        Err(Ended::Broken) => ("broken_off", true),
-        Err(Ended::CallerLeft) => ("caller_left", false),
+async fn feed_body<D: Dialect>(call: Call<D>, stream: EventStream<D>, tx: EventSender) {
+    let (outcome, is_cut) = match relay_events(&call, stream, &tx).await {
+        Ok(()) => (OUTCOME_FINISHED, false),
+        Err(StreamError::Expired) => ("expired", true),
+        Err(StreamError::Broken) => ("broken_off", true),
+        Err(StreamError::CallerLeft) => ("caller_left", false),
     };
-    call.note_end(outcome, http::StatusCode::OK);
-    if broken {
-        // Whoever doesn't read any more needs no word.
-        tx.send(Err(BrokenOff)).await.ok();
+    call.record_end(outcome, http::StatusCode::OK);
+    if is_cut {
+        // A caller that has left needs no error.
+        tx.send(Err(TruncatedResponse)).await.ok();
     }
 }
 
-/// Passes events on until the answer is whole or can't go on.
-async fn follow<D: Dialect>(
+/// Passes events on until the stream is complete or can't be resumed.
+async fn relay_events<D: Dialect>(
     call: &Call<D>,
-    mut flow: Flow<D>,
+    mut stream: EventStream<D>,
     tx: &EventSender,
-) -> Result<(), Ended> {
-    let silence = LEAST_SILENCE.max(call.received.route.pause_goal * SILENT_PAUSES);
+) -> Result<(), StreamError> {
+    let silence_limit = MIN_SILENCE.max(call.received.route.pause_goal * PAUSE_GOALS_UNTIL_SILENT);
     loop {
-        let Flow { live, events, next } = flow;
+        let EventStream { active, events, next } = stream;
         match next {
-            Next::Event(event) => {
-                if !pass_on(call, event, tx).await {
-                    return Err(Ended::CallerLeft);
+            StreamStep::Event(event) => {
+                if !forward_event(call, event, tx).await {
+                    return Err(StreamError::CallerLeft);
                 }
             }
-            Next::End => {
-                live.run.end(None);
+            StreamStep::End => {
+                active.run.end(None);
                 return Ok(());
             }
-            Next::Failed(cause) => {
-                call.failed(live.into_run(), cause);
-                flow = go_on(call).await?;
+            StreamStep::Failed(cause) => {
+                call.attempt_failed(active.into_run(), cause);
+                stream = resume_after_failure(call).await?;
                 continue;
             }
         }
-        let asked = call.parts.clock.now();
-        flow = wait(call, live, events, silence, tx).await?;
-        if matches!(flow.next, Next::Event(_)) {
-            let pause = call.parts.clock.now().since(asked);
-            call.note_pause(pause);
-            flow.live.run.paused(pause);
+        let waiting_since = call.context.clock.now();
+        stream = next_before_deadline(call, active, events, silence_limit, tx).await?;
+        if matches!(stream.next, StreamStep::Event(_)) {
+            let pause = call.context.clock.now().since(waiting_since);
+            call.record_pause(pause);
+            stream.active.run.record_pause(pause);
         }
     }
 }
 
-/// Goes on elsewhere after a stream has failed, or tells how the answer ends.
-async fn go_on<D: Dialect>(call: &Call<D>) -> Result<Flow<D>, Ended> {
-    match resume(call, Beside::Nothing).await {
+/// Resumes a failed stream at another endpoint, or returns why the stream ends.
+async fn resume_after_failure<D: Dialect>(call: &Call<D>) -> Result<EventStream<D>, StreamError> {
+    match resume(call, OtherAttempt::None).await {
         Some(resumed) => Ok(resumed),
-        None if call.left().is_zero() => Err(Ended::Expired),
-        None => Err(Ended::Broken),
+        None if call.time_left().is_zero() => Err(StreamError::Expired),
+        None => Err(StreamError::Broken),
     }
 }
 
-/// What waiting for the next part of a stream came to.
-enum Waited<D: Dialect> {
-    /// The stream, or the one that took over from it.
-    Flow(Box<Flow<D>>),
-    /// The stream failed, and nobody who was asked beside it goes on.
+/// Outcome of waiting for the next item of a stream.
+enum WaitOutcome<D: Dialect> {
+    /// The stream with its next item, or the stream of the endpoint that took over.
+    Stream(Box<EventStream<D>>),
+    /// The stream failed, and no other endpoint has resumed it.
     Failed,
     CallerLeft,
 }
 
-/// Waits for what comes next within the caller's time, from another endpoint too where this one is silent
-/// or fails.
-async fn wait<D: Dialect>(
+/// Waits for the next item until the caller's deadline, and resumes elsewhere if the endpoint is
+/// silent or fails.
+async fn next_before_deadline<D: Dialect>(
     call: &Call<D>,
-    live: Live<D>,
+    active: ActiveResponse<D>,
     events: EventParser,
-    silence: Duration,
+    silence_limit: Duration,
     tx: &EventSender,
-) -> Result<Flow<D>, Ended> {
-    let late = async {
-        Timer::after(call.left()).await;
+) -> Result<EventStream<D>, StreamError> {
+    let timed_out = async {
+        Timer::after(call.time_left()).await;
     };
-    match race(wait_or_change(call, live, events, silence, tx), late).await {
-        First::Left(Waited::Flow(flow)) => Ok(*flow),
-        First::Left(Waited::Failed) => go_on(call).await,
-        First::Left(Waited::CallerLeft) => Err(Ended::CallerLeft),
-        First::Right(()) => Err(Ended::Expired),
+    match race(next_or_takeover(call, active, events, silence_limit, tx), timed_out).await {
+        Either::Left(WaitOutcome::Stream(stream)) => Ok(*stream),
+        Either::Left(WaitOutcome::Failed) => resume_after_failure(call).await,
+        Either::Left(WaitOutcome::CallerLeft) => Err(StreamError::CallerLeft),
+        Either::Right(()) => Err(StreamError::Expired),
     }
 }
 
-/// Waits for the next event. Where none comes for a while, another endpoint is asked to go on, and
-/// takes over with its first event; what the silent one sends until then is passed on.
+/// Waits for the next event. After a silence another endpoint is asked to resume, and takes over
+/// with its first event; until then events of the silent endpoint are still passed on.
 ///
-/// Guards against an endpoint that has become so slow that each event comes after a silence:
-/// whoever stayed with it at its first sign of life would miss the caller's time.
-async fn wait_or_change<D: Dialect>(
+/// Guards against an endpoint that has become so slow that every event follows a silence: dropping
+/// the other endpoint at the slow one's next event would exceed the caller's timeout.
+async fn next_or_takeover<D: Dialect>(
     call: &Call<D>,
-    mut live: Live<D>,
+    mut active: ActiveResponse<D>,
     mut events: EventParser,
-    silence: Duration,
+    silence_limit: Duration,
     tx: &EventSender,
-) -> Waited<D> {
-    match race(next_event(&mut live, &mut events), Timer::after(silence)).await {
-        First::Left(next) => return Waited::Flow(Box::new(Flow { live, events, next })),
-        First::Right(_) => {}
+) -> WaitOutcome<D> {
+    match race(next_event(&mut active, &mut events), Timer::after(silence_limit)).await {
+        Either::Left(next) => {
+            return WaitOutcome::Stream(Box::new(EventStream { active, events, next }));
+        }
+        Either::Right(_) => {}
     }
-    let mut resumed = pin!(resume(call, Beside::Another));
+    let mut resumed = pin!(resume(call, OtherAttempt::InFlight));
     let next = loop {
-        match race(next_event(&mut live, &mut events), resumed.as_mut()).await {
-            First::Left(Next::Event(event)) => {
-                if !pass_on(call, event, tx).await {
-                    return Waited::CallerLeft;
+        match race(next_event(&mut active, &mut events), resumed.as_mut()).await {
+            Either::Left(StreamStep::Event(event)) => {
+                if !forward_event(call, event, tx).await {
+                    return WaitOutcome::CallerLeft;
                 }
             }
-            First::Left(Next::Failed(cause)) => {
-                // The other one may take seconds, for which nothing is kept here.
-                call.failed(live.into_run(), cause);
-                return resumed.await.map_or(Waited::Failed, |flow| Waited::Flow(Box::new(flow)));
+            Either::Left(StreamStep::Failed(cause)) => {
+                // The other endpoint may take seconds, and this run's reservations aren't needed
+                // any more.
+                call.attempt_failed(active.into_run(), cause);
+                return resumed
+                    .await
+                    .map_or(WaitOutcome::Failed, |stream| WaitOutcome::Stream(Box::new(stream)));
             }
-            First::Left(Next::End) => break Next::End,
-            First::Right(Some(flow)) => {
-                call.failed(live.into_run(), FailCause::Silent);
-                return Waited::Flow(Box::new(flow));
+            Either::Left(StreamStep::End) => break StreamStep::End,
+            Either::Right(Some(stream)) => {
+                call.attempt_failed(active.into_run(), FailCause::Silent);
+                return WaitOutcome::Stream(Box::new(stream));
             }
-            // Nobody else goes on, so this one gets all the time there is.
-            First::Right(None) => break next_event(&mut live, &mut events).await,
+            // No other endpoint resumes the stream, so this one gets all the remaining time.
+            Either::Right(None) => break next_event(&mut active, &mut events).await,
         }
     };
-    Waited::Flow(Box::new(Flow { live, events, next }))
+    WaitOutcome::Stream(Box::new(EventStream { active, events, next }))
 }
 
-/// Passes an event on, unless the caller has it; false where the caller is gone.
-async fn pass_on<D: Dialect>(call: &Call<D>, event: Event, tx: &EventSender) -> bool {
+/// Passes an event on, unless the caller already has it. Returns false if the caller has left.
+async fn forward_event<D: Dialect>(call: &Call<D>, event: Event, tx: &EventSender) -> bool {
     if let Some(id) = event.id {
-        if call.last_event().is_some_and(|last| id <= last) {
+        if call.last_event_id().is_some_and(|last| id <= last) {
             return true;
         }
-        call.set_last_event(id);
+        call.set_last_event_id(id);
     }
     tx.send(Ok(event.bytes)).await.is_ok()
 }
 
-/// Goes on at another endpoint; none where that isn't allowed or nobody does.
-async fn resume<D: Dialect>(call: &Call<D>, beside: Beside) -> Option<Flow<D>> {
+/// Resumes the stream at another endpoint. Returns `None` if the route doesn't allow that or no
+/// endpoint does.
+async fn resume<D: Dialect>(call: &Call<D>, other: OtherAttempt) -> Option<EventStream<D>> {
     if call.received.route.repeat != Repeat::Resumable {
         return None;
     }
-    let opened = hedge::first(call, beside, async |call, live| match open(call, live).await? {
-        Opened::Flow(flow) => Ok(*flow),
-        Opened::Whole(..) => Err(FailCause::BadAnswer),
+    let resumed = hedge::first_accepted(call, other, async |call, active| {
+        match open_stream(call, active).await? {
+            ResponseStart::Stream(stream) => Ok(*stream),
+            ResponseStart::Whole(..) => Err(FailCause::BadAnswer),
+        }
     });
-    opened.await.ok()
+    resumed.await.ok()
 }
 
-/// The next whole event, or the end.
-async fn next_event<D: Dialect>(live: &mut Live<D>, events: &mut EventParser) -> Next {
+/// Reads the next whole event, or the end of the stream.
+async fn next_event<D: Dialect>(
+    active: &mut ActiveResponse<D>,
+    events: &mut EventParser,
+) -> StreamStep {
     loop {
         if let Some(event) = events.next_event() {
-            return Next::Event(event);
+            return StreamStep::Event(event);
         }
-        match live.upstream.body.frame().await {
+        match active.response.body.frame().await {
             Some(Ok(frame)) => {
                 let Ok(bytes) = frame.into_data() else { continue };
                 if events.push(&bytes).is_err() {
-                    return Next::Failed(FailCause::BadAnswer);
+                    return StreamStep::Failed(FailCause::BadAnswer);
                 }
             }
-            Some(Err(_)) => return Next::Failed(FailCause::Broken),
-            None if events.remaining() > 0 => return Next::Failed(FailCause::Broken),
-            None => return Next::End,
+            Some(Err(_)) => return StreamStep::Failed(FailCause::Broken),
+            None if events.remaining() > 0 => return StreamStep::Failed(FailCause::Broken),
+            None => return StreamStep::End,
         }
     }
 }
--- a/crates/router/src/filter/run.rs
+++ b/crates/router/src/filter/run.rs
@@ -1,4 +1,4 @@
-//! A request on an endpoint, and what its end says.
+//! A request that occupies an endpoint, and how its end is reported to the scheduler.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,73 +8,74 @@
     placement::{JobId, Placement},
 };
 
-use super::{attempt::Upstream, memory::Reservations};
+use super::{attempt::EndpointResponse, reservations::Reservations};
 use crate::{clock::Clock, dialect::Dialect, lock, state::Group};
 
-/// A request that an endpoint answers.
-pub(super) struct Live<D: Dialect> {
-    pub(super) upstream: Upstream,
+/// An endpoint's response together with the run that produces it.
+pub(super) struct ActiveResponse<D: Dialect> {
+    pub(super) response: EndpointResponse,
     pub(super) run: Run<D>,
 }
 
-impl<D: Dialect> Live<D> {
-    /// Closes the connection, and leaves what has to be ended.
+impl<D: Dialect> ActiveResponse<D> {
+    /// Closes the connection and returns the run, which still has to be ended.
     pub(super) fn into_run(self) -> Run<D> {
         self.run
     }
 }
 
-/// A request's place, with the memory that it needs on other endpoints. Ending or dropping it gives
-/// both back.
+/// A request's place on an endpoint, with the reservations it holds on helpers. Both are released
+/// when the run is ended or dropped.
 pub(super) struct Run<D: Dialect> {
     group: Arc<Group>,
     clock: Clock,
     job: JobId,
     pub(super) endpoint: EndpointId,
-    memory: Option<Reservations<D>>,
-    ended: bool,
+    reservations: Option<Reservations<D>>,
+    is_ended: bool,
 }
 
 impl<D: Dialect> Run<D> {
-    /// The run of a request that was placed.
+    /// Creates the run of a placed request.
     pub(super) fn new(group: &Arc<Group>, clock: Clock, placement: &Placement) -> Run<D> {
         Run {
             group: group.clone(),
             clock,
             job: placement.job,
             endpoint: placement.endpoint.clone(),
-            memory: None,
-            ended: false,
+            reservations: None,
+            is_ended: false,
         }
     }
 
-    /// Keeps memory on other endpoints until the run has ended.
-    pub(super) fn hold(&mut self, memory: Reservations<D>) {
-        self.memory = Some(memory);
+    /// Holds reservations on helpers until the run has ended.
+    pub(super) fn keep_reservations(&mut self, reservations: Reservations<D>) {
+        self.reservations = Some(reservations);
     }
 
-    /// The endpoint is done with the request, while its answer may still be on the way.
-    pub(super) fn release_memory(&mut self) {
-        self.memory = None;
+    /// Releases the reservations early: the endpoint has finished the request, while the rest of
+    /// its response may still be in transit.
+    pub(super) fn release_reservations(&mut self) {
+        self.reservations = None;
     }
 
-    /// The first byte came.
-    pub(super) fn began(&self) {
+    /// Reports the first event to the scheduler.
+    pub(super) fn first_event_received(&self) {
         lock(&self.group.scheduler).record_first_event(self.job, self.clock.now());
     }
 
-    /// There was a pause between two events.
-    pub(super) fn paused(&self, pause: Duration) {
+    /// Reports a pause between two events to the scheduler.
+    pub(super) fn record_pause(&self, pause: Duration) {
         lock(&self.group.scheduler).record_pause(self.job, pause, self.clock.now());
     }
 
-    /// The run ended.
+    /// Ends the run, with the cause if it failed.
     pub(super) fn end(mut self, failed: Option<FailCause>) {
-        self.tell(failed);
+        self.finish(failed);
     }
 
-    fn tell(&mut self, failed: Option<FailCause>) {
-        if !std::mem::replace(&mut self.ended, true) {
+    fn finish(&mut self, failed: Option<FailCause>) {
+        if !std::mem::replace(&mut self.is_ended, true) {
             lock(&self.group.scheduler).finish(self.job, failed, self.clock.now());
         }
     }
@@ -82,14 +83,14 @@
 
 impl<D: Dialect> Drop for Run<D> {
     fn drop(&mut self) {
-        // The caller left, which says nothing about the endpoint.
-        self.tell(Some(FailCause::Deadline));
+        // The caller closed the connection, which says nothing about the endpoint.
+        self.finish(Some(FailCause::Deadline));
     }
 }
 
-/// Whether a status promises that the request hasn't run. An endpoint that says so without its
-/// mark for it isn't to be believed.
-pub(super) fn is_promise(status: StatusCode) -> bool {
+/// Whether a status tells the caller that the request hasn't run. Without the header that declares
+/// this, an endpoint's status alone is no proof.
+pub(super) fn implies_not_run(status: StatusCode) -> bool {
     [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
--- a/crates/router/src/filter/send.rs
+++ b/crates/router/src/filter/send.rs
@@ -1,8 +1,8 @@
-//! Sends a request to endpoints until one has answered or nothing more may be tried.
+//! Sends one attempt of a request to an endpoint and classifies the response.
 //!
-//! What may not be repeated is sent again only after proof that it hasn't run: a connection that
-//! failed, or an answer that says so. Everything else is an unknown outcome, and the caller hears
-//! that and not "not run".
+//! A request that isn't idempotent is sent again only after proof that it hasn't run: a failed
+//! connection, or a response that says so. In all other failures the outcome is unknown, and the
+//! caller is told so instead of "not run".
 
 use std::time::Duration;
 
@@ -14,27 +14,26 @@
     attempt::{self, AttemptError},
     call::Call,
     dispatch::DispatchContext,
-    memory::{Reservations, Wish},
-    run::{Live, Run, is_promise},
+    reservations::{Reservation, Reservations},
+    run::{ActiveResponse, Run, implies_not_run},
 };
 use crate::{
     dialect::{AttemptMetadata, Dialect, HelperEngine, ResponseMetadata},
     lock,
 };
 
-/// The part of a plain call's goal after which another endpoint is asked beside the first. Two in a
-/// hundred ordinary calls take that long, and the second answer is still on time.
-const HEDGE_AFTER: f64 = 0.5;
+/// Share of a non-streaming call's goal after which a hedge is sent. Two in a hundred ordinary
+/// calls take that long, and the hedge's response is still on time.
+const HEDGE_DELAY_GOAL_SHARE: f64 = 0.5;
 
-/// How long the first event may take beyond three times its prediction before another endpoint is
-/// asked beside the first.
+/// Time beyond three times the predicted time to the first event after which a hedge is sent.
 const FIRST_EVENT_SLACK: Duration = Duration::from_millis(900);
 
 impl<D: Dialect> Call<D> {
-    /// Sends it to a place; none where that gave no answer that may be the caller's.
-    pub(super) async fn attempt(&self, placement: Placement) -> Option<Live<D>> {
-        let mut run = Run::new(&self.group, self.parts.clock, &placement);
-        if !self.held(&placement).await {
+    /// Sends one attempt. Returns `None` unless the response may be passed on to the caller.
+    pub(super) async fn attempt(&self, placement: Placement) -> Option<ActiveResponse<D>> {
+        let mut run = Run::new(&self.group, self.context.clock, &placement);
+        if !self.wait_out_hold(&placement).await {
             return None;
         }
         lock(&self.progress).tried.push((placement.endpoint.clone(), placement.incarnation));
@@ -43,10 +42,10 @@
             return None;
         };
         let helpers = self.helpers(&placement);
-        let wishes = self.wishes(&placement, &helpers);
-        let DispatchContext { dialect, executor, .. } = &*self.parts;
-        match Reservations::take(dialect, executor, address, wishes).await {
-            Ok(memory) => run.hold(memory),
+        let reservations = self.needed_reservations(&placement, &helpers);
+        let DispatchContext { dialect, executor, .. } = &*self.context;
+        match Reservations::reserve_all(dialect, executor, address, reservations).await {
+            Ok(reservations) => run.keep_reservations(reservations),
             Err(endpoint) => {
                 log::info!(id = self.id(), endpoint = endpoint.as_str(); "not_reserved");
                 lock(&self.progress).not_sent += 1;
@@ -54,103 +53,111 @@
                 return None;
             }
         }
-        let req = self.request(&placement, &helpers);
+        let req = self.endpoint_request(&placement, &helpers);
         {
-            // Until the attempt proves otherwise it may have run.
+            // Until there is proof of the opposite, the attempt may have run.
             let mut progress = lock(&self.progress);
             progress.sent += 1;
-            progress.doubtful += 1;
+            progress.unknown_outcomes += 1;
         }
-        self.parts.metrics.sent();
+        self.context.metrics.sent();
         let group = self.group.clone();
-        let sending = |took| {
+        let before_send = |connect_time| {
             let mut scheduler = lock(&group.scheduler);
-            scheduler.record_connect_time(&placement.endpoint, took);
+            scheduler.record_connect_time(&placement.endpoint, connect_time);
             scheduler.mark_sent(placement.job);
         };
-        match attempt::send(&self.parts.executor, address, req, self.left(), sending).await {
-            Ok(upstream) => self.judge(Live { upstream, run }).await,
+        match attempt::send(&self.context.executor, address, req, self.time_left(), before_send)
+            .await
+        {
+            Ok(response) => self.check_response(ActiveResponse { response, run }).await,
             Err(AttemptError::NotSent { is_refused }) => {
-                self.take_back();
+                self.mark_unsent();
                 log::info!(id = self.id(), endpoint = run.endpoint.as_str(), is_refused;
                     "not_sent");
                 if is_refused {
-                    lock(&self.group.scheduler).record_death(&run.endpoint, self.parts.clock.now());
+                    lock(&self.group.scheduler)
+                        .record_death(&run.endpoint, self.context.clock.now());
                 }
                 run.end(Some(FailCause::NotSent));
                 None
             }
             Err(AttemptError::Unknown(cause)) => {
-                self.failed(run, cause);
+                self.attempt_failed(run, cause);
                 None
             }
         }
     }
 
-    /// Waits until a request's engines have read what came before it; false where it has to be placed
-    /// anew, because one of them has begun to leave or went to another request meanwhile.
-    async fn held(&self, placement: &Placement) -> bool {
+    /// Waits until the engines have prefilled the requests ahead of this one. Returns false if the
+    /// request has to be placed again, because one of the engines is leaving or was given another
+    /// request in the meantime.
+    async fn wait_out_hold(&self, placement: &Placement) -> bool {
         if placement.hold.is_zero() {
             return true;
         }
         Timer::after(placement.hold).await;
-        let stands =
-            lock(&self.group.scheduler).is_still_valid(placement.job, self.parts.clock.now());
-        if !stands {
+        let is_valid =
+            lock(&self.group.scheduler).is_still_valid(placement.job, self.context.clock.now());
+        if !is_valid {
             log::info!(id = self.id(), endpoint = placement.endpoint.as_str(); "placed_anew");
         }
-        stands
+        is_valid
     }
 
     fn helpers(&self, placement: &Placement) -> Vec<HelperEngine> {
         let helpers = placement.helpers.iter().filter_map(|helper| {
             let address = self.group.address(&helper.endpoint)?;
-            let reservation = helper.reserve_tokens.map(|_| self.parts.reservation_ids.next());
+            let reservation = helper.reserve_tokens.map(|_| self.context.reservation_ids.next());
             Some(HelperEngine { address, reservation })
         });
         helpers.collect()
     }
 
-    /// What has to be reserved before the prompt is sent.
-    fn wishes(&self, placement: &Placement, helpers: &[HelperEngine]) -> Vec<Wish> {
-        let reserving = placement.helpers.iter().filter_map(|helper| {
+    /// Reservations that helpers have to grant before the prompt is sent.
+    fn needed_reservations(
+        &self,
+        placement: &Placement,
+        helpers: &[HelperEngine],
+    ) -> Vec<Reservation> {
+        let reservations = placement.helpers.iter().filter_map(|helper| {
             let tokens = helper.reserve_tokens?;
             let address = self.group.address(&helper.endpoint)?;
-            let facts = helpers.iter().find(|facts| facts.address == address)?;
-            let id = facts.reservation.clone()?;
-            Some(Wish { endpoint: helper.endpoint.clone(), address, tokens, id })
+            let engine = helpers.iter().find(|engine| engine.address == address)?;
+            let id = engine.reservation.clone()?;
+            Some(Reservation { endpoint: helper.endpoint.clone(), address, tokens, id })
         });
-        reserving.collect()
+        reservations.collect()
     }
 
-    fn request(
+    fn endpoint_request(
         &self,
         placement: &Placement,
         helpers: &[HelperEngine],
     ) -> http::Request<http_body_util::Full<bytes::Bytes>> {
         let received = &self.received;
-        let facts = AttemptMetadata {
-            time_left: self.left(),
+        let metadata = AttemptMetadata {
+            time_left: self.time_left(),
             endpoint: &placement.endpoint,
             workspace: received.owner.as_ref().map(|owner| &owner.workspace),
             priority: received.caller.tokens.map(|_| placement.priority),
             helpers,
-            resume_after: self.last_event(),
+            resume_after: self.last_event_id(),
         };
-        let headers = self.parts.dialect.write_attempt(&received.head.headers, &facts);
+        let headers = self.context.dialect.write_attempt(&received.head.headers, &metadata);
         attempt::request(&received.head, headers, &received.body)
     }
 
-    /// An attempt turned out not to have been sent.
-    fn take_back(&self) {
+    /// Corrects the counters for an attempt that turned out not to have been sent.
+    fn mark_unsent(&self) {
         let mut progress = lock(&self.progress);
         progress.sent -= 1;
-        progress.doubtful -= 1;
+        progress.unknown_outcomes -= 1;
         progress.not_sent += 1;
     }
 
-    /// How long an attempt is waited for before another one is made beside it.
-    pub(super) fn patience(&self, placement: &Placement) -> Duration {
+    /// How long to wait for an attempt before a hedge is sent.
+    pub(super) fn hedge_delay(&self, placement: &Placement) -> Duration {
         let route = &self.received.route;
         if !route.repeat.is_idempotent() {
             return Duration::MAX;
@@ -159,69 +166,70 @@
             let predicted = Duration::from_secs_f64(placement.predicted_ms.max(0.0) / 1000.0);
             return 3 * predicted + FIRST_EVENT_SLACK;
         }
-        route.goal.mul_f64(HEDGE_AFTER)
+        route.goal.mul_f64(HEDGE_DELAY_GOAL_SHARE)
     }
 
-    /// Whether an answer may be the caller's.
-    async fn judge(&self, live: Live<D>) -> Option<Live<D>> {
-        let facts = self.parts.dialect.read_response(&live.upstream.head);
-        let status = live.upstream.head.status;
-        if !self.is_ours(&facts) {
-            self.failed(live.into_run(), FailCause::BadAnswer);
+    /// Returns the response if it may be passed on to the caller, and otherwise ends the attempt.
+    async fn check_response(&self, active: ActiveResponse<D>) -> Option<ActiveResponse<D>> {
+        let metadata = self.context.dialect.read_response(&active.response.head);
+        let status = active.response.head.status;
+        if !self.matches_request(&metadata) {
+            self.attempt_failed(active.into_run(), FailCause::BadAnswer);
             return None;
         }
-        if facts.not_run {
-            self.not_run(live.into_run(), &facts, status);
+        if metadata.not_run {
+            self.record_not_run(active.into_run(), &metadata, status);
             return None;
         }
-        if status.is_success() && !facts.is_sealed {
-            self.failed(live.into_run(), FailCause::BadAnswer);
+        if status.is_success() && !metadata.is_sealed {
+            self.attempt_failed(active.into_run(), FailCause::BadAnswer);
             return None;
         }
-        if status.is_server_error() || is_promise(status) {
-            self.server_error(live).await;
+        if status.is_server_error() || implies_not_run(status) {
+            self.endpoint_error(active).await;
             return None;
         }
-        Some(live)
+        Some(active)
     }
 
-    fn is_ours(&self, facts: &ResponseMetadata) -> bool {
-        match (&facts.request_id, &self.received.caller.request_id) {
-            (Some(answered), Some(asked)) => answered == asked,
+    fn matches_request(&self, metadata: &ResponseMetadata) -> bool {
+        match (&metadata.request_id, &self.received.caller.request_id) {
+            (Some(echoed), Some(sent)) => echoed == sent,
             _ => true,
         }
     }
 
-    fn not_run(&self, run: Run<D>, facts: &ResponseMetadata, status: StatusCode) {
+    fn record_not_run(&self, run: Run<D>, metadata: &ResponseMetadata, status: StatusCode) {
         log::info!(id = self.id(), endpoint = run.endpoint.as_str(), status = status.as_u16(),
-            at_fault:? = facts.at_fault; "not_run");
+            at_fault:? = metadata.at_fault; "not_run");
         if status == StatusCode::MISDIRECTED_REQUEST {
-            // Another server has the address: nobody was asked.
-            self.take_back();
+            // Another server has the endpoint's address, so the endpoint hasn't received the
+            // request.
+            self.mark_unsent();
             return run.end(Some(FailCause::NotSent));
         }
-        lock(&self.progress).doubtful -= 1;
-        let fault = facts.at_fault.and_then(|address| self.group.endpoint_at(address));
+        lock(&self.progress).unknown_outcomes -= 1;
+        let fault = metadata.at_fault.and_then(|address| self.group.endpoint_at(address));
         if let Some(fault) = fault.filter(|fault| *fault != run.endpoint) {
-            lock(&self.group.scheduler).record_helper_refusal(&fault, self.parts.clock.now());
-            self.parts.urgent.raise();
+            lock(&self.group.scheduler).record_helper_refusal(&fault, self.context.clock.now());
+            self.context.urgent.raise();
         }
         run.end(Some(FailCause::Rejected));
     }
 
-    /// An endpoint's own failure. It ran; another endpoint may do better where that is allowed,
-    /// and else this is the answer.
-    async fn server_error(&self, mut live: Live<D>) {
-        live.run.release_memory();
-        let head = live.upstream.head.clone();
-        log::info!(id = self.id(), endpoint = live.run.endpoint.as_str(),
+    /// Handles an error of the endpoint itself. The request ran; it is retried on another endpoint
+    /// where that is allowed, and otherwise this response is passed on.
+    async fn endpoint_error(&self, mut active: ActiveResponse<D>) {
+        active.run.release_reservations();
+        let head = active.response.head.clone();
+        log::info!(id = self.id(), endpoint = active.run.endpoint.as_str(),
             status = head.status.as_u16(); "endpoint_error");
-        let body = live.upstream.collect(self.left()).await;
-        live.run.end(Some(FailCause::EndpointError));
+        let body = active.response.collect(self.time_left()).await;
+        active.run.end(Some(FailCause::EndpointError));
         if let Ok(body) = body
-            && !is_promise(head.status)
+            && !implies_not_run(head.status)
         {
-            lock(&self.progress).failure = Some(self.answer(&head, body));
+            lock(&self.progress).endpoint_failure = Some(self.response(&head, body));
         }
     }
 }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' side: accepts connections and serves requests on them.
+//! Accepts HTTP connections and serves requests on them.
 
 use std::{convert::Infallible, future::Future, pin::pin, sync::Arc, time::Duration};
 
@@ -14,40 +14,41 @@
 
 use crate::{filter::ResponseBody, net, signal::OneShot, state::Lifecycle};
 
-/// Pause after a failed accept. The usual cause is that file descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, whose usual cause is that file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a new connection may stay without its first request once connections are closed.
-const FIRST_REQUEST: Duration = Duration::from_secs(1);
+/// How long a new connection may stay open without its first request while connections are being
+/// closed.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The least buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// The smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// How connections are served.
+/// Limits of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// The most bytes of a head.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// How long a connection may stay without a whole head.
+    /// How long a connection may take to send a complete head; also the idle time between requests.
     pub idle_timeout: Duration,
 }
 
-/// Answers requests.
+/// An HTTP service.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn respond(
         &self,
         req: Request<Incoming>,
     ) -> impl Future<Output = Response<ResponseBody>> + Send;
 
-    /// How connections are served from now on.
+    /// Limits of connections accepted from now on.
     fn connection_limits(&self) -> ConnectionLimits;
 
-    /// Tells when connections are to be closed.
+    /// Lifecycle that says when connections have to be closed.
     fn lifecycle(&self) -> &Arc<Lifecycle>;
 }
 
-/// Accepts connections until it is dropped.
+/// Accepts connections until the future is dropped.
 pub async fn serve<S: Service>(
     listener: TcpListener,
     service: Arc<S>,
@@ -55,61 +56,61 @@
 ) {
     loop {
         let stream = accept(&listener).await;
-        executor.spawn(connection(stream, service.clone())).detach();
+        executor.spawn(serve_connection(stream, service.clone())).detach();
     }
 }
 
-/// The next connection.
+/// Accepts the next connection; errors are logged and retried.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(e) => {
                 log::warn!(cause:% = e; "accept_failed");
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection<S: Service>(stream: TcpStream, service: Arc<S>) {
+async fn serve_connection<S: Service>(stream: TcpStream, service: Arc<S>) {
     net::set_connection_options(&stream);
     let limits = service.connection_limits();
-    let asked = OneShot::default();
-    let respond = service_fn(|req| {
-        asked.set();
+    let first_request = OneShot::default();
+    let handler = service_fn(|req| {
+        first_request.set();
         let service = service.clone();
         async move { Ok::<_, Infallible>(service.respond(req).await) }
     });
-    // A caller that hangs up ends the connection's future, and with it whatever works on its
-    // request: the library reads on while an answer is made.
+    // hyper keeps reading while a response is being produced, so a caller's disconnect ends the
+    // connection's future and with it the work on the request.
     let serving = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.max_head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.max_head_bytes.max(MIN_BUFFER_BYTES))
         .half_close(false)
-        .serve_connection(FuturesIo::new(stream), respond);
+        .serve_connection(FuturesIo::new(stream), handler);
     let mut serving = pin!(serving);
-    let patience = async {
-        Timer::after(FIRST_REQUEST).await;
+    let timeout = async {
+        Timer::after(FIRST_REQUEST_TIMEOUT).await;
     };
     let lifecycle = service.lifecycle().clone();
     let ended = async { Some((&mut serving).await) };
     let closing = async {
         lifecycle.wait_for_closing().await;
-        // A connection without a request would be closed at once, with the first one on its way.
-        asked.wait().or(patience).await;
+        // Without this wait a new connection would be closed while its first request is in transit.
+        first_request.wait().or(timeout).await;
         None
     };
-    let served = match ended.or(closing).await {
-        Some(served) => served,
+    let result = match ended.or(closing).await {
+        Some(result) => result,
         None => {
-            // Finishes what is under way on the connection, and closes an idle one.
+            // Finishes the request in flight and closes the connection, at once if it is idle.
             serving.as_mut().graceful_shutdown();
             serving.await
         }
     };
-    if let Err(e) = served {
+    if let Err(e) = result {
         log::debug!(cause:% = e; "connection_ended");
     }
 }
--- a/crates/router/src/signal.rs
+++ b/crates/router/src/signal.rs
@@ -1,4 +1,4 @@
-//! Wakes tasks that wait.
+//! Notifications between tasks.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
     channel::{Receiver, Sender, bounded},
 };
 
-/// Wakes whoever waits for it. Raised several times before anybody looks, it wakes once.
+/// A notification that can be raised any number of times. Raised several times before anyone waits,
+/// it wakes one waiter once.
 #[derive(Debug, Clone)]
 pub struct Signal {
     tx: Sender<()>,
@@ -23,36 +24,36 @@
 }
 
 impl Signal {
-    /// Wakes whoever waits now, or next.
+    /// Wakes a task that is waiting, or else the next one to wait.
     pub fn raise(&self) {
-        // A full channel already says so.
+        // A full channel means that it has been raised already.
         self.tx.try_send(()).ok();
     }
 
     /// Waits until it is raised.
     pub async fn raised(&self) {
-        // It holds both ends, so the channel is never closed.
+        // Both ends are kept here, so the channel is never closed.
         self.rx.recv().await.ok();
     }
 
-    /// The same, for `patience` at most; whether it was raised.
-    pub async fn raised_within(&self, patience: Duration) -> bool {
+    /// Waits until it is raised, for at most `timeout`; returns whether it was raised.
+    pub async fn raised_within(&self, timeout: Duration) -> bool {
         let raised = async {
             self.raised().await;
             true
         };
-        let late = async {
-            Timer::after(patience).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
             false
         };
-        raised.or(late).await
+        raised.or(timed_out).await
     }
 }
 
-/// Something that happens once, for which any number of tasks wait.
+/// A flag that is set once and wakes all tasks waiting for it.
 #[derive(Debug)]
 pub struct OneShot {
-    // Nothing is ever sent; closing the channel wakes all.
+    // Nothing is ever sent; closing the channel wakes all waiting tasks.
     tx: Sender<()>,
     rx: Receiver<()>,
 }
@@ -65,12 +66,12 @@
 }
 
 impl OneShot {
-    /// It has happened.
+    /// Sets the flag; has no effect if it is set already.
     pub fn set(&self) {
         self.tx.close();
     }
 
-    /// Waits until it has happened.
+    /// Waits until the flag is set.
     pub async fn wait(&self) {
         self.rx.recv().await.ok();
     }
--- a/crates/router/src/source.rs
+++ b/crates/router/src/source.rs
@@ -1,4 +1,4 @@
-//! Where configuration, endpoints and other instances come from.
+//! Traits of the sources of configuration, endpoints and peers.
 
 use std::{fmt, future::Future, net::SocketAddr};
 
@@ -12,121 +12,122 @@
 
 use crate::{clock::BootTime, freshness::EndpointChange};
 
-/// Why a source can't be read.
+/// Why reading a source or registering there failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceError {
-    /// It doesn't answer.
+    /// No usable response, with the cause.
     Unreachable(String),
-    /// It turns the instance away for now.
+    /// The source refuses requests for now, with this HTTP status.
     Busy(u16),
-    /// What it has can't be read.
+    /// Its content can't be decoded.
     Malformed(String),
 }
 
 impl fmt::Display for SourceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SourceError::Unreachable(cause) => write!(f, "no answer: {cause}"),
-            SourceError::Busy(status) => write!(f, "turned away with status {status}"),
-            SourceError::Malformed(what) => write!(f, "unreadable: {what}"),
+            SourceError::Unreachable(cause) => write!(f, "no response: {cause}"),
+            SourceError::Busy(status) => write!(f, "refused with status {status}"),
+            SourceError::Malformed(what) => write!(f, "malformed: {what}"),
         }
     }
 }
 
 impl std::error::Error for SourceError {}
 
-/// What a source had, and since when nothing newer can be missing.
+/// Result of reading a source.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SourceRead<T> {
-    /// What is new; none where nothing changed.
+    /// The new content; `None` if nothing has changed.
     pub update: Option<T>,
-    /// Whatever was acknowledged before this moment is in it.
+    /// Every change acknowledged before this time is included.
     pub as_of: BootTime,
-    /// Up to where the source has been read with it.
+    /// Position up to which the source has been read.
     pub position: Position,
 }
 
-/// A configuration as its source published it.
+/// A published configuration, decoded and as bytes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PublishedConfig {
-    /// What it says.
+    /// Its decoded content.
     pub table: RouteTable,
-    /// Its bytes, for peers.
+    /// Its encoding, which is sent to peers.
     pub bytes: Bytes,
 }
 
-/// Where configuration comes from.
+/// A source of the configuration.
 pub trait ConfigSource: Send {
-    /// Waits for a short while for something new.
+    /// Reads what is new; may wait a short time for something new (long poll).
     fn read(
         &mut self,
     ) -> impl Future<Output = Result<SourceRead<PublishedConfig>, SourceError>> + Send;
 
-    /// Takes over the bytes that a peer has read up to `position`, and goes on there.
+    /// Continues from what a peer has read: decodes its bytes and sets the position to `position`.
     ///
     /// # Errors
     ///
-    /// [`SourceError::Malformed`] where they can't be read; nothing has changed then.
+    /// [`SourceError::Malformed`] if the bytes can't be decoded; the position then stays unchanged.
     fn adopt(&mut self, bytes: &[u8], position: Position) -> Result<RouteTable, SourceError>;
 
-    /// Up to where it has been read; none before the first reading, and where that is of no use to
-    /// anybody any more.
+    /// Position up to which the source has been read. `None` before the first read, and when that
+    /// position is no longer useful to anyone.
     fn position(&self) -> Option<Position>;
 }
 
-/// One endpoint as it registered itself.
+/// One registered endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its name.
+    /// Name of the endpoint.
     pub id: EndpointId,
-    /// The group it serves in.
+    /// The endpoint's group.
     pub group: EndpointGroup,
-    /// Where it listens.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It finishes what it has and wants nothing new.
+    /// Whether it is draining: it finishes its requests and accepts no new ones.
     pub leaving: bool,
-    /// Its present life.
+    /// Distinguishes successive processes under the same name.
     pub incarnation: Incarnation,
 }
 
-/// Where endpoints come from.
+/// A source of the endpoints.
 pub trait EndpointSource: Send {
-    /// All endpoints that are registered now; no news where none changed.
+    /// Reads all registered endpoints; no update if none has changed.
     fn read(
         &mut self,
     ) -> impl Future<Output = Result<SourceRead<Vec<EndpointEntry>>, SourceError>> + Send;
 
-    /// Up to where it has been read; none before the first reading.
+    /// Position up to which the source has been read; `None` before the first read.
     fn position(&self) -> Option<Position>;
 
-    /// Takes over what a peer has read up to `position`, all of it, and goes on there.
+    /// Replaces all endpoints by those that a peer has read up to `position`, and continues there.
     fn adopt(&mut self, entries: &IndexMap<EndpointId, EndpointEntry>, position: Position);
 
-    /// Takes over what a peer has read since this source's own position, and goes on at `position`.
+    /// Applies the changes that a peer has read since this source's position, and continues at
+    /// `position`.
     fn advance(&mut self, changes: &[EndpointChange], position: Position);
 }
 
-/// Another instance's address, as it registered itself.
+/// A registered instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where it listens for other instances.
+    /// Address for messages between instances.
     pub address: SocketAddr,
 }
 
-/// Where instances find each other.
+/// The directory in which instances find each other.
 pub trait PeerDirectory: Send {
-    /// Registers this instance.
+    /// Registers an instance.
     fn register(
         &mut self,
         entry: &PeerEntry,
     ) -> impl Future<Output = Result<(), SourceError>> + Send;
 
-    /// All that are registered.
+    /// Lists all registered instances.
     fn list(&mut self) -> impl Future<Output = Result<Vec<PeerEntry>, SourceError>> + Send;
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of an instance share, each piece under its own lock.
+//! State that the tasks of an instance share, each piece behind its own lock.
 
 use std::{
     net::SocketAddr,
@@ -19,25 +19,26 @@
 
 use crate::{clock::BootTime, lock, signal::OneShot};
 
-/// How far the instance is on its way to a stop. It only moves on.
+/// Stages of an instance between start and stop. An instance never returns to an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// In service.
+    /// Ready and serving.
     Serving = 0,
-    /// Not ready any more, so that the balancer looks elsewhere; still serving.
+    /// Reports that it isn't ready, so that the balancer sends new connections elsewhere; still
+    /// serves all requests.
     Leaving = 1,
-    /// Each answer is the last on its connection.
+    /// Closes each connection after its current response.
     Closing = 2,
 }
 
-/// The stage, and the requests under way.
+/// The stage of the instance and its requests in flight.
 #[derive(Debug)]
 pub struct Lifecycle {
     stage: AtomicU8,
-    open: AtomicUsize,
-    /// When whatever is still under way is cut.
-    ends: OnceLock<Instant>,
+    in_flight: AtomicUsize,
+    /// When requests that are still in flight are cut off.
+    cutoff: OnceLock<Instant>,
     closing: OneShot,
 }
 
@@ -45,15 +46,15 @@
     fn default() -> Self {
         Lifecycle {
             stage: AtomicU8::new(0),
-            open: AtomicUsize::new(0),
-            ends: OnceLock::new(),
+            in_flight: AtomicUsize::new(0),
+            cutoff: OnceLock::new(),
             closing: OneShot::default(),
         }
     }
 }
 
 impl Lifecycle {
-    /// The stage.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         match self.stage.load(Ordering::Acquire) {
             0 => Stage::Serving,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Moves on.
+    /// Enters a stage; does nothing if it or a later one has been reached.
     pub fn enter(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         if stage == Stage::Closing {
@@ -70,110 +71,111 @@
         }
     }
 
-    /// Begins a stop that cuts whatever is still under way at `end`.
+    /// Begins a stop that cuts off requests still in flight at `end`. Only the first call sets
+    /// `end`.
     pub fn begin_stop(&self, end: Instant) {
-        self.ends.get_or_init(|| end);
+        self.cutoff.get_or_init(|| end);
         self.enter(Stage::Leaving);
     }
 
-    /// What is left until requests are cut; none while no stop is under way.
+    /// Time left until requests are cut off; `None` while no stop is in progress.
     pub fn time_until_cutoff(&self) -> Option<Duration> {
-        self.ends.get().map(|end| end.saturating_duration_since(Instant::now()))
+        self.cutoff.get().map(|end| end.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until connections are to be closed.
+    /// Waits until connections have to be closed.
     pub async fn wait_for_closing(&self) {
         self.closing.wait().await;
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+        self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Counts a request until the result is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn count_request(self: &Arc<Self>) -> InFlightGuard {
-        self.open.fetch_add(1, Ordering::AcqRel);
+        self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlightGuard(self.clone())
     }
 }
 
-/// A request under way.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<Lifecycle>);
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::AcqRel);
+        self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// The configuration in force, and since when nothing newer can be missing.
+/// The current configuration, and the time as of which it is confirmed to be the newest.
 #[derive(Debug, Default)]
 pub struct Configuration {
     table: RwLock<Arc<RouteTable>>,
     as_of: Mutex<Option<BootTime>>,
-    /// A table is in force, and its age is known.
-    known: OneShot,
+    /// Set once a table with a known age is in force.
+    is_known: OneShot,
 }
 
 impl Configuration {
-    /// What is in force.
+    /// The current route table.
     pub fn table(&self) -> Arc<RouteTable> {
         self.table.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a table in force, unless it isn't newer: a late answer must not revert an accepted
-    /// change.
+    /// Replaces the table by a newer version and returns true. Older versions are ignored, because
+    /// a late reply must not revert an accepted change.
     pub fn replace_if_newer(&self, table: RouteTable) -> bool {
-        let mut known = self.table.write().unwrap_or_else(PoisonError::into_inner);
-        if table.version <= known.version {
+        let mut current = self.table.write().unwrap_or_else(PoisonError::into_inner);
+        if table.version <= current.version {
             return false;
         }
-        *known = Arc::new(table);
+        *current = Arc::new(table);
         true
     }
 
-    /// Notes that nothing acknowledged before `as_of` is missing.
+    /// Confirms that every change acknowledged before `as_of` is in the current table.
     pub fn confirm(&self, as_of: BootTime) {
-        let mut known = lock(&self.as_of);
-        *known = (*known).max(Some(as_of));
-        drop(known);
+        let mut current = lock(&self.as_of);
+        *current = (*current).max(Some(as_of));
+        drop(current);
         if self.table().version.0 > 0 {
-            self.known.set();
+            self.is_known.set();
         }
     }
 
-    /// Waits until there is a configuration.
+    /// Waits until a configuration is known.
     pub async fn wait_until_known(&self) {
-        self.known.wait().await;
+        self.is_known.wait().await;
     }
 
-    /// How long ago the table was known to be the newest; none where there is none yet.
+    /// Time since the table was last confirmed to be the newest; `None` if none is known yet.
     ///
-    /// Guards against keys that were taken away and still run at an instance that doesn't reach
-    /// the source: past the operators' bound nothing that needs a key may run.
+    /// Guards against revoked keys that are still accepted by an instance that doesn't reach the
+    /// source: beyond the operators' limit no request that needs a key may run.
     pub fn age(&self) -> Option<Duration> {
         (*lock(&self.as_of)).map(BootTime::age)
     }
 }
 
-/// One endpoint group.
+/// An endpoint group: its scheduler, its endpoints' addresses and its retry budget.
 #[derive(Debug)]
 pub struct Group {
-    /// Its name.
+    /// Name by which routes choose the group.
     pub name: EndpointGroup,
-    /// The same in messages.
+    /// Short form of the name in messages between instances.
     pub tag: GroupTag,
-    /// Decides where requests go.
+    /// Places requests on the group's endpoints.
     pub scheduler: Mutex<GroupScheduler>,
-    /// Where its endpoints listen.
+    /// Addresses of the endpoints.
     pub addresses: RwLock<IndexMap<EndpointId, SocketAddr>>,
     retries: Mutex<RetryWindow>,
 }
 
 impl Group {
-    /// A group without endpoints.
+    /// Creates a group without endpoints. `seed` is for the scheduler's random choices.
     pub fn new(name: EndpointGroup, placement: PlacementRules, seed: u64) -> Group {
         Group {
             tag: GroupTag::from(&name),
@@ -184,77 +186,77 @@
         }
     }
 
-    /// Where an endpoint listens.
+    /// Address of an endpoint; `None` if it isn't in the group.
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         let addresses = self.addresses.read().unwrap_or_else(PoisonError::into_inner);
         addresses.get(endpoint).copied()
     }
 
-    /// Who listens at an address.
+    /// The endpoint with this address.
     pub fn endpoint_at(&self, address: SocketAddr) -> Option<EndpointId> {
         let addresses = self.addresses.read().unwrap_or_else(PoisonError::into_inner);
-        let found = addresses.iter().find(|(_, known)| **known == address);
-        found.map(|(endpoint, _)| endpoint.clone())
+        let entry = addresses.iter().find(|(_, known)| **known == address);
+        entry.map(|(endpoint, _)| endpoint.clone())
     }
 
-    /// Counts a first attempt.
+    /// Counts a request's first attempt, which earns retry budget.
     pub fn record_first_attempt(&self, now: Time) {
         lock(&self.retries).record_first_attempt(now);
     }
 
-    /// Counts a repeat if one is allowed.
+    /// Counts a retry and returns true, if the retry budget allows one.
     pub fn may_retry(&self, rules: &RetryRules, instances: usize, now: Time) -> bool {
         lock(&self.retries).try_retry(rules, instances, now)
     }
 }
 
-/// All endpoint groups.
+/// All endpoint groups by name.
 #[derive(Debug, Default)]
 pub struct Groups {
     placement: PlacementRules,
     groups: RwLock<IndexMap<EndpointGroup, Arc<Group>>>,
-    /// Endpoints were read.
-    filled: OneShot,
+    /// Set once the endpoints have been read.
+    endpoints_read: OneShot,
 }
 
 impl Groups {
-    /// No group yet; requests of all will be placed by these rules.
+    /// Creates an empty set whose groups will use these placement rules.
     pub fn new(placement: PlacementRules) -> Groups {
         Groups { placement, ..Groups::default() }
     }
 
-    /// Endpoints were read, here or by a peer.
+    /// Records that the endpoints have been read, by this instance or by a peer.
     pub fn mark_endpoints_read(&self) {
-        self.filled.set();
+        self.endpoints_read.set();
     }
 
-    /// Waits until endpoints were read.
+    /// Waits until the endpoints have been read.
     pub async fn wait_for_endpoints(&self) {
-        self.filled.wait().await;
+        self.endpoints_read.wait().await;
     }
 
-    /// A group, if any endpoint or route ever named it.
+    /// A group, if any endpoint or route has named it.
     pub fn get(&self, name: &EndpointGroup) -> Option<Arc<Group>> {
         self.groups.read().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
     }
 
-    /// The group that a message names.
+    /// The group with this tag.
     pub fn by_tag(&self, tag: GroupTag) -> Option<Arc<Group>> {
         let groups = self.groups.read().unwrap_or_else(PoisonError::into_inner);
         groups.values().find(|group| group.tag == tag).cloned()
     }
 
-    /// A group, made where there is none.
+    /// Returns a group, creating it if it doesn't exist.
     pub fn get_or_create(&self, name: &EndpointGroup) -> Arc<Group> {
         if let Some(group) = self.get(name) {
             return group;
         }
         let mut groups = self.groups.write().unwrap_or_else(PoisonError::into_inner);
-        let made = || Arc::new(Group::new(name.clone(), self.placement, fastrand::u64(..)));
-        groups.entry(name.clone()).or_insert_with(made).clone()
+        let create = || Arc::new(Group::new(name.clone(), self.placement, fastrand::u64(..)));
+        groups.entry(name.clone()).or_insert_with(create).clone()
     }
 
-    /// All of them.
+    /// All groups.
     pub fn all(&self) -> Vec<Arc<Group>> {
         self.groups.read().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
