--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -78,7 +78,7 @@
 
 impl AdaptiveScheduler {
     pub(super) fn admit(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
-        match self.check(&req, now) {
+        match self.check_admission(&req, now) {
             Ok(entry) => {
                 self.insert(entry, now);
                 Admission::Admitted
@@ -87,7 +87,11 @@
         }
     }
 
-    fn check(&mut self, req: &Arc<RequestSpec>, now: Time) -> Result<RequestEntry, Refusal> {
+    fn check_admission(
+        &mut self,
+        req: &Arc<RequestSpec>,
+        now: Time,
+    ) -> Result<RequestEntry, Refusal> {
         let workspace = self.workspaces.index(&req.workspace);
         let instances = self.peers.instances();
         let state = self.workspaces.get_mut(workspace);
@@ -103,7 +107,7 @@
         if req.footprint().0 as f64 > self.fleet.total_memory {
             return Err(self.refusal(RefusalReason::TooLarge, *RETRY_AFTER_RANGE_S.end()));
         }
-        let mut entry = self.entry(req.clone(), workspace);
+        let mut entry = self.new_entry(req.clone(), workspace);
         let prediction = self.predict(&entry, now);
         entry.predicted = prediction.seconds();
         entry.workspace_wait = prediction.workspace_wait;
@@ -125,11 +129,11 @@
                 return Err(Refusal { forecast: Some(forecast), ..refusal });
             }
         }
-        self.make_room(workspace, &entry, now)?;
+        self.ensure_queue_room(workspace, &entry, now)?;
         Ok(entry)
     }
 
-    fn entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> RequestEntry {
+    fn new_entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> RequestEntry {
         let prompt = req.prompt.0 as f64;
         let band = self.band_limits.of(prompt, self.fleet.typical_rate);
         let cached = self.cached_at_holder(&req.prefix);
@@ -191,7 +195,7 @@
             allowed_s: entry.first_token_by.since(now).as_secs_f64(),
             rate: TokenRate(self.fleet.typical_rate),
             is_measured: self.fleet.has_measured_speed,
-            in_flight: Tokens(self.inflight[entry.band.index()] as u64),
+            in_flight: Tokens(self.total_prefill_ahead[entry.band.index()] as u64),
             queued: Tokens((here + peers) as u64),
             under_way: self.requests.len(),
             heard: self.peers.age(now),
@@ -268,25 +272,32 @@
             return false;
         }
         let trial = self.unmeasured_trial.and_then(|request| self.requests.get(&request));
-        trial.and_then(RequestEntry::attempt).is_some_and(|attempt| attempt.first_token.is_none())
+        trial
+            .and_then(RequestEntry::attempt)
+            .is_some_and(|attempt| attempt.first_token_at.is_none())
     }
 
     /// Predicts the time to first token of `entry` if it is admitted now.
     pub(super) fn predict(&self, entry: &RequestEntry, now: Time) -> Prediction {
         let band = entry.band.index();
-        let slowed = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
-        let own = entry.uncached / (self.fleet.typical_rate * slowed);
-        let capacity = if entry.band.is_long() { self.long_rate * slowed } else { self.short_rate };
+        let speed_left = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
+        let own = entry.uncached / (self.fleet.typical_rate * speed_left);
+        let capacity =
+            if entry.band.is_long() { self.long_rate * speed_left } else { self.short_rate };
         let capacity = capacity.max(1.0);
         let lower: f64 = (0..band).map(|b| self.queues[b].tokens() + self.peers.queued[b]).sum();
         let queued = lower + self.queues[entry.queue_index].tokens() + self.peers.queued[band];
-        let wait = (self.inflight[band] + lower) / capacity;
+        let wait = (self.total_prefill_ahead[band] + lower) / capacity;
         if queued > 0.0 || entry.needs_several() {
             let workspace_wait = self.workspace_wait(entry, capacity, now);
             return Prediction { others: wait, own, workspace_wait };
         }
         // No request is queued, so this one goes to the engine that is free first.
-        Prediction { others: wait.min(self.least_wait[band] / slowed), own, workspace_wait: 0.0 }
+        Prediction {
+            others: wait.min(self.shortest_wait[band] / speed_left),
+            own,
+            workspace_wait: 0.0,
+        }
     }
 
     /// Seconds until the queue of the request's workspace is served up to this request. The
@@ -315,14 +326,14 @@
     /// delay, and the last trial is at least [`TRIAL_INTERVAL_S`] ago.
     fn may_start_trial(&mut self, now: Time) -> bool {
         let idle = self.requests.is_empty();
-        let due = seconds(now) - self.last_trial >= TRIAL_INTERVAL_S;
+        let due = seconds(now) - self.last_trial_at >= TRIAL_INTERVAL_S;
         if idle && due {
-            self.last_trial = seconds(now);
+            self.last_trial_at = seconds(now);
         }
         idle && due
     }
 
-    fn make_room(
+    fn ensure_queue_room(
         &mut self,
         workspace: WorkspaceIndex,
         entry: &RequestEntry,
@@ -356,7 +367,7 @@
     pub(super) fn run_status(entry: &RequestEntry) -> RunStatus {
         match &entry.state {
             _ if entry.passed_on.0 > 0 => RunStatus::Yes,
-            RequestState::Running(attempt) if attempt.first_token.is_some() => RunStatus::Yes,
+            RequestState::Running(attempt) if attempt.first_token_at.is_some() => RunStatus::Yes,
             RequestState::Running(_) => RunStatus::Unknown,
             _ if entry.may_have_run => RunStatus::Unknown,
             _ => RunStatus::No,
--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -42,8 +42,8 @@
             return;
         }
         let shard = self.requests.get(&request).and_then(RequestEntry::runs_on);
-        if let Some(endpoint) = shard.and_then(|shard| self.fleet.at_shard(shard)) {
-            endpoint.progressed(now);
+        if let Some(endpoint) = shard.and_then(|shard| self.fleet.for_shard(shard)) {
+            endpoint.record_progress(now);
         }
     }
 
@@ -64,7 +64,7 @@
         if let Some(shard) = attempt.shards.first() {
             self.budgets.succeeded(&entry.req.workspace, &shard.endpoint, now);
         }
-        if let Some(first) = attempt.first_token {
+        if let Some(first) = attempt.first_token_at {
             let generated = (output - entry.passed_on).0 as f64;
             let allowed = entry.req.max_output.0 as f64;
             self.decode.observe(generated, allowed, now.since(first).as_secs_f64());
@@ -74,13 +74,13 @@
     fn end_prefill(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
         let RequestState::Running(attempt) = &mut entry.state else { return };
-        if attempt.first_token.is_some() {
+        if attempt.first_token_at.is_some() {
             return;
         }
-        attempt.first_token = Some(now);
+        attempt.first_token_at = Some(now);
         self.long_prefills.swap_remove(&request);
         let is_long = entry.band.is_long();
-        self.learn_of_endpoint(request, cached, now);
+        self.learn_from_first_token(request, cached, now);
         let Some(entry) = self.requests.get(&request) else { return };
         if entry.attempts == 1 && entry.basis == AdmissionBasis::Prediction {
             let actual = seconds(now) - seconds(entry.req.arrived);
@@ -105,24 +105,24 @@
         }
     }
 
-    fn learn_of_endpoint(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
+    fn learn_from_first_token(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let RequestState::Running(attempt) = &entry.state else { return };
         let Some(shard) = attempt.shards.first() else { return };
         let typical = self.fleet.typical_rate;
-        let Some(endpoint) = self.fleet.at_shard(shard) else { return };
-        endpoint.prefilled(entry.band, attempt.prefill);
-        endpoint.progressed(now);
+        let Some(endpoint) = self.fleet.for_shard(shard) else { return };
+        endpoint.finish_prefill(entry.band, attempt.prefill);
+        endpoint.record_progress(now);
         endpoint.record_load(now);
         let done = prefilled(entry, attempt, cached);
-        let overtaken = endpoint.short_done - attempt.short_done;
+        let overtaken = endpoint.short_prefilled - attempt.short_prefilled;
         let is_long = entry.band.is_long();
         let work = attempt.ahead + done + if is_long { overtaken } else { 0.0 };
         if !is_long {
-            endpoint.short_done += done;
+            endpoint.short_prefilled += done;
         }
         endpoint.record_prefilled(done, seconds(now));
-        let taken = now.since(attempt.sent);
+        let taken = now.since(attempt.sent_at);
         if entry.queue_index != MULTI_ENGINE_QUEUE {
             let mut elapsed = taken.as_secs_f64() - 2.0 * endpoint.distance;
             if attempt.shares_with_long_prefill {
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -160,10 +160,10 @@
         selection: &SelectionRequest,
         now: Time,
     ) -> DispatchChoice {
-        let ordinary = self.fleet.typical_rate * MIN_ORDINARY_SPEED_SHARE;
+        let min_rate = self.fleet.typical_rate * MIN_ORDINARY_SPEED_SHARE;
         let first_tokens = candidates
             .iter()
-            .filter(|candidate| candidate.rate.0 >= ordinary)
+            .filter(|candidate| candidate.rate.0 >= min_rate)
             .map(|candidate| selection::first_token(candidate, selection));
         match first_tokens.min() {
             Some(least) if now + least > entry.first_token_by => DispatchChoice::TooLate,
@@ -190,11 +190,14 @@
                 continue;
             }
             let wait = endpoint.prefill_ahead(band) / rate;
-            let away = if endpoint.is_preferred { 0.0 } else { self.unreported_work };
-            let long = endpoint.prompts_delayed_by(band).min(1);
-            let held = holder == Some(id);
-            let wait = wait + away + f64::from(long) * budget + 2.0 * endpoint.distance;
-            list.offer(index, if held { f64::NEG_INFINITY } else { wait * endpoint.caution });
+            let unreported = if endpoint.is_preferred { 0.0 } else { self.unreported_work };
+            let delayed = endpoint.prompts_delayed_by(band).min(1);
+            let is_prefix_holder = holder == Some(id);
+            let wait = wait + unreported + f64::from(delayed) * budget + 2.0 * endpoint.distance;
+            list.offer(
+                index,
+                if is_prefix_holder { f64::NEG_INFINITY } else { wait * endpoint.penalty },
+            );
         }
         list
     }
@@ -222,21 +225,21 @@
         if !self.quarantine.may_run(fingerprint, &endpoint.id, self.fleet.usable, now) {
             return None;
         }
-        let left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
-        let wait = endpoint.prefill_ahead(band) / (rate * left)
+        let speed_left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
+        let wait = endpoint.prefill_ahead(band) / (rate * speed_left)
             + endpoint.lateness(seconds(now), rate)
             + if endpoint.is_preferred { 0.0 } else { self.unreported_work };
         Some(Candidate {
             endpoint: endpoint.id.clone(),
             wait: span(wait),
-            rate: TokenRate(rate * left),
+            rate: TokenRate(rate * speed_left),
             cached: self.cache.expected_cached(&endpoint.id, &entry.req.prefix),
             distance: span(endpoint.distance),
             free: Tokens(free.min(1e18) as u64),
             shorts_running: 0,
             longs_running: endpoint.prompts_delayed_by(band),
             accepts_long: endpoint.open_to_long,
-            penalty: endpoint.caution,
+            penalty: endpoint.penalty,
         })
     }
 
@@ -274,28 +277,28 @@
         let prefill = (entry.req.prompt + entry.passed_on - cached).0.max(1) as f64;
         for shard in &shards {
             if let Some(endpoint) = self.fleet.get_mut(&shard.endpoint) {
-                endpoint.hold(band, shard.tokens.0 as f64);
+                endpoint.reserve_memory(band, shard.tokens.0 as f64);
             }
         }
         let first = shards.first().and_then(|shard| self.fleet.get_mut(&shard.endpoint));
         let Some(endpoint) = first else { return };
         if let Some(first) = entry.req.prefix.first() {
-            self.prefix_holders.sent(*first, &endpoint.id);
+            self.prefix_holders.record_sent(*first, &endpoint.id);
         }
         self.cache.record_sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
         self.quarantine.started(entry.req.fingerprint, &endpoint.id, now);
         let attempt = Attempt {
-            sent: now,
+            sent_at: now,
             predicted,
             cached,
             ahead: endpoint.modelled_prefill_ahead(band),
-            short_done: endpoint.short_done,
+            short_prefilled: endpoint.short_prefilled,
             shares_with_long_prefill: !band.is_long() && endpoint.prompts_delayed_by(band) > 0,
             prefill,
-            first_token: None,
+            first_token_at: None,
             shards: shards.clone(),
         };
-        endpoint.sent(band, prefill, now);
+        endpoint.record_sent(band, prefill, now);
         endpoint.record_load(now);
         entry.state = RequestState::Running(attempt);
         self.decisions.push(Decision::Start(Start {
@@ -330,7 +333,7 @@
     }
 
     /// Ends the running attempt, if any, and releases its memory and prefill.
-    pub(super) fn release(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
+    pub(super) fn end_attempt(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
         let entry = self.requests.get_mut(&request)?;
         if !matches!(entry.state, RequestState::Running(_)) {
             return None;
@@ -343,10 +346,10 @@
         let band = entry.band;
         self.long_prefills.swap_remove(&request);
         for (index, shard) in attempt.shards.iter().enumerate() {
-            let Some(endpoint) = self.fleet.at_shard(shard) else { continue };
-            endpoint.release(band, shard.tokens.0 as f64);
-            if index == 0 && attempt.first_token.is_none() {
-                endpoint.prefilled(band, attempt.prefill);
+            let Some(endpoint) = self.fleet.for_shard(shard) else { continue };
+            endpoint.release_memory(band, shard.tokens.0 as f64);
+            if index == 0 && attempt.first_token_at.is_none() {
+                endpoint.finish_prefill(band, attempt.prefill);
             }
             endpoint.record_load(now);
         }
--- a/crates/policy/src/adaptive/endpoint.rs
+++ b/crates/policy/src/adaptive/endpoint.rs
@@ -83,7 +83,7 @@
     remaining: PerBand,
     held: f64,
     /// Total prompt tokens prefilled for that instance.
-    done: f64,
+    total_prefilled: f64,
     /// The speed that it learned, in tokens per second, and when the digests last showed new
     /// prefilled tokens to learn from.
     rate: f64,
@@ -95,7 +95,7 @@
 struct BusyPeriod {
     since: f64,
     /// Total prompt tokens prefilled for all instances when the period began.
-    done: f64,
+    total_prefilled: f64,
 }
 
 /// Load in a report that neither own requests nor digests explain.
@@ -135,12 +135,12 @@
     last_unexplained: UnexplainedLoad,
     load_records: VecDeque<LoadRecord>,
     advanced_at: f64,
-    last_progress: f64,
+    last_progress_at: f64,
     /// Total short prompt tokens prefilled for this instance.
-    pub(super) short_done: f64,
+    pub(super) short_prefilled: f64,
     /// Total prompt tokens prefilled for this instance, and for the others.
-    done: f64,
-    others_done: f64,
+    total_prefilled: f64,
+    others_prefilled: f64,
     busy_period: Option<BusyPeriod>,
     /// Whether long prompts may be placed here.
     pub(super) open_to_long: bool,
@@ -152,7 +152,7 @@
     /// Whether this instance prefers this endpoint among equal ones.
     pub(super) is_preferred: bool,
     /// Factor on the endpoint's cost, higher for an unhealthy endpoint; infinite if it is ejected.
-    pub(super) caution: f64,
+    pub(super) penalty: f64,
     /// Whether the death of this incarnation has been reported to the quarantine.
     pub(super) death_recorded: bool,
     /// Whether its last report asked for no new work.
@@ -182,16 +182,16 @@
             last_unexplained: UnexplainedLoad::default(),
             load_records: VecDeque::new(),
             advanced_at: seconds(now),
-            last_progress: seconds(now),
-            short_done: 0.0,
-            done: 0.0,
-            others_done: 0.0,
+            last_progress_at: seconds(now),
+            short_prefilled: 0.0,
+            total_prefilled: 0.0,
+            others_prefilled: 0.0,
             busy_period: None,
             open_to_long: true,
             draining: 0.0,
             blocked_until: Time::ZERO,
             is_preferred: true,
-            caution: 1.0,
+            penalty: 1.0,
             death_recorded: false,
             is_leaving: false,
         }
@@ -224,7 +224,7 @@
     /// tokens of prefill are ahead of the prompt.
     pub(super) fn has_room(&self, band: Band, budget: f64, memory: f64, now: Time) -> bool {
         let open = !band.is_long() || self.open_to_long;
-        if !open || !self.usable() || self.blocked_until > now || self.caution.is_infinite() {
+        if !open || !self.usable() || self.blocked_until > now || self.penalty.is_infinite() {
             return false;
         }
         let ahead =
@@ -291,7 +291,7 @@
             return 0.0;
         }
         let expected = (outstanding + self.others_remaining.iter().sum::<f64>()) / rate;
-        (now - self.last_progress - 2.0 * expected - LATE_GRACE_S).max(0.0)
+        (now - self.last_progress_at - 2.0 * expected - LATE_GRACE_S).max(0.0)
     }
 
     /// Free memory for a new request of `band`; infinite if the endpoint reports no limit. Memory
@@ -321,9 +321,9 @@
         self.memory * USABLE_MEMORY_SHARE - self.own.held - self.others_held - self.unexplained_held
     }
 
-    pub(super) fn sent(&mut self, band: Band, prompt: f64, now: Time) {
+    pub(super) fn record_sent(&mut self, band: Band, prompt: f64, now: Time) {
         if self.own.running == 0 {
-            self.last_progress = seconds(now);
+            self.last_progress_at = seconds(now);
         }
         self.own.sent[band.index()] += prompt;
         self.own.remaining[band.index()] += prompt;
@@ -331,7 +331,7 @@
     }
 
     /// Records that a request's prefill has ended, because its first token came or it was given up.
-    pub(super) fn prefilled(&mut self, band: Band, prompt: f64) {
+    pub(super) fn finish_prefill(&mut self, band: Band, prompt: f64) {
         let band = band.index();
         self.own.prefilling[band] = self.own.prefilling[band].saturating_sub(1);
         self.own.sent[band] = (self.own.sent[band] - prompt).max(0.0);
@@ -341,12 +341,12 @@
         self.own.remaining[band] = self.own.remaining[band].min(self.own.sent[band]);
     }
 
-    pub(super) fn progressed(&mut self, now: Time) {
-        self.last_progress = seconds(now);
+    pub(super) fn record_progress(&mut self, now: Time) {
+        self.last_progress_at = seconds(now);
     }
 
     /// Reserves `tokens` of memory for a request that starts here.
-    pub(super) fn hold(&mut self, band: Band, tokens: f64) {
+    pub(super) fn reserve_memory(&mut self, band: Band, tokens: f64) {
         if !band.is_long() {
             self.own.short_held += tokens;
         }
@@ -355,7 +355,7 @@
     }
 
     /// Releases `tokens` of memory.
-    pub(super) fn release(&mut self, band: Band, tokens: f64) {
+    pub(super) fn release_memory(&mut self, band: Band, tokens: f64) {
         if !band.is_long() {
             self.own.short_held = (self.own.short_held - tokens).max(0.0);
         }
--- a/crates/policy/src/adaptive/endpoint/reports.rs
+++ b/crates/policy/src/adaptive/endpoint/reports.rs
@@ -51,17 +51,17 @@
         if share.incarnation != self.incarnation {
             return;
         }
-        let done = share.prefilled.0 as f64;
+        let total_prefilled = share.prefilled.0 as f64;
         let known = self.peers.iter().find(|peer| peer.instance == *instance);
-        let more = known.map_or(0.0, |peer| (done - peer.done).max(0.0));
+        let more = known.map_or(0.0, |peer| (total_prefilled - peer.total_prefilled).max(0.0));
         let learned_at = known.filter(|_| more <= 0.0).map_or(now, |peer| peer.learned_at);
-        self.others_done += more;
+        self.others_prefilled += more;
         self.peers.retain(|peer| peer.instance != *instance);
         self.peers.push(PeerLoad {
             instance: instance.clone(),
             remaining: share.waiting_bands.map(|tokens| tokens.0 as f64),
             held: share.held.0 as f64,
-            done,
+            total_prefilled,
             rate: share.prefill_rate.0,
             learned_at,
         });
@@ -82,19 +82,20 @@
     /// Records `tokens` prefilled for this instance. Once the engine has been busy for
     /// [`MIN_BUSY_S`], the throughput of all instances is a sample of its speed.
     pub(in crate::adaptive) fn record_prefilled(&mut self, tokens: f64, now: f64) {
-        self.done += tokens;
-        let done = self.done + self.others_done;
+        self.total_prefilled += tokens;
+        let total_prefilled = self.total_prefilled + self.others_prefilled;
         let idle = self.own.prefilling.iter().all(|count| *count == 0)
             && self.others_remaining.iter().all(|remaining| *remaining < 1.0);
         if idle {
             self.busy_period = None;
             return;
         }
-        let busy_period = self.busy_period.get_or_insert(BusyPeriod { since: now, done });
+        let busy_period =
+            self.busy_period.get_or_insert(BusyPeriod { since: now, total_prefilled });
         let lasted = now - busy_period.since;
         if lasted >= MIN_BUSY_S {
-            let work = done - busy_period.done;
-            self.busy_period = Some(BusyPeriod { since: now, done });
+            let work = total_prefilled - busy_period.total_prefilled;
+            self.busy_period = Some(BusyPeriod { since: now, total_prefilled });
             self.speed.observe_throughput(work, lasted, now);
         }
     }
@@ -110,7 +111,7 @@
 
     /// Whether digests have to include this instance's load here.
     pub(in crate::adaptive) fn has_load_to_report(&self) -> bool {
-        self.own.running > 0 || self.done > 0.0
+        self.own.running > 0 || self.total_prefilled > 0.0
     }
 
     /// This instance's load here, for its digest.
@@ -123,7 +124,7 @@
             waiting_bands: remaining,
             running: self.own.running,
             held: crate::Tokens(self.own.held as u64),
-            prefilled: crate::Tokens(self.done as u64),
+            prefilled: crate::Tokens(self.total_prefilled as u64),
             prefill_rate: crate::TokenRate(self.speed.own_rate().unwrap_or(0.0)),
             ejected: false,
         }
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -60,7 +60,7 @@
         if cause == FailCause::EndpointDied {
             self.record_death(request, now);
         }
-        let Some(ended) = self.release(request, now) else { return };
+        let Some(ended) = self.end_attempt(request, now) else { return };
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
         self.pause_endpoints(&ended.shards, cause, now);
         if let Some(shard) = ended.shards.first() {
@@ -111,7 +111,7 @@
     /// Removes a request and all its state.
     pub(super) fn forget(&mut self, request: RequestId, now: Time) {
         self.dequeue(request, false);
-        if self.release(request, now).is_some()
+        if self.end_attempt(request, now).is_some()
             && let Some(entry) = self.requests.get(&request)
         {
             self.quarantine.stopped(entry.req.fingerprint);
@@ -195,7 +195,7 @@
         else {
             return;
         };
-        let Some(endpoint) = self.fleet.at_shard(&shard) else { return };
+        let Some(endpoint) = self.fleet.for_shard(&shard) else { return };
         if std::mem::replace(&mut endpoint.death_recorded, true) {
             return;
         }
@@ -218,7 +218,7 @@
         // With several shards it isn't known which endpoint rejected the request; the back-off
         // covers that case.
         let [shard] = shards else { return };
-        if let Some(endpoint) = self.fleet.at_shard(shard) {
+        if let Some(endpoint) = self.fleet.for_shard(shard) {
             endpoint.blocked_until = endpoint.blocked_until.max(now + pause);
         }
     }
--- a/crates/policy/src/adaptive/fleet.rs
+++ b/crates/policy/src/adaptive/fleet.rs
@@ -90,7 +90,7 @@
 
     /// The endpoint of a shard, if it is still the incarnation that the request was sent to. The
     /// state of a later incarnation doesn't concern the shard.
-    pub(super) fn at_shard(&mut self, shard: &Shard) -> Option<&mut Endpoint> {
+    pub(super) fn for_shard(&mut self, shard: &Shard) -> Option<&mut Endpoint> {
         self.endpoints
             .get_mut(&shard.endpoint)
             .filter(|e| shard.incarnation == e.incarnation || shard.incarnation.0 == 0)
--- a/crates/policy/src/adaptive/fleet_refresh.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -35,23 +35,23 @@
         }
         self.assess_health(now);
         self.update_open_engines(now);
-        self.inflight = PerBand::default();
-        self.least_wait = [f64::INFINITY; BANDS];
+        self.total_prefill_ahead = PerBand::default();
+        self.shortest_wait = [f64::INFINITY; BANDS];
         self.long_rate = 0.0;
         for endpoint in self.fleet.endpoints.values().filter(|endpoint| endpoint.usable()) {
             let rate = self.fleet.rate(endpoint);
-            let takes_longs = endpoint.open_to_long && endpoint.has_spare_memory();
-            if takes_longs {
+            let accepts_long = endpoint.open_to_long && endpoint.has_spare_memory();
+            if accepts_long {
                 self.long_rate += rate;
             }
             for band in band::Band::all() {
-                if band.is_long() && !takes_longs {
+                if band.is_long() && !accepts_long {
                     continue;
                 }
                 let ahead = endpoint.prefill_ahead(band);
-                self.inflight[band.index()] += ahead;
-                let least = &mut self.least_wait[band.index()];
-                *least = least.min(ahead / rate);
+                self.total_prefill_ahead[band.index()] += ahead;
+                let shortest = &mut self.shortest_wait[band.index()];
+                *shortest = shortest.min(ahead / rate);
             }
         }
         self.limit_short_rate(now);
@@ -66,9 +66,9 @@
         let rank = self.peers.rank(&self.instance);
         let mut index = 0;
         for endpoint in self.fleet.endpoints.values_mut().filter(|endpoint| endpoint.usable()) {
-            let has_longs = endpoint.prompts_delayed_by(band::Band::SHORT) > 0;
-            endpoint.is_preferred = !has_longs && index % instances == rank;
-            index += usize::from(!has_longs);
+            let has_long_prompts = endpoint.prompts_delayed_by(band::Band::SHORT) > 0;
+            endpoint.is_preferred = !has_long_prompts && index % instances == rank;
+            index += usize::from(!has_long_prompts);
         }
         let others: f64 = self.peers.demand.iter().sum();
         let busy = others / self.fleet.total_rate.max(1.0);
@@ -95,7 +95,7 @@
             let entry = self.requests.get(request);
             let attempt = entry.and_then(RequestEntry::attempt);
             attempt.is_some_and(|attempt| {
-                let taken = now.since(attempt.sent).as_secs_f64();
+                let taken = now.since(attempt.sent_at).as_secs_f64();
                 taken
                     > attempt.predicted * short_rate_limit::LATE_RATIO
                         + short_rate_limit::LATE_GRACE_S
@@ -112,8 +112,8 @@
             self.quarantine.expire(now);
         }
         for endpoint in self.fleet.endpoints.values_mut() {
-            endpoint.caution = match self.health.state(&endpoint.id, now) {
-                HealthState::Usable(caution) => caution,
+            endpoint.penalty = match self.health.state(&endpoint.id, now) {
+                HealthState::Usable(penalty) => penalty,
                 HealthState::Ejected => f64::INFINITY,
             };
         }
@@ -123,12 +123,12 @@
     /// driver probes all the time, and an endpoint that answers probes may still fail calls.
     pub(super) fn probed(&mut self, endpoint: &EndpointId, healthy: bool, now: Time) {
         self.probes.extend(self.health.due_probes(now));
-        let is_out = self.health.state(endpoint, now) == HealthState::Ejected;
+        let is_ejected = self.health.state(endpoint, now) == HealthState::Ejected;
         let due = self.probes.iter().position(|probe| probe == endpoint);
         if let Some(index) = due {
             self.probes.swap_remove(index);
         }
-        if !is_out || due.is_some() {
+        if !is_ejected || due.is_some() {
             self.health.record_probe(endpoint, healthy, now, &mut self.rng);
         }
     }
--- a/crates/policy/src/adaptive/learn.rs
+++ b/crates/policy/src/adaptive/learn.rs
@@ -133,12 +133,12 @@
 pub(super) struct PredictionMargin {
     ratios: Window<ERROR_SAMPLES>,
     factor: f64,
-    updated: f64,
+    updated_at: f64,
 }
 
 impl PredictionMargin {
     pub(super) fn new() -> PredictionMargin {
-        PredictionMargin { ratios: Window::new(), factor: 1.0, updated: 0.0 }
+        PredictionMargin { ratios: Window::new(), factor: 1.0, updated_at: 0.0 }
     }
 
     /// Records the actual time for a prediction, both in seconds.
@@ -146,7 +146,7 @@
         if actual < MIN_EVALUATED_S {
             return;
         }
-        self.updated = now;
+        self.updated_at = now;
         self.ratios.push(actual / predicted.max(MIN_EVALUATED_S));
         let quantile = self.ratios.quantile(ERROR_QUANTILE).unwrap_or(1.0);
         self.factor = quantile.clamp(*MARGIN_RANGE.start(), *MARGIN_RANGE.end());
@@ -155,7 +155,7 @@
     /// Factor applied to a prediction before it is promised. Without new observations it returns to
     /// one; otherwise a margin that lets no request in would never be corrected.
     pub(super) fn factor(&self, now: f64) -> f64 {
-        let age = (now - self.updated).max(0.0);
+        let age = (now - self.updated_at).max(0.0);
         1.0 + (self.factor - 1.0) * (-age / MARGIN_HALF_LIFE_S).exp2()
     }
 }
@@ -195,19 +195,19 @@
 /// interrupted, and its length depends on the engine.
 #[derive(Debug, Clone)]
 pub(super) struct LongPrefillDelay {
-    excess: Window<ERROR_SAMPLES>,
+    delays: Window<ERROR_SAMPLES>,
     seconds: f64,
 }
 
 impl LongPrefillDelay {
     pub(super) fn new() -> LongPrefillDelay {
-        LongPrefillDelay { excess: Window::new(), seconds: 0.0 }
+        LongPrefillDelay { delays: Window::new(), seconds: 0.0 }
     }
 
     /// Records a first token that took `actual` instead of `expected` seconds.
     pub(super) fn observe(&mut self, expected: f64, actual: f64) {
-        self.excess.push(actual - expected);
-        self.seconds = self.excess.quantile(0.5).unwrap_or(0.0).max(0.0);
+        self.delays.push(actual - expected);
+        self.seconds = self.delays.quantile(0.5).unwrap_or(0.0).max(0.0);
     }
 
     /// The median delay.
@@ -219,40 +219,41 @@
 /// Learned length and decode speed of answers.
 #[derive(Debug, Clone)]
 pub(super) struct DecodeModel {
-    rates: Window<SPEED_SAMPLES>,
-    shares: Window<ERROR_SAMPLES>,
+    decode_rates: Window<SPEED_SAMPLES>,
+    output_shares: Window<ERROR_SAMPLES>,
     rate: f64,
-    share: f64,
+    output_share: f64,
 }
 
 impl DecodeModel {
     pub(super) fn new() -> DecodeModel {
         DecodeModel {
-            rates: Window::new(),
-            shares: Window::new(),
+            decode_rates: Window::new(),
+            output_shares: Window::new(),
             rate: INITIAL_DECODE_RATE,
-            share: INITIAL_OUTPUT_SHARE,
+            output_share: INITIAL_OUTPUT_SHARE,
         }
     }
 
     /// Records a complete answer that used `output` of its `allowed` tokens and took `seconds`
     /// after the first token.
     pub(super) fn observe(&mut self, output: f64, allowed: f64, seconds: f64) {
-        self.shares.push((output / allowed.max(1.0)).min(1.0));
-        self.share = self.shares.quantile(ERROR_QUANTILE).unwrap_or(INITIAL_OUTPUT_SHARE);
+        self.output_shares.push((output / allowed.max(1.0)).min(1.0));
+        self.output_share =
+            self.output_shares.quantile(ERROR_QUANTILE).unwrap_or(INITIAL_OUTPUT_SHARE);
         if output > 1.0 && seconds > 0.0 {
-            self.rates.push(output / seconds);
-            self.rate = self.rates.quantile(0.5).unwrap_or(INITIAL_DECODE_RATE);
+            self.decode_rates.push(output / seconds);
+            self.rate = self.decode_rates.quantile(0.5).unwrap_or(INITIAL_DECODE_RATE);
         }
     }
 
     /// Expected seconds from the first to the last token of an answer of at most `allowed` tokens.
     pub(super) fn seconds(&self, allowed: f64) -> f64 {
-        allowed * self.share / self.rate.max(0.1)
+        allowed * self.output_share / self.rate.max(0.1)
     }
 
     /// Expected tokens of an answer of at most `allowed` tokens.
     pub(super) fn expected(&self, allowed: f64) -> f64 {
-        allowed * self.share
+        allowed * self.output_share
     }
 }
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -122,7 +122,7 @@
     /// yet, for endpoints that this instance doesn't prefer.
     unreported_work: f64,
     quarantine: Quarantine,
-    last_trial: f64,
+    last_trial_at: f64,
     /// Requests admitted before the speed of any engine was measured.
     unmeasured_requests: IndexSet<RequestId>,
     /// The request in `unmeasured_requests` that was started last.
@@ -134,8 +134,8 @@
     long_rate: f64,
     /// Tokens on all engines that are prefilled before a new prompt of each band, and the shortest
     /// such wait on a single engine, in seconds.
-    inflight: PerBand,
-    least_wait: PerBand,
+    total_prefill_ahead: PerBand,
+    shortest_wait: PerBand,
 }
 
 /// Memory per object in bytes, without names and queue entries.
@@ -195,13 +195,13 @@
             unreported_work: 0.0,
             budgets: RetryBudgets::new(Limits::default().retry_share),
             quarantine: Quarantine::new(),
-            last_trial: f64::NEG_INFINITY,
+            last_trial_at: f64::NEG_INFINITY,
             unmeasured_requests: IndexSet::new(),
             unmeasured_trial: None,
             total_demand: PerBand::default(),
             long_rate: 0.0,
-            inflight: PerBand::default(),
-            least_wait: PerBand::default(),
+            total_prefill_ahead: PerBand::default(),
+            shortest_wait: PerBand::default(),
         }
     }
 
--- a/crates/policy/src/adaptive/open_engines.rs
+++ b/crates/policy/src/adaptive/open_engines.rs
@@ -64,9 +64,9 @@
         }
         self.open = self.open.clamp(1, engines);
         let best = cheapest(engines, demand, weights);
-        let present = cost(self.open, engines, demand, weights);
+        let current = cost(self.open, engines, demand, weights);
         let worthwhile =
-            cost(best, engines, demand, weights) < present * (1.0 - MIN_COST_REDUCTION);
+            cost(best, engines, demand, weights) < current * (1.0 - MIN_COST_REDUCTION);
         if best > self.open && worthwhile {
             self.open = best;
             self.fewer_since = None;
@@ -86,8 +86,8 @@
 /// The cost of opening `open` of `engines`.
 pub(super) fn cost(open: usize, engines: usize, demand: Demand, weights: &Weights) -> f64 {
     let closed = (engines - open) as f64;
-    let spilled = (demand.short - FULL_LOAD * closed).max(0.0) / open as f64;
-    let long = demand.long / (1.0 - spilled.min(MAX_LOAD));
+    let spillover = (demand.short - FULL_LOAD * closed).max(0.0) / open as f64;
+    let long = demand.long / (1.0 - spillover.min(MAX_LOAD));
     weights.long_first_token * long_wait(open, long)
         + weights.short_slowdown * short_slowdown(open, engines, demand.short)
 }
@@ -111,6 +111,6 @@
 
 fn short_slowdown(open: usize, engines: usize, short: f64) -> f64 {
     let closed = (engines - open) as f64;
-    let filled = if closed > 0.0 { (short / closed).min(1.0) } else { short.min(1.0) };
-    filled * open as f64 / engines as f64
+    let utilization = if closed > 0.0 { (short / closed).min(1.0) } else { short.min(1.0) };
+    utilization * open as f64 / engines as f64
 }
--- a/crates/policy/src/adaptive/request.rs
+++ b/crates/policy/src/adaptive/request.rs
@@ -92,20 +92,20 @@
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) shards: Vec<Shard>,
-    pub(super) sent: Time,
-    /// Predicted seconds from `sent` to the first token.
+    pub(super) sent_at: Time,
+    /// Predicted seconds from `sent_at` to the first token.
     pub(super) predicted: f64,
     /// Prompt tokens that were expected in the engine's cache.
     pub(super) cached: Tokens,
     /// Prompt tokens ahead of it on the engine when it was sent.
     pub(super) ahead: f64,
-    /// The endpoint's `short_done` when it was sent.
-    pub(super) short_done: f64,
+    /// The endpoint's `short_prefilled` when it was sent.
+    pub(super) short_prefilled: f64,
     /// Whether it is a short prompt on an engine that prefills a long one.
     pub(super) shares_with_long_prefill: bool,
     /// Prompt tokens to prefill.
     pub(super) prefill: f64,
-    pub(super) first_token: Option<Time>,
+    pub(super) first_token_at: Option<Time>,
 }
 
 impl RequestEntry {
--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct ReservationPlan {
     pub(super) request: RequestId,
-    made: Time,
+    chosen_at: Time,
     parts: Vec<PendingReservationPart>,
 }
 
@@ -107,20 +107,21 @@
             self.plan = None;
             return;
         };
-        let holds = self.plan.as_ref().is_some_and(|plan| {
+        let is_still_valid = self.plan.as_ref().is_some_and(|plan| {
             plan.request == first.request
-                && now.since(plan.made) < MAX_PLAN_AGE
+                && now.since(plan.chosen_at) < MAX_PLAN_AGE
                 && plan.parts.iter().all(|part| self.is_usable(&part.endpoint))
         });
-        if holds {
+        if is_still_valid {
             return;
         }
         let parts = self.choose_parts(first.request);
-        self.plan = parts.map(|parts| ReservationPlan { request: first.request, made: now, parts });
+        self.plan =
+            parts.map(|parts| ReservationPlan { request: first.request, chosen_at: now, parts });
     }
 
     fn is_usable(&self, endpoint: &EndpointId) -> bool {
-        self.fleet.get(endpoint).is_some_and(|e| e.usable() && e.caution.is_finite())
+        self.fleet.get(endpoint).is_some_and(|e| e.usable() && e.penalty.is_finite())
     }
 
     /// The fewest engines whose memory holds the prompt, chosen by most free memory and sorted by
@@ -131,7 +132,7 @@
             .fleet
             .endpoints
             .values()
-            .filter(|e| e.usable() && e.caution.is_finite() && e.memory > 0.0)
+            .filter(|e| e.usable() && e.penalty.is_finite() && e.memory > 0.0)
             .filter(|e| entry.may_run_on(&e.id, e.incarnation))
             .collect();
         engines.sort_by(|a, b| b.free_while_draining().total_cmp(&a.free_while_draining()));
--- a/crates/policy/src/adaptive/short_rate_limit.rs
+++ b/crates/policy/src/adaptive/short_rate_limit.rs
@@ -31,8 +31,8 @@
 #[derive(Debug, Default)]
 pub(super) struct ShortRateLimiter {
     rate: f64,
-    level: f64,
-    updated: f64,
+    bucket_tokens: f64,
+    updated_at: f64,
     is_limited: bool,
 }
 
@@ -41,7 +41,7 @@
     pub(super) fn set(&mut self, rate: f64, is_limited: bool, now: f64) {
         self.refill(now);
         if self.rate <= 0.0 || !is_limited {
-            self.level = rate * BURST_S;
+            self.bucket_tokens = rate * BURST_S;
         }
         self.rate = rate;
         self.is_limited = is_limited;
@@ -50,20 +50,20 @@
     /// Whether a short prompt may start now.
     pub(super) fn allows(&mut self, now: f64) -> bool {
         self.refill(now);
-        !self.is_limited || self.level > 0.0
+        !self.is_limited || self.bucket_tokens > 0.0
     }
 
     /// Takes a started prompt's tokens from the bucket.
     pub(super) fn started(&mut self, prompt: f64) {
         if self.is_limited {
-            self.level -= prompt;
+            self.bucket_tokens -= prompt;
         }
     }
 
     fn refill(&mut self, now: f64) {
-        let gained = self.rate * (now - self.updated).max(0.0);
-        self.level = (self.level + gained).min(self.rate * BURST_S);
-        self.updated = now;
+        let gained = self.rate * (now - self.updated_at).max(0.0);
+        self.bucket_tokens = (self.bucket_tokens + gained).min(self.rate * BURST_S);
+        self.updated_at = now;
     }
 }
 
--- a/crates/policy/src/adaptive/shortlist.rs
+++ b/crates/policy/src/adaptive/shortlist.rs
@@ -73,7 +73,7 @@
 
 impl PrefixHolders {
     /// Records a sent prompt; if the table is full, a slot chosen in turn is overwritten.
-    pub(super) fn sent(&mut self, first_block: u64, endpoint: &EndpointId) {
+    pub(super) fn record_sent(&mut self, first_block: u64, endpoint: &EndpointId) {
         if let Some(last) = self.last.get_mut(&first_block) {
             *last = endpoint.clone();
             return;
--- a/crates/policy/src/adaptive/window.rs
+++ b/crates/policy/src/adaptive/window.rs
@@ -40,14 +40,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DecayedRate {
     sum: f64,
-    updated: f64,
+    updated_at: f64,
 }
 
 impl DecayedRate {
     /// Adds `amount` at `now`, in seconds.
     pub(super) fn add(&mut self, amount: f64, now: f64, half_life: f64) {
         self.sum = self.decayed(now, half_life) + amount;
-        self.updated = now;
+        self.updated_at = now;
     }
 
     /// The rate per second at `now`.
@@ -56,6 +56,6 @@
     }
 
     fn decayed(&self, now: f64, half_life: f64) -> f64 {
-        self.sum * (-(now - self.updated).max(0.0) / half_life).exp2()
+        self.sum * (-(now - self.updated_at).max(0.0) / half_life).exp2()
     }
 }
--- a/crates/policy/src/adaptive/workspaces.rs
+++ b/crates/policy/src/adaptive/workspaces.rs
@@ -44,7 +44,7 @@
     is_listed: bool,
     /// Weighted tokens in the bucket; negative while in debt.
     bucket_tokens: f64,
-    updated: f64,
+    updated_at: f64,
     /// Number of requests admitted and not ended.
     pub(super) in_flight: u32,
     pub(super) queues: [WorkspaceQueue; QUEUE_COUNT],
@@ -63,7 +63,7 @@
             max_concurrent: None,
             is_listed: false,
             bucket_tokens: f64::INFINITY,
-            updated: 0.0,
+            updated_at: 0.0,
             in_flight: 0,
             queues: Default::default(),
             served: DecayedRate::default(),
@@ -87,9 +87,9 @@
         let traffic = own + self.peers_served;
         let by_traffic = if traffic > 0.0 { own / traffic } else { 1.0 / instances as f64 };
         let rate = limit * (0.5 / instances as f64 + 0.5 * by_traffic);
-        let gained = rate * (now - self.updated).max(0.0);
+        let gained = rate * (now - self.updated_at).max(0.0);
         self.bucket_tokens = (self.bucket_tokens + gained).min(limit * BURST_S);
-        self.updated = now;
+        self.updated_at = now;
         (self.bucket_tokens <= 0.0).then(|| (1.0 - self.bucket_tokens) / rate.max(0.001))
     }
 
@@ -128,7 +128,7 @@
             let limit = rules.tokens_per_second.map(|limit| limit as f64);
             if state.tokens_per_second != limit {
                 state.bucket_tokens = limit.map_or(f64::INFINITY, |limit| limit * BURST_S);
-                state.updated = now;
+                state.updated_at = now;
             }
             state.is_listed = true;
             state.tokens_per_second = limit;
