--- a/crates/policy/src/adaptive/fleet_refresh.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -81,7 +81,7 @@
         let long: f64 = self.total_demand[1..].iter().sum();
         let weights = &self.rules.weights;
         let claim = long_claim(long / total, weights.long_first_token, weights.short_slowdown);
-        let is_limited = self.has_late_long_prompt(now) || self.peers.has_late_long_prompt;
+        let is_limited = self.has_starved_long_prompt(now) || self.peers.has_starved_long_prompt;
         self.short_rate = if is_limited { total * (1.0 - claim) } else { total };
         let own = self.demand[0].rate(seconds(now), DEMAND_HALF_LIFE_S);
         let by_traffic = if own > 0.0 { own / self.total_demand[0].max(own) } else { 0.0 };
@@ -89,8 +89,8 @@
         self.short_limiter.set(self.short_rate * part, is_limited, seconds(now));
     }
 
-    /// Whether a long prompt of this instance is late: its first token is far overdue.
-    pub(super) fn has_late_long_prompt(&self, now: Time) -> bool {
+    /// Whether a long prompt of this instance is starved: its first token is far overdue.
+    pub(super) fn has_starved_long_prompt(&self, now: Time) -> bool {
         self.long_prefills.iter().any(|request| {
             let entry = self.requests.get(request);
             let attempt = entry.and_then(RequestEntry::attempt);
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -377,7 +377,7 @@
                 TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE_S))
             }),
             pending_reservations: self.pending_reservations(now),
-            long_prompts_starved: self.has_late_long_prompt(now),
+            long_prompts_starved: self.has_starved_long_prompt(now),
             suspicions,
             suspect_endpoints: self
                 .quarantine
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -32,8 +32,8 @@
     digests: IndexMap<InstanceId, ReceivedDigest>,
     pub(super) queued: PerBand,
     pub(super) demand: PerBand,
-    /// Whether another instance has a late long prompt.
-    pub(super) has_late_long_prompt: bool,
+    /// Whether another instance has a starved long prompt.
+    pub(super) has_starved_long_prompt: bool,
 }
 
 #[derive(Debug)]
@@ -130,7 +130,7 @@
     fn sum(&mut self) {
         self.queued = PerBand::default();
         self.demand = PerBand::default();
-        self.has_late_long_prompt =
+        self.has_starved_long_prompt =
             self.digests.values().any(|received| received.digest.long_prompts_starved);
         for received in self.digests.values() {
             for (sum, tokens) in self.queued.iter_mut().zip(received.digest.queued) {
--- a/crates/policy/src/adaptive/short_rate_limit.rs
+++ b/crates/policy/src/adaptive/short_rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits the rate of short prompts while long ones are late.
+//! Limits the rate of short prompts while long ones are starved.
 //!
 //! **Load pattern.** An engine is lost, or a campaign doubles the number of short prompts, while
 //! long prompts are in flight.
@@ -19,7 +19,8 @@
 //! alone, refused a tenth of the short calls of four instances at 80% load, because learned speeds
 //! err towards slow. What matters is whether long prompts make progress.
 
-/// Multiple of its predicted time to first token after which a long prompt counts as late.
+/// Multiple of its predicted time to first token after which a long prompt counts as
+/// starved.
 pub(super) const LATE_RATIO: f64 = 1.5;
 /// Seconds of grace added to it, for the shortest of the long prompts.
 pub(super) const LATE_GRACE_S: f64 = 1.0;
