--- a/crates/policy/src/adaptive/short_rate_limit.rs
+++ b/crates/policy/src/adaptive/short_rate_limit.rs
@@ -19,8 +19,7 @@
 //! alone, refused a tenth of the short calls of four instances at 80% load, because learned speeds
 //! err towards slow. What matters is whether long prompts make progress.
 
-/// Multiple of its predicted time to first token after which a long prompt counts as
-/// starved.
+/// Multiple of its predicted time to first token after which a long prompt counts as starved.
 pub(super) const LATE_RATIO: f64 = 1.5;
 /// Seconds of grace added to it, for the shortest of the long prompts.
 pub(super) const LATE_GRACE_S: f64 = 1.0;
