--- a/crates/policy/src/affinity/blocks.rs
+++ b/crates/policy/src/affinity/blocks.rs
@@ -1,19 +1,19 @@
-//! A bounded set of block hashes that forgets what was least recently touched.
+//! A bounded set of block hashes with approximate least-recently-used eviction.
 
 use std::{
     collections::HashMap,
     hash::{BuildHasherDefault, Hasher},
 };
 
-/// Two halves stand in for a queue of least recent use: what is touched goes into the young half;
-/// once that is full, the old half is dropped and the young one takes its place. Both tables
-/// together never hold more than `limit` blocks, and a touch costs one or two table operations.
+/// Two generations approximate an LRU list: a touched block goes into the young generation; once
+/// that is full, the old one is dropped and the young one takes its place. Both tables together
+/// never hold more than `limit` blocks, and a touch costs one or two table operations.
 #[derive(Debug)]
 pub(super) struct LruBlockSet {
     young: Generation,
     old: Generation,
     limit: usize,
-    /// Raised by each doubt; a block entered under an older one is doubtful.
+    /// Incremented whenever all blocks become uncertain; a block of an older epoch is uncertain.
     epoch: u32,
 }
 
@@ -37,18 +37,18 @@
         self.old.remove(&block);
     }
 
-    /// Whether the block is held for certain; none where it isn't held at all.
+    /// Whether the block is certainly cached; none if it isn't in the set.
     pub(super) fn is_certain(&self, block: u64) -> Option<bool> {
-        let entered = self.young.get(&block).or_else(|| self.old.get(&block))?;
-        Some(*entered == self.epoch)
+        let inserted_epoch = self.young.get(&block).or_else(|| self.old.get(&block))?;
+        Some(*inserted_epoch == self.epoch)
     }
 
     pub(super) fn mark_all_uncertain(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
     }
 
-    /// Lowers the limit, as more engines share the whole.
-    pub(super) fn limit(&mut self, limit: usize) {
+    /// Lowers the limit, as more engines share the total.
+    pub(super) fn lower_limit(&mut self, limit: usize) {
         self.limit = self.limit.min(limit);
         if self.len() > self.limit {
             self.old = Generation::default();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Passes block hashes through, as they are hashes already.
+/// Identity hasher, as block hashes are hashes already.
 #[derive(Debug, Default)]
 pub(super) struct BlockHasher(u64);
 
@@ -80,7 +80,7 @@
     }
 
     fn write_u64(&mut self, block: u64) {
-        // The upper half is folded in because the table uses the lowest and the highest bits only.
+        // The upper half is folded in because the table uses only the lowest and the highest bits.
         self.0 = block ^ (block >> 32);
     }
 
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -1,23 +1,24 @@
-//! Which engine likely has which prefix cached.
+//! Index of the prefixes that each engine likely has cached.
 //!
-//! **Load pattern.** Many prompts of a workspace begin alike (the same instructions, the same
-//! dossier asked about again). Engines cache prefixes in limited memory and tell of it late and
-//! with gaps.
+//! **Load pattern.** Many prompts of a workspace share a prefix (the same instructions, several
+//! questions about one long document). Engines cache prefixes in limited memory, and their cache
+//! events arrive late and with gaps.
 //!
-//! **Without it.** Each engine prefills the shared part anew; a hundred-thousand-token dossier
-//! asked about ten times is prefilled ten times. With a blind preference instead, all of it queues
-//! at one engine, and an index that trusts a gappy feed sends prompts to caches long evicted.
+//! **Without it.** Each engine prefills the shared part again; a document of a hundred thousand
+//! tokens with ten questions is prefilled ten times. Unconditional preference for the cache would
+//! queue all of them at one engine, and an index that trusts a feed with gaps sends prompts to
+//! caches evicted long ago.
 //!
-//! **Rule.** A block is expected where a cache event or an own send put it and nothing took it
-//! away. A gap in the events, or an answer that shows far less cached than expected, makes all
-//! blocks known before it doubtful: they count [`DOUBT`] of their size until seen again. Doubt
-//! only weakens the preference, since the blocks are probably still there. A new incarnation
-//! empties the engine's index. The preference bends to load because placement weighs only the
-//! prefill saved, not the holding as such; see [`crate::selection`].
+//! **Rule.** A block is expected to be cached if a cache event or a prompt sent by this instance
+//! put it there and no event evicted it. A gap in the events, or an answer that reports far less
+//! cached than expected, makes all blocks known before it uncertain: they count
+//! [`UNCERTAIN_WEIGHT`] of their size until seen again. They aren't discarded, since they are
+//! probably still cached. A new incarnation empties the engine's index. The cache doesn't override
+//! load, because placement weighs only the prefill time saved; see [`crate::selection`].
 //!
-//! **Grounds.** [`BLOCKS_PER_ENGINE`] blocks are 2 million tokens, more than an engine's memory as
-//! the brief gives it (the longest prompts, a million tokens, need more than twice one engine's);
-//! [`MAX_BLOCKS`] bounds the whole at about 40 MB of the daemon's 256 MB.
+//! **Grounds.** [`MAX_BLOCKS_PER_ENGINE`] blocks are 2 million tokens, more than an engine's
+//! specified memory (the longest prompts, a million tokens, need more than twice the memory of one
+//! engine). [`MAX_BLOCKS`] limits the whole index to about 40 MB of the daemon's 256 MB.
 
 mod blocks;
 
@@ -27,17 +28,17 @@
 
 use blocks::LruBlockSet;
 
-/// What a doubtful block counts, as a share of its size. One half: the engine either evicted it in
-/// the gap or didn't, and nothing tells which.
+/// Weight of an uncertain block, as a share of its size. One half, as nothing indicates whether the
+/// engine evicted it during the gap.
 pub const UNCERTAIN_WEIGHT: f64 = 0.5;
 
-/// The most blocks remembered for one engine.
+/// Maximum number of blocks kept for one engine.
 pub const MAX_BLOCKS_PER_ENGINE: usize = 8_192;
 
-/// The most blocks remembered in all, at some 40 bytes each in the hash tables.
+/// Maximum number of blocks kept in total, at about 40 bytes each in the hash tables.
 pub const MAX_BLOCKS: usize = 1 << 20;
 
-/// The likely content of each engine's prefix cache.
+/// The likely contents of each engine's prefix cache.
 #[derive(Debug, Default)]
 pub struct CacheIndex {
     engines: IndexMap<EndpointId, EngineCache>,
@@ -46,41 +47,43 @@
 #[derive(Debug)]
 struct EngineCache {
     incarnation: Incarnation,
-    /// The sequence number of the next event; none before the first event of this life.
-    next: Option<u64>,
+    /// Sequence number of the next expected event; none before the first event of this incarnation.
+    next_event: Option<u64>,
     blocks: LruBlockSet,
 }
 
 impl CacheIndex {
-    /// An index that knows nothing.
+    /// Creates an empty index.
     pub fn new() -> CacheIndex {
         CacheIndex::default()
     }
 
-    /// Takes note of what an engine says. Events of an older life are ignored, and so are events
-    /// that were taken note of before.
+    /// Applies an engine's cache events. Events of an older incarnation and events applied before
+    /// are ignored.
     pub fn apply(&mut self, events: &CacheEvents) {
         let Some(engine) = self.engine(&events.endpoint, events.incarnation) else {
             return;
         };
-        // The feed starts at the engine's first event; hearing it from the middle is a gap too.
-        let expected = engine.next.unwrap_or(0);
+        // The feed starts at the engine's first event; receiving it only from a later one is a gap
+        // too.
+        let expected = engine.next_event.unwrap_or(0);
         if events.from > expected {
             engine.blocks.mark_all_uncertain();
         }
-        let known = usize::try_from(expected.saturating_sub(events.from)).unwrap_or(usize::MAX);
-        for (block, stored) in events.events.iter().skip(known) {
+        let already_applied =
+            usize::try_from(expected.saturating_sub(events.from)).unwrap_or(usize::MAX);
+        for (block, stored) in events.events.iter().skip(already_applied) {
             if *stored {
                 engine.blocks.insert(*block);
             } else {
                 engine.blocks.remove(*block);
             }
         }
-        engine.next = Some(expected.max(events.from + events.events.len() as u64));
+        engine.next_event = Some(expected.max(events.from + events.events.len() as u64));
     }
 
-    /// Takes note that a prompt was sent to an engine, which will have cached it by the time that
-    /// another prompt of the same prefix gets there.
+    /// Records that a prompt was sent to an engine, which will have cached it by the time another
+    /// prompt with the same prefix arrives there.
     pub fn record_sent(&mut self, endpoint: &EndpointId, incarnation: Incarnation, prefix: &[u64]) {
         if let Some(engine) = self.engine(endpoint, incarnation) {
             prefix
@@ -90,8 +93,9 @@
         }
     }
 
-    /// Takes note of how much of a prompt an engine found cached. Less than half of what was
-    /// expected shows that events were lost, so the rest of the index is doubtful as well.
+    /// Records how much of a prompt an engine reported as cached. Less than half of the expected
+    /// amount shows that events were lost, so the rest of the engine's index becomes uncertain as
+    /// well.
     pub fn record_cached(&mut self, endpoint: &EndpointId, expected: Tokens, cached: Tokens) {
         if cached.0 * 2 < expected.0
             && let Some(engine) = self.engines.get_mut(endpoint)
@@ -100,36 +104,36 @@
         }
     }
 
-    /// How much of a prompt with these block hashes the engine likely has cached.
+    /// Prompt tokens with these block hashes that the engine likely has cached.
     pub fn expected_cached(&self, endpoint: &EndpointId, prefix: &[u64]) -> Tokens {
         let Some(engine) = self.engines.get(endpoint) else {
             return Tokens::ZERO;
         };
-        let held: f64 = prefix
+        let cached_blocks: f64 = prefix
             .iter()
             .map_while(|block| engine.blocks.is_certain(*block))
             .map(|certain| if certain { 1.0 } else { UNCERTAIN_WEIGHT })
             .sum();
-        Tokens((held * RequestSpec::PREFIX_BLOCK.0 as f64) as u64)
+        Tokens((cached_blocks * RequestSpec::PREFIX_BLOCK.0 as f64) as u64)
     }
 
-    /// Forgets an engine that is gone.
+    /// Drops the index of a removed engine.
     pub fn forget(&mut self, endpoint: &EndpointId) {
         self.engines.swap_remove(endpoint);
     }
 
-    /// How many blocks are remembered.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
         self.engines.values().map(|engine| engine.blocks.len()).sum()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The engine's index at `incarnation`: emptied where that is newer than the known one, none
-    /// where it is older.
+    /// The engine's index at `incarnation`: emptied if that is newer than the known one, none if it
+    /// is older.
     fn engine(
         &mut self,
         endpoint: &EndpointId,
@@ -137,14 +141,15 @@
     ) -> Option<&mut EngineCache> {
         if !self.engines.contains_key(endpoint) {
             let share = (MAX_BLOCKS / (self.engines.len() + 1)).min(MAX_BLOCKS_PER_ENGINE);
-            self.engines.values_mut().for_each(|engine| engine.blocks.limit(share));
-            let engine = EngineCache { incarnation, next: None, blocks: LruBlockSet::new(share) };
+            self.engines.values_mut().for_each(|engine| engine.blocks.lower_limit(share));
+            let engine =
+                EngineCache { incarnation, next_event: None, blocks: LruBlockSet::new(share) };
             self.engines.insert(endpoint.clone(), engine);
         }
         let engine = self.engines.get_mut(endpoint)?;
         if incarnation > engine.incarnation {
             engine.incarnation = incarnation;
-            engine.next = None;
+            engine.next_event = None;
             engine.blocks.clear();
         }
         (incarnation == engine.incarnation).then_some(engine)
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -1,19 +1,19 @@
-//! How many retries are affordable, and how long to wait before one.
+//! Retry budgets, and the back-off before a retry.
 //!
-//! **Load pattern.** An endpoint or a data centre fails or is full, and every request to it fails
-//! at once; callers send theirs again on top.
+//! **Load pattern.** An endpoint or a data centre fails or is overloaded, and every request to it
+//! fails at once; callers retry on top.
 //!
-//! **Without it.** Each layer's retries multiply: a fleet at 90% of its capacity that loses a
-//! quarter gets up to twice its load and serves nobody in time.
+//! **Without it.** The retries of each layer multiply: a fleet at 90% utilisation that loses a
+//! quarter of its capacity receives up to twice its load and serves no requests in time.
 //!
-//! **Rule.** A retry costs one unit from the budget of its workspace and one from that of the
-//! endpoint that failed; every success pays a share of a unit into both. A small allowance trickles
-//! in, so that a quiet site can retry at all. Waiting before a retry is drawn evenly from a span
-//! that doubles with each attempt. A request is never hedged: see [`Hedge`].
+//! **Rule.** A retry costs one unit of its workspace's budget and one of the failed endpoint's
+//! budget; each success adds a fraction of a unit to both. A low constant refill lets a site with
+//! little traffic retry at all. The back-off before a retry is drawn uniformly from a span that
+//! doubles with each attempt. Requests are never hedged: see [`Hedge`].
 //!
-//! **Grounds.** The share comes from the configuration (0.1 by default): at most a tenth on top of
-//! the load that succeeds. [`ALLOWANCE`] is one lost endpoint's worth of running requests at the
-//! letter's today sizes.
+//! **Grounds.** The fraction is configured (0.1 by default): retries add at most a tenth to the
+//! load that succeeds. [`INITIAL_BUDGET_UNITS`] corresponds to the running requests of one lost
+//! endpoint at the sites' present sizes.
 
 mod window;
 
@@ -26,27 +26,26 @@
 
 use crate::{EndpointId, Time, Workspace, backoff::full_jitter};
 
-/// The most units a budget can save up. A burst of failures larger than this is an outage, which
-/// retries don't mend.
+/// Maximum units of a budget. A larger burst of failures is an outage, which retries don't solve.
 pub const MAX_BUDGET_UNITS: f64 = 100.0;
 
-/// Units that a fresh budget starts with: one engine that dies with its batch may be retried whole
-/// even if nothing has succeeded yet.
+/// Units of a new budget: the whole batch of one engine that dies can be retried even if no request
+/// has succeeded yet.
 pub const INITIAL_BUDGET_UNITS: f64 = 20.0;
 
-/// Units that trickle in each second, for workspaces with a request now and then.
+/// Constant refill in units per second, for workspaces with only occasional requests.
 pub const REFILL_UNITS_PER_SECOND: f64 = 0.2;
 
-/// The first backoff is drawn from up to this span: some round trips within a region.
+/// Span of the first back-off: some round trips within a region.
 pub const FIRST_BACKOFF: Duration = Duration::from_millis(20);
 
-/// No backoff is drawn from a longer span, as the caller's deadline is running.
+/// Maximum span of a back-off, as the caller's deadline is running.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The most budgets of one kind that are kept; the one least recently used goes first.
+/// Maximum number of budgets of each kind; the least recently used is evicted first.
 pub const MAX_BUDGETS: usize = 8_192;
 
-/// The units that one workspace or endpoint has for retries.
+/// Retry budget of one workspace or endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     units: f64,
@@ -54,31 +53,31 @@
 }
 
 impl RetryBudget {
-    /// A fresh budget.
+    /// Creates a budget of [`INITIAL_BUDGET_UNITS`].
     pub fn new(now: Time) -> RetryBudget {
         RetryBudget { units: INITIAL_BUDGET_UNITS, updated: now }
     }
 
-    /// Pays in for a success.
+    /// Adds `share` of a unit for a success.
     pub fn succeeded(&mut self, share: f64) {
         self.units = (self.units + share).min(MAX_BUDGET_UNITS);
     }
 
-    /// Whether a retry can be paid for.
+    /// Refills the budget up to `now`; true if it has a unit for a retry.
     pub fn affords(&mut self, now: Time) -> bool {
-        let trickled = now.since(self.updated).as_secs_f64() * REFILL_UNITS_PER_SECOND;
-        self.units = (self.units + trickled).min(MAX_BUDGET_UNITS);
+        let refill = now.since(self.updated).as_secs_f64() * REFILL_UNITS_PER_SECOND;
+        self.units = (self.units + refill).min(MAX_BUDGET_UNITS);
         self.updated = self.updated.max(now);
         self.units >= 1.0
     }
 
-    /// Pays for a retry.
+    /// Deducts the unit of a retry.
     pub fn pay(&mut self) {
         self.units = (self.units - 1.0).max(0.0);
     }
 }
 
-/// All budgets of one instance.
+/// Retry budgets of all workspaces and endpoints on one instance.
 #[derive(Debug)]
 pub struct RetryBudgets {
     share: f64,
@@ -87,25 +86,25 @@
 }
 
 impl RetryBudgets {
-    /// Budgets into which each success pays `share` of a retry.
+    /// Creates budgets to which each success adds `share` of a retry.
     pub fn new(share: f64) -> RetryBudgets {
         RetryBudgets { share, workspaces: IndexMap::new(), endpoints: IndexMap::new() }
     }
 
-    /// Takes over a new share.
+    /// Sets the share of a retry that each success adds.
     pub fn configure(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Takes note of a success.
+    /// Adds to both budgets for a success.
     pub fn succeeded(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) {
         let share = self.share;
         budget(&mut self.workspaces, workspace, now).succeeded(share);
         budget(&mut self.endpoints, endpoint, now).succeeded(share);
     }
 
-    /// Pays for one retry after a failure at `endpoint`, from both budgets or from neither; false
-    /// where one of them is spent.
+    /// Deducts one retry after a failure at `endpoint`, from both budgets or from neither; false if
+    /// one of them is exhausted.
     pub fn pay(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) -> bool {
         let affordable = budget(&mut self.workspaces, workspace, now).affords(now)
             && budget(&mut self.endpoints, endpoint, now).affords(now);
@@ -126,33 +125,34 @@
     K: Clone + Eq + std::hash::Hash,
 {
     if !budgets.contains_key(key) && budgets.len() >= MAX_BUDGETS {
-        let stalest = budgets.values().enumerate().min_by_key(|(_, budget)| budget.updated);
-        if let Some(index) = stalest.map(|(index, _)| index) {
+        let least_recent = budgets.values().enumerate().min_by_key(|(_, budget)| budget.updated);
+        if let Some(index) = least_recent.map(|(index, _)| index) {
             budgets.swap_remove_index(index);
         }
     }
     budgets.entry(key.clone()).or_insert_with(|| RetryBudget::new(now))
 }
 
-/// How long to wait before attempt number `attempt` (2 is the first retry). Drawn evenly from the
-/// whole span, so that requests that failed together don't come back together.
+/// Back-off before attempt number `attempt` (2 is the first retry). It is drawn uniformly from the
+/// whole span, so that requests that failed together aren't retried together.
 pub fn backoff(attempt: u32, rng: &mut Rng) -> Duration {
     full_jitter(FIRST_BACKOFF, attempt.saturating_sub(2), MAX_BACKOFF, rng)
 }
 
-/// Whether a second attempt is started beside one that is slow. Off: a hedge adds a whole prefill
-/// to a fleet that is slow because it is loaded, and no measurement here has shown that it helps.
+/// Hedging: whether to start a second attempt while the first is slow. Off, because a hedge adds a
+/// whole prefill to a fleet that is slow because of load, and no measurement here has shown a
+/// benefit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Hedge {
-    /// Never.
+    /// Never hedges.
     #[default]
     Off,
-    /// After this long without a first token, if an endpoint stands idle.
+    /// Hedges after this long without a first token, if an endpoint is idle.
     IdleAfter(Duration),
 }
 
 impl Hedge {
-    /// Whether to hedge an attempt that is `elapsed` old and has no first token.
+    /// Whether to hedge an attempt that has run for `elapsed` without a first token.
     pub fn is_due(self, elapsed: Duration, idle_endpoint: bool) -> bool {
         match self {
             Hedge::Off => false,
--- a/crates/policy/src/retry/window.rs
+++ b/crates/policy/src/retry/window.rs
@@ -1,45 +1,46 @@
-//! How many repeats one instance may add within a sliding window.
+//! Limit of the retries that one instance may add within a sliding window.
 //!
-//! **Load pattern.** Endpoints fail at many requests at once, and every instance repeats them.
+//! **Load pattern.** Endpoints fail many requests at once, and every instance retries them.
 //!
-//! **Without it.** Repeats add up over instances that don't see each other: each stays within its
-//! own bound and all together overload what is left.
+//! **Without it.** Instances don't see each other's retries: each stays within its own limit, and
+//! all together overload the remaining endpoints.
 //!
-//! **Rule.** An instance may repeat a share of the first attempts that it made itself in the
-//! window, and its part of the free repeats that the operators allow to all. Both are counted by
-//! the second, and a second counts until the whole window has passed it.
+//! **Rule.** An instance may retry a share of the first attempts that it made itself in the window,
+//! plus its part of the constant allowance that operators grant to all instances. Both are counted
+//! per second, and a second counts until it has left the window completely.
 //!
-//! **Grounds.** Shares of one's own traffic add up to the share of all traffic without any message.
-//! [`CAUTION`] leaves room for instances that have just started and still believe to be alone.
+//! **Grounds.** Shares of each instance's own traffic add up to the share of all traffic without
+//! any communication. [`SAFETY_RATIO`] leaves room for instances that have just started and don't
+//! see the others yet.
 
 use std::collections::VecDeque;
 
 use crate::Time;
 
-/// The part of what is allowed that is used.
+/// Fraction of the permitted retries that is used.
 const SAFETY_RATIO: f64 = 0.6;
 
 #[derive(Debug, Clone, Copy)]
-struct Second {
+struct SecondCounts {
     number: u64,
     first_attempts: u32,
     retries: u32,
 }
 
-/// Counts one group's first attempts and repeats.
+/// Counts one endpoint group's first attempts and retries per second.
 #[derive(Debug, Default)]
 pub struct RetryWindow {
-    seconds: VecDeque<Second>,
+    seconds: VecDeque<SecondCounts>,
 }
 
-/// What operators allow over all instances.
+/// Limits of retries over all instances, as configured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryRules {
-    /// Repeats as a share of first attempts.
+    /// Retries as a share of first attempts.
     pub share: f64,
-    /// Repeats that are free in each window.
+    /// Retries permitted in each window in addition to the share.
     pub slack: f64,
-    /// The window in seconds.
+    /// Length of the window in seconds.
     pub window_s: u64,
 }
 
@@ -49,7 +50,8 @@
         self.second(now).first_attempts += 1;
     }
 
-    /// Counts a repeat if one is allowed, with `instances` sharing what is free.
+    /// Counts a retry and returns true, if it is permitted; `instances` share the constant
+    /// allowance.
     pub fn try_retry(&mut self, rules: &RetryRules, instances: usize, now: Time) -> bool {
         let oldest = (now.0 / 1_000_000).saturating_sub(rules.window_s);
         while self.seconds.front().is_some_and(|second| second.number < oldest) {
@@ -66,10 +68,10 @@
         true
     }
 
-    fn second(&mut self, now: Time) -> &mut Second {
+    fn second(&mut self, now: Time) -> &mut SecondCounts {
         let number = now.0 / 1_000_000;
         if self.seconds.back().is_none_or(|second| second.number != number) {
-            self.seconds.push_back(Second { number, first_attempts: 0, retries: 0 });
+            self.seconds.push_back(SecondCounts { number, first_attempts: 0, retries: 0 });
         }
         let last = self.seconds.len() - 1;
         &mut self.seconds[last]
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries stay a share of successes, whatever fails.
+//! Retry budgets limit retries to a share of successes, and the back-off is bounded.
 
 // Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
@@ -19,8 +19,8 @@
     EndpointId::new(name).unwrap()
 }
 
-/// What a user sees without a budget: one engine of four fails, each of its requests is sent three
-/// times more, and the other three engines, near their limit before, serve nobody in time.
+/// Guards against a retry storm: one engine of four fails, each of its requests is sent three more
+/// times, and the other three engines, close to their limit before, serve no requests in time.
 #[test]
 fn an_outage_gets_the_allowance_and_then_a_tenth_of_successes() {
     let mut budgets = RetryBudgets::new(0.1);
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! How many repeats one instance adds.
+//! Limit of the retries that one instance adds within a sliding window.
 
 use policy::{
     Time,
@@ -11,8 +11,8 @@
     (0..1_000).take_while(|_| window.try_retry(&RULES, instances, at)).count()
 }
 
-/// An engine dies under every request of four instances at once, and each repeats what it can. All
-/// together stay within what the operators allow.
+/// An engine dies under the requests of four instances at once, and each retries what it may.
+/// Together they stay within the operators' limit.
 #[test]
 fn four_instances_stay_within_the_budget_of_all() {
     let now = Time::from_millis(5_000);
@@ -35,8 +35,8 @@
     assert_eq!(allowed(&mut window, 4, Time::from_millis(13_000)), first);
 }
 
-/// Any second counts for a whole window, so a window that slides over two bursts sees no more than
-/// is allowed.
+/// A second counts for a whole window, so no position of the sliding window over two bursts
+/// contains more retries than permitted.
 #[test]
 fn no_span_of_a_window_holds_more() {
     let mut window = RetryWindow::default();
