--- a/crates/policy/src/digest.rs
+++ b/crates/policy/src/digest.rs
@@ -1,22 +1,24 @@
-//! Which part of its load an instance tells the others, and when.
+//! Selection of the load digest entries that an instance sends to its peers, and when.
 //!
-//! **Load pattern.** Each instance has work under way on up to some hundred endpoints and tells
-//! all its peers twice a second.
+//! **Load pattern.** Each instance has requests in flight on up to some hundred endpoints and
+//! updates all its peers twice a second.
 //!
-//! **Without it.** Whole digests twice a second, of an instance with 35 busy endpoints and 15
-//! peers, are 57 KB a second, where 3 KB are allowed. Telling everything less often would make the
-//! view so old that the instances herd.
+//! **Without it.** Sending whole digests twice a second takes 57 KB a second for an instance with
+//! 35 busy endpoints and 15 peers, where 3 KB are allowed. Sending everything less often would make
+//! the peers' views so old that the instances choose the same endpoints (thundering herd).
 //!
-//! **Rule.** Only entries are told whose change could alter a peer's choice: their effect on the
-//! predicted wait, in seconds, since they were last told. The greatest effects go first, those
-//! of queues that have become shorter before others, as many as the byte budget allows; the others
-//! keep and grow. Entries whose change stays below [`SMALLEST`] are told again once they are [`REFRESH`] old. A new link begins with the whole, and
-//! at least an empty part goes out each [`CONFIRM`]. The idea to stay silent where the other side's
-//! choice can't change is taken from the paper named in `docs/decisions/pubsub-paper.md`.
+//! **Rule.** Only entries whose change could alter a peer's choice are sent. Their effect is the
+//! change of the predicted wait since they were last sent. The largest effects go first, queues
+//! that have become shorter before others, as many as the byte budget allows; the effect of the
+//! others accumulates. Entries whose effect stays below [`MIN_EFFECT`] are sent again once they are
+//! [`REFRESH_INTERVAL`] old. A new link starts with a full digest, and at least an empty part is
+//! sent every [`CONFIRM_INTERVAL`]. Sending nothing while the receiver's choice can't change is an
+//! idea from the paper named in `docs/decisions/pubsub-paper.md`.
 //!
-//! **Grounds.** A budget that can't follow every queue goes to those that were told: one that is told
-//! once and not again looks full for seconds, which is worse than silence. [`SMALLEST`] is what
-//! placement can't tell apart; `docs/decisions/membership.md` has the bytes measured with and without.
+//! **Grounds.** A budget too small to follow every queue is spent on queues that were sent before:
+//! one that is sent once and never updated looks full for seconds, which is worse than not sending
+//! it. [`MIN_EFFECT`] is the difference that placement can't distinguish;
+//! `docs/decisions/membership.md` has the bytes measured with and without this selection.
 
 use std::time::Duration;
 
@@ -28,46 +30,47 @@
     report::{EndpointShare, WorkspaceShare},
 };
 
-/// Changes of the predicted wait below this aren't worth a message by themselves.
+/// Changes of the predicted wait below this aren't sent on their own.
 pub const MIN_EFFECT: Duration = Duration::from_millis(10);
 
-/// An entry that was told and has changed since, however little, is told again after this long.
+/// An entry with any change since it was last sent, however small, is sent again after this time.
 pub const REFRESH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where nothing changes, an empty part is told after this long: it confirms that the view still
-/// holds, without which receivers would have to drop the load of a quiet instance as outdated.
+/// Without changes, an empty part is sent after this time. It confirms that the peers' view is
+/// still valid; otherwise they would have to discard the load of a quiet instance as outdated.
 pub const CONFIRM_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What an entry is taken to need on the wire. Numbers take 3 bytes up to 65,535 and 5 above, so it
-/// is 27 bytes for a short queue and 33 for a long one; the long ones are told most.
+/// Estimated size of an entry on the wire. Numbers take 3 bytes up to 65,535 and 5 above, so it is
+/// 27 bytes for a short queue and 33 for a long one; long ones are sent most often.
 pub const ENTRY_BYTES: usize = 32;
 
-/// What a part needs besides its entries, with the frame that carries it.
+/// Size of a part without its entries, including the frame that carries it.
 pub const PART_OVERHEAD_BYTES: usize = 48;
 
-/// Entries that have to be affordable before a part is told, unless one can't wait: with a small
-/// budget, parts of a single entry would spend two thirds of it on themselves.
+/// Entries that the budget must allow before a part is sent, unless one is urgent: with a small
+/// budget, parts of a single entry would spend two thirds of it on overhead.
 const MIN_ENTRIES: usize = 4;
 
-/// Prefill speed assumed where none was learned, to weigh tokens against time.
+/// Prefill speed assumed while none is learned, to convert tokens to time.
 const DEFAULT_PREFILL_RATE: TokenRate = TokenRate(10_000.0);
 
-/// Work done weighs this much less than work that waits. Peers learn an engine's speed from it over
-/// 5 s, so what may stay untold, 40 ms of work of each of three peers, errs by 2.4%.
+/// Completed work has its effect divided by this. Peers learn an engine's speed from it over 5 s,
+/// so what may stay unsent, 40 ms of work of each of three peers, is an error of 2.4%.
 const PROGRESS_DIVISOR: u32 = 4;
 
-/// Work done never weighs more than this, however long it stays untold: with a small budget it
-/// would outgrow the queues in the end and take their place.
+/// Maximum effect of completed work, however long it stays unsent: with a small budget it would
+/// eventually outgrow the queues and take their place.
 const MAX_PROGRESS_EFFECT: Duration = Duration::from_millis(20);
 
-/// A queue that peers take to be longer than it is weighs so many times its effect: the error lasts
-/// until it is told, while a queue that they know nothing of drains by itself.
+/// Factor on the effect of a queue that peers overestimate: this error lasts until the update is
+/// sent, while a queue unknown to them drains by itself.
 const OVERSTATED_FACTOR: u32 = 8;
 
-/// Budget that may be saved up over a quiet time, so that a burst is told at once.
+/// Seconds' worth of unused budget that may accumulate, so that a burst is sent at once.
 const MAX_UNSPENT_SECONDS: f64 = 2.0;
 
-/// Chooses what to tell. One for each deployment, for all peers alike.
+/// Selects the parts to send. There is one for each deployment, and all peers receive the same
+/// parts.
 #[derive(Debug)]
 pub struct DigestSender {
     bytes_per_second: f64,
@@ -78,7 +81,7 @@
     totals: Option<SentTotals>,
 }
 
-/// What was last told besides the entries.
+/// What was last sent besides the entries.
 #[derive(Debug)]
 struct SentTotals {
     digest: LoadDigest,
@@ -93,7 +96,7 @@
 }
 
 impl DigestSender {
-    /// Tells at most so many bytes a second, averaged over some seconds.
+    /// Creates a sender with a budget of `bytes_per_second`, averaged over some seconds.
     pub fn new(bytes_per_second: u32, now: Time) -> DigestSender {
         let bytes_per_second = f64::from(bytes_per_second);
         DigestSender {
@@ -106,14 +109,13 @@
         }
     }
 
-    /// Takes over another budget, as links come and go.
+    /// Changes the budget, as links are added and removed.
     pub fn set_budget(&mut self, bytes_per_second: u32) {
         self.bytes_per_second = f64::from(bytes_per_second);
     }
 
-    /// The part of `digest` to tell now; it holds the entries that have changed. An endpoint or a
-    /// workspace that the digest no longer has is told once, as idle. None where nothing is worth
-    /// telling.
+    /// The part of `digest` to send now, with the changed entries. An endpoint or workspace that is
+    /// no longer in the digest is sent once, as idle. None if nothing is worth sending.
     pub fn next_part(&mut self, digest: &LoadDigest, now: Time) -> Option<LoadDigest> {
         self.refill(now);
         let mut changes = self.changes(digest, now);
@@ -143,7 +145,7 @@
         Some(part)
     }
 
-    /// All that was told, for a peer whose link is new.
+    /// All entries sent so far, for a peer with a new link.
     pub fn full_digest(&self, digest: &LoadDigest) -> LoadDigest {
         LoadDigest {
             endpoints: self.endpoints.values().map(|sent| sent.share.clone()).collect(),
@@ -152,14 +154,14 @@
         }
     }
 
-    /// Takes note of the part's totals. Suspicions are left out of it while they are unchanged:
-    /// their receivers keep them, and up to 64 of them would outweigh the load itself.
+    /// Records the totals as sent. Unchanged suspicions are removed from the part: receivers keep
+    /// them, and up to 64 of them would be larger than the load itself.
     fn record_totals(&mut self, part: &mut LoadDigest, now: Time) {
-        let known = self.totals.as_ref().filter(|sent| {
+        let last_sent = self.totals.as_ref().filter(|sent| {
             suspicion_keys(&sent.digest) == suspicion_keys(part)
                 && now.since(sent.suspicions_at) < REFRESH_INTERVAL
         });
-        let suspicions_at = known.map(|sent| sent.suspicions_at);
+        let suspicions_at = last_sent.map(|sent| sent.suspicions_at);
         let digest = part.clone();
         if suspicions_at.is_some() {
             part.suspicions.clear();
@@ -169,15 +171,15 @@
     }
 
     fn affordable_entries(&self) -> usize {
-        // A negative share of bytes becomes zero.
+        // A negative amount of bytes becomes zero.
         ((self.unspent_bytes - PART_OVERHEAD_BYTES as f64) / ENTRY_BYTES as f64) as usize
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.refilled_at).as_secs_f64() * self.bytes_per_second;
-        let least = (PART_OVERHEAD_BYTES + MIN_ENTRIES * ENTRY_BYTES) as f64;
-        let most = (self.bytes_per_second * MAX_UNSPENT_SECONDS).max(least);
-        self.unspent_bytes = (self.unspent_bytes + earned).min(most);
+        let refilled = now.since(self.refilled_at).as_secs_f64() * self.bytes_per_second;
+        let min_limit = (PART_OVERHEAD_BYTES + MIN_ENTRIES * ENTRY_BYTES) as f64;
+        let limit = (self.bytes_per_second * MAX_UNSPENT_SECONDS).max(min_limit);
+        self.unspent_bytes = (self.unspent_bytes + refilled).min(limit);
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -216,11 +218,11 @@
             Some(sent) => endpoint_effect(&sent.share, &share),
             None => endpoint_effect(&idle_endpoint(&share), &share),
         };
-        let stale = sent.is_some_and(|sent| now.since(sent.at) >= REFRESH_INTERVAL);
+        let needs_refresh = sent.is_some_and(|sent| now.since(sent.at) >= REFRESH_INTERVAL);
         let is_overstated =
             sent.is_some_and(|sent| sent.share.waiting_prefill > share.waiting_prefill);
         let entry = ChangedEntry::Endpoint(share);
-        (stale || effect >= MIN_EFFECT).then_some(Change { effect, is_overstated, entry })
+        (needs_refresh || effect >= MIN_EFFECT).then_some(Change { effect, is_overstated, entry })
     }
 
     fn workspace_change(&self, share: WorkspaceShare, now: Time) -> Option<Change> {
@@ -230,13 +232,13 @@
             Some(sent) => workspace_effect(&sent.share, &share),
             None => workspace_effect(&idle_workspace(&share), &share),
         };
-        let stale = sent.is_some_and(|sent| now.since(sent.at) >= REFRESH_INTERVAL);
+        let needs_refresh = sent.is_some_and(|sent| now.since(sent.at) >= REFRESH_INTERVAL);
         let is_overstated = sent.is_some_and(|sent| sent.share.waiting > share.waiting);
         let entry = ChangedEntry::Workspace(share);
-        (stale || effect >= MIN_EFFECT).then_some(Change { effect, is_overstated, entry })
+        (needs_refresh || effect >= MIN_EFFECT).then_some(Change { effect, is_overstated, entry })
     }
 
-    /// What is idle isn't remembered, so that endpoints and workspaces of the past take no room.
+    /// Idle entries aren't kept, so that former endpoints and workspaces take no memory.
     fn record_endpoint(&mut self, share: &EndpointShare, now: Time) {
         if *share == idle_endpoint(share) {
             self.endpoints.swap_remove(&share.endpoint);
@@ -257,29 +259,29 @@
 }
 
 impl SentTotals {
-    /// Whether the totals have to be told: what is known is old, or a peer's choice would be
-    /// another with what stands in the digest: which prompts wait for several
-    /// engines, how much waits in a band, what is suspected and where suspects run. The last is
-    /// repeated while it lasts, since receivers forget it soon.
+    /// Whether the totals have to be sent: the last ones are old, or a peer would choose
+    /// differently with this digest (which prompts wait for several engines, how much waits in a
+    /// band, what is suspected and where suspects run). Where suspects run is repeated, since
+    /// receivers drop it after [`PEER_SUSPECT_TTL`].
     fn is_due(&self, digest: &LoadDigest, now: Time) -> bool {
         let reserved_parts = |digest: &LoadDigest| -> Vec<_> {
             digest.pending_reservations.iter().map(|pending| pending.parts.clone()).collect()
         };
         let bands = self.digest.queued.iter().zip(&digest.queued);
-        let shifted = bands.map(|(old, new)| difference(*old, *new)).max().unwrap_or_default();
-        let repeat =
+        let queue_change = bands.map(|(old, new)| difference(*old, *new)).max().unwrap_or_default();
+        let must_repeat_suspects =
             !digest.suspect_endpoints.is_empty() && now.since(self.at) >= PEER_SUSPECT_TTL / 3;
-        repeat
+        must_repeat_suspects
             || now.since(self.at) >= CONFIRM_INTERVAL
             || self.digest.long_prompts_starved != digest.long_prompts_starved
             || self.digest.suspect_endpoints != digest.suspect_endpoints
             || suspicion_keys(&self.digest) != suspicion_keys(digest)
             || reserved_parts(&self.digest) != reserved_parts(digest)
-            || DEFAULT_PREFILL_RATE.span(shifted) >= MIN_EFFECT
+            || DEFAULT_PREFILL_RATE.span(queue_change) >= MIN_EFFECT
     }
 }
 
-/// What a digest says of suspicions apart from their ages.
+/// The suspicions of a digest, without their ages.
 fn suspicion_keys(digest: &LoadDigest) -> Vec<SuspicionKey> {
     let entries = digest.suspicions.iter();
     entries
@@ -292,13 +294,13 @@
 
 struct Change {
     effect: Duration,
-    /// Peers take the queue to be longer than it is.
+    /// Peers overestimate the queue.
     is_overstated: bool,
     entry: ChangedEntry,
 }
 
 impl Change {
-    /// What is told first.
+    /// Entries with higher urgency are sent first.
     fn urgency(&self) -> Duration {
         match self.is_overstated {
             true => self.effect.saturating_mul(OVERSTATED_FACTOR),
@@ -312,8 +314,8 @@
     Workspace(WorkspaceShare),
 }
 
-/// How much later a peer would see the endpoint free. An ejection or a new life is worth a
-/// message at once, since it turns the choice whatever the load.
+/// The change of a peer's predicted wait. An ejection or a new incarnation is always urgent, since
+/// it changes the choice regardless of load.
 fn endpoint_effect(sent: &EndpointShare, share: &EndpointShare) -> Duration {
     if sent.incarnation != share.incarnation || sent.ejected != share.ejected {
         return Duration::MAX;
@@ -330,8 +332,8 @@
     DEFAULT_PREFILL_RATE.span(difference(sent.waiting, share.waiting).max(served))
 }
 
-fn difference(one: Tokens, other: Tokens) -> Tokens {
-    Tokens(one.0.abs_diff(other.0))
+fn difference(left: Tokens, right: Tokens) -> Tokens {
+    Tokens(left.0.abs_diff(right.0))
 }
 
 fn idle_endpoint(share: &EndpointShare) -> EndpointShare {
@@ -350,43 +352,44 @@
     WorkspaceShare { waiting: Tokens::ZERO, served: TokenRate(0.0), ..share.clone() }
 }
 
-/// Puts the parts of another instance's digest together again.
+/// Reassembles another instance's digest from its parts.
 #[derive(Debug, Default)]
 pub struct DigestReceiver {
-    whole: Option<LoadDigest>,
+    digest: Option<LoadDigest>,
 }
 
 impl DigestReceiver {
-    /// Nothing was heard yet.
+    /// Creates a receiver without a digest.
     pub fn new() -> DigestReceiver {
         DigestReceiver::default()
     }
 
-    /// Takes in a part and gives the whole as known now; none where the part is older than what is
-    /// known.
+    /// Merges a part and returns the updated digest; none if the part is older than the current
+    /// state.
     pub fn merge(&mut self, part: LoadDigest) -> Option<&LoadDigest> {
-        let Some(whole) = &mut self.whole else {
-            return Some(self.whole.insert(part));
+        let Some(digest) = &mut self.digest else {
+            return Some(self.digest.insert(part));
         };
         let (current, received) =
-            ((whole.incarnation, whole.sequence), (part.incarnation, part.sequence));
+            ((digest.incarnation, digest.sequence), (part.incarnation, part.sequence));
         if received <= current {
             return None;
         }
-        if part.incarnation > whole.incarnation {
-            return Some(self.whole.insert(part));
+        if part.incarnation > digest.incarnation {
+            return Some(self.digest.insert(part));
         }
-        // Suspicions state ages as of their sending, so old ones mustn't be taken in again.
+        // The ages of suspicions are relative to when they were sent, so older ones must not be
+        // imported again.
         let suspicions = part.suspicions.clone();
-        merge_parts(whole, part);
-        whole.suspicions = suspicions;
-        whole.endpoints.retain(|share| *share != idle_endpoint(share));
-        whole.workspaces.retain(|share| *share != idle_workspace(share));
-        self.whole.as_ref()
+        merge_parts(digest, part);
+        digest.suspicions = suspicions;
+        digest.endpoints.retain(|share| *share != idle_endpoint(share));
+        digest.workspaces.retain(|share| *share != idle_workspace(share));
+        self.digest.as_ref()
     }
 }
 
-/// Lays a newer part over an older one of the same life.
+/// Merges a newer part into an older one of the same incarnation.
 pub fn merge_parts(older: &mut LoadDigest, newer: LoadDigest) {
     let endpoints = std::mem::take(&mut older.endpoints).into_iter().chain(newer.endpoints);
     let workspaces = std::mem::take(&mut older.workspaces).into_iter().chain(newer.workspaces);
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,20 +1,22 @@
-//! Which instance reads a source for others, and how fresh that makes what they know.
+//! Which instance reads a log for the others, and how fresh their knowledge of it is as a result.
 //!
 //! **Load pattern.** Every instance follows the same log of configurations and endpoints.
 //!
-//! **Without it.** The log's calls grow with the instances: at three hundred and fifty they are all that
-//! it takes. And an instance that alone can't reach the log refuses everybody, while its peers have
-//! read it a moment ago.
+//! **Without it.** Calls to the log grow with the number of instances: 350 instances use up its
+//! whole capacity. And a single instance that can't reach the log refuses all requests, although
+//! its peers have just read it.
 //!
-//! **Rule.** An instance asks a peer up to where it has read and how long ago that was true. What it
-//! knows itself is as fresh as that, counted from the moment of its own question, unless the peer has
-//! read further; then it reads for itself. All ask the instances that come first among the live ones
-//! ([`readers`]); whose turn it is reads. There is no election and no lease: two readers do no harm, and
-//! who hears nothing fresh reads for itself.
+//! **Rule.** An instance queries a peer for the position up to which it has read the log, and for
+//! how long ago that was the end. If the peer hasn't read further, the instance's own state is as
+//! fresh as that, counted from when it sent its query; otherwise it reads the log itself. All
+//! instances query the first ones among the live instances ([`query_targets`]); an instance without
+//! query targets reads the log. There is no election and no lease: two readers do no harm, and an
+//! instance that receives no fresh reply reads the log itself.
 //!
-//! **Grounds.** No clocks are compared and no word is believed that wasn't asked for, so neither a
-//! datagram that waits in a suspended instance's socket nor a suspended peer makes anything look fresher
-//! than it is: an age is told after the question was sent, and on a clock that counts suspends.
+//! **Grounds.** Clocks of different instances are never compared, and unsolicited replies are
+//! ignored. So neither a datagram that waits in a suspended instance's socket nor a suspended peer
+//! can make stale state look fresh: an age is stated after the query was sent, and measured by a
+//! clock that includes time suspended.
 
 use std::{fmt, time::Duration};
 
@@ -22,15 +24,15 @@
 
 use crate::{DataCentre, InstanceId};
 
-/// Live instances up to which one reads for all; of more, one in each data centre does, so that no
-/// instance answers more than some dozens.
+/// Maximum number of live instances for which a single one reads the log. With more, one per data
+/// centre reads it, so that no instance has to answer more than some dozens.
 const MAX_INSTANCES_WITH_ONE_READER: usize = 8;
 
-/// Instances that are asked before one reads for itself: the first, and the next where that one is
-/// cut off from the source.
+/// Instances queried before reading the log itself: the first, and a second one in case the first
+/// is cut off from the log.
 pub const MAX_QUERIED_INSTANCES: usize = 2;
 
-/// Up to where a log has been read: the first offset that isn't known.
+/// Position up to which a log has been read: the first unread offset.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -42,16 +44,16 @@
     }
 }
 
-/// What an instance knows of a log.
+/// How current an instance's knowledge of a log is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freshness {
-    /// Nothing was there at this position or beyond.
+    /// The log had no entry at this position or beyond.
     pub position: Position,
-    /// How long ago that was so at least, when it was told.
+    /// Maximum time since then, as of when this was sent.
     pub age: Duration,
 }
 
-/// What a peer's answer says of one's own knowledge.
+/// Result of comparing a peer's freshness with one's own position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FreshnessCheck {
     /// Nothing was missing this long ago.
@@ -61,54 +63,60 @@
 }
 
 impl Freshness {
-    /// What it says of an instance that has read up to `mine` and asked `since_asked` ago, by a clock that
-    /// counts suspends.
-    pub fn check(&self, mine: Position, since_query: Duration) -> FreshnessCheck {
-        match self.position > mine {
+    /// Compares this reply with an instance that has read up to `own_position` and sent its query
+    /// `since_query` ago, on a clock that includes time suspended.
+    pub fn check(&self, own_position: Position, since_query: Duration) -> FreshnessCheck {
+        match self.position > own_position {
             true => FreshnessCheck::Behind,
             false => FreshnessCheck::Complete(self.age_after(since_query)),
         }
     }
 
-    /// How old it is at most, `since_asked` after the question: it was told later than that, and was true
-    /// so long before.
+    /// Maximum age of this reply, `since_query` after the query was sent: the age was stated later
+    /// than that.
     pub fn age_after(&self, since_query: Duration) -> Duration {
         self.age + since_query
     }
 }
 
-/// Whom `me` asks, in this order, before it reads for itself; none where it is its own turn.
+/// The instances that `me` queries, in this order, before it reads the log itself; none if it is
+/// the reader.
 pub fn query_targets(
     me: &InstanceId,
-    here: &DataCentre,
+    own_data_centre: &DataCentre,
     others: &[(InstanceId, DataCentre)],
 ) -> Vec<InstanceId> {
-    let mut before: Vec<InstanceId> =
-        reader_candidates(here, others).filter(|instance| *instance < me).cloned().collect();
-    before.sort();
-    before.truncate(MAX_QUERIED_INSTANCES);
-    before
+    let mut targets: Vec<InstanceId> = reader_candidates(own_data_centre, others)
+        .filter(|instance| *instance < me)
+        .cloned()
+        .collect();
+    targets.sort();
+    targets.truncate(MAX_QUERIED_INSTANCES);
+    targets
 }
 
-/// How many instances retry a lost source together with `me`, itself included. The one that reads for the
-/// others shares with nobody: they wait for it.
+/// How many instances retry an unavailable log together with `me`, itself included. A reader shares
+/// its retries with no other, because the others wait for it.
 pub fn retry_group_size(
     me: &InstanceId,
-    here: &DataCentre,
+    own_data_centre: &DataCentre,
     others: &[(InstanceId, DataCentre)],
 ) -> usize {
-    match reader_candidates(here, others).any(|instance| instance < me) {
-        true => 1 + reader_candidates(here, others).count(),
+    match reader_candidates(own_data_centre, others).any(|instance| instance < me) {
+        true => 1 + reader_candidates(own_data_centre, others).count(),
         false => 1,
     }
 }
 
-/// The instances among which one reads for all.
+/// The instances one of which reads the log for all: everyone in a small site, otherwise those of
+/// the data centre.
 fn reader_candidates<'a>(
-    here: &'a DataCentre,
+    own_data_centre: &'a DataCentre,
     others: &'a [(InstanceId, DataCentre)],
 ) -> impl Iterator<Item = &'a InstanceId> {
-    let all = others.len() < MAX_INSTANCES_WITH_ONE_READER;
-    let near = others.iter().filter(move |(_, data_centre)| all || data_centre == here);
-    near.map(|(instance, _)| instance)
+    let is_small_site = others.len() < MAX_INSTANCES_WITH_ONE_READER;
+    let candidates = others
+        .iter()
+        .filter(move |(_, data_centre)| is_small_site || data_centre == own_data_centre);
+    candidates.map(|(instance, _)| instance)
 }
--- a/crates/policy/src/report.rs
+++ b/crates/policy/src/report.rs
@@ -1,4 +1,4 @@
-//! What endpoints and other instances tell about load, always late.
+//! Load and cache reports from endpoints, and load digests from other instances; always delayed.
 
 use std::time::Duration;
 
@@ -6,74 +6,76 @@
 
 use crate::{EndpointId, Incarnation, InstanceId, Time, TokenRate, Tokens, Workspace, quarantine};
 
-/// An endpoint's own report of its load. It lags: `taken` says which of our sends it can include.
+/// An endpoint's report of its load. It is delayed: `taken` determines which of this instance's
+/// sends it can include.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Who reports.
+    /// The reporting endpoint.
     pub endpoint: EndpointId,
-    /// The life of the endpoint that reports.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When the figures were taken, on the receiver's clock (receipt less the stated age).
+    /// When the figures were taken, on the receiver's clock (time of receipt minus the stated age).
     pub taken: Time,
-    /// Memory for KV cache in all; zero for a plain service.
+    /// Total KV cache memory; zero for a plain service.
     pub kv_total: Tokens,
-    /// Memory held by running requests, reservations, imports and exports.
+    /// KV cache memory used by running requests, reservations, imports and exports.
     pub kv_used: Tokens,
-    /// Prompt tokens accepted but not yet prefilled, from all instances.
+    /// Accepted prompt tokens that aren't prefilled yet, from all instances.
     pub waiting_prefill: Tokens,
-    /// Requests running or waiting there, from all instances.
+    /// Running and queued requests, from all instances.
     pub running: u32,
-    /// The endpoint asks for no new work.
+    /// Whether the endpoint is leaving and asks for no new requests.
     pub leaving: bool,
 }
 
-/// What an engine says about prefixes in its cache since the event numbered `from`.
+/// An engine's prefix cache events from the one numbered `from`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The engine.
+    /// Id of the engine.
     pub endpoint: EndpointId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Sequence number of the first event here. A number above the one expected is a gap.
+    /// Sequence number of the first event here. A higher number than expected means a gap.
     pub from: u64,
     /// Block hashes stored (`true`) or evicted (`false`), in order.
     pub events: Vec<(u64, bool)>,
 }
 
-/// One instance's own part of the load, told to the other instances.
+/// One instance's own part of the load, sent to the other instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Who tells.
+    /// The sending instance.
     pub instance: InstanceId,
-    /// The life of the instance that tells.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Rises with every digest of one incarnation; an older one that arrives late is ignored.
+    /// Increases with every digest of one incarnation, so that receivers can ignore outdated ones.
     pub sequence: u64,
-    /// What this instance has under way on each endpoint.
+    /// This instance's requests in flight, by endpoint.
     pub endpoints: Vec<EndpointShare>,
-    /// What each workspace has waiting and what it was served here, for fair shares across
-    /// instances. Only workspaces with recent traffic.
+    /// Waiting and recently served tokens of each workspace, for fair shares across instances. Only
+    /// workspaces with recent traffic.
     pub workspaces: Vec<WorkspaceShare>,
-    /// Prompt tokens that wait on this instance and weren't sent yet, by band of prompt length.
+    /// Prompt tokens queued on this instance and not yet sent to an endpoint, by prompt length
+    /// band.
     pub queued: [Tokens; BANDS],
-    /// Prompt tokens a second admitted here of late, by band of prompt length.
+    /// Prompt tokens recently admitted here per second, by prompt length band.
     pub demand: [TokenRate; BANDS],
     /// Prompts that wait here for the memory of several engines, longest wait first.
     pub pending_reservations: Vec<PendingReservation>,
     /// Whether a long prompt of this instance is starved by short ones.
     pub long_prompts_starved: bool,
-    /// Fingerprints under suspicion of crashing endpoints, and those refused for it; at most
+    /// Fingerprints suspected of crashing endpoints, and those refused for it; at most
     /// [`LoadDigest::MAX_ENTRIES`], so that a digest stays small.
     pub suspicions: Vec<quarantine::Entry>,
-    /// Where this instance runs a suspect, so that others keep theirs away.
+    /// Endpoints on which this instance runs a suspect, so that others don't send theirs there.
     pub suspect_endpoints: Vec<EndpointId>,
 }
 
 impl LoadDigest {
-    /// The most entries of each kind that one digest tells.
+    /// Maximum number of entries of each kind in one digest.
     pub const MAX_ENTRIES: usize = 64;
 
-    /// A digest that tells of no load.
+    /// Creates a digest without load.
     pub fn idle(instance: InstanceId, incarnation: Incarnation, sequence: u64) -> LoadDigest {
         LoadDigest {
             instance,
@@ -91,8 +93,8 @@
     }
 }
 
-/// Bands of prompt length that load is counted in, because an engine serves shorter bands first.
-/// The first band holds the short prompts.
+/// Number of prompt length bands in which load is counted, because an engine serves shorter bands
+/// first. The first band holds the short prompts.
 pub const BANDS: usize = 4;
 
 /// A prompt that waits for the memory of several engines.
@@ -100,38 +102,38 @@
 pub struct PendingReservation {
     /// How long it has waited.
     pub waited: Duration,
-    /// What it needs of which engine, in the order of their ids.
+    /// Memory that it needs on each engine, in the order of their ids.
     pub parts: Vec<PendingReservationPart>,
 }
 
-/// Memory wished for on one engine.
+/// Memory needed on one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PendingReservationPart {
-    /// The engine.
+    /// Id of the engine.
     pub endpoint: EndpointId,
-    /// How much.
+    /// KV cache memory.
     pub tokens: Tokens,
 }
 
 /// One instance's part of one endpoint's load.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointShare {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// The life it was sent to.
+    /// Incarnation of the endpoint to which the requests were sent.
     pub incarnation: Incarnation,
     /// Prompt tokens sent and, as far as is known, not yet prefilled.
     pub waiting_prefill: Tokens,
-    /// The same by band of prompt length.
+    /// `waiting_prefill` by prompt length band.
     pub waiting_bands: [Tokens; BANDS],
-    /// Requests under way.
+    /// Requests in flight.
     pub running: u32,
-    /// Estimated memory that they hold.
+    /// KV cache memory that these requests use, estimated.
     pub held: Tokens,
-    /// Prompt tokens that were prefilled there for this instance in the endpoint's present life,
-    /// ever. Their rise over all instances gives the engine's speed while it is never idle.
+    /// Total prompt tokens prefilled for this instance in the endpoint's present incarnation. Its
+    /// increase over all instances gives the engine's speed while it is never idle.
     pub prefilled: Tokens,
-    /// Prefill speed as learned here; zero where nothing was learned.
+    /// Prefill speed as learned here; zero if none was learned.
     pub prefill_rate: TokenRate,
     /// Whether this instance has ejected the endpoint.
     pub ejected: bool,
@@ -140,10 +142,10 @@
 /// One workspace's traffic on one instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceShare {
-    /// The workspace.
+    /// Id of the workspace.
     pub workspace: Workspace,
-    /// Weighted tokens that wait here.
+    /// Weighted tokens waiting here.
     pub waiting: Tokens,
-    /// Weighted tokens a second served here of late.
+    /// Weighted tokens recently served here per second.
     pub served: TokenRate,
 }
--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -13,7 +13,7 @@
     EndpointId::new(&format!("e{n}")).unwrap()
 }
 
-fn cache_events(incarnation: u64, from: u64, events: &[(u64, bool)]) -> CacheEvents {
+fn feed(incarnation: u64, from: u64, events: &[(u64, bool)]) -> CacheEvents {
     let events = events.to_vec();
     CacheEvents { endpoint: endpoint(0), incarnation: Incarnation(incarnation), from, events }
 }
@@ -21,11 +21,11 @@
 const STORED: &[(u64, bool)] = &[(1, true), (2, true), (3, true), (4, true)];
 
 macro_rules! expects {
-    ($($case:ident: $cache_events:expr => $tokens:expr;)*) => {$(
+    ($($case:ident: $feeds:expr => $tokens:expr;)*) => {$(
         #[test]
         fn $case() {
             let mut index = CacheIndex::new();
-            for events in $cache_events {
+            for events in $feeds {
                 index.apply(&events);
             }
             assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 3, 4]), Tokens($tokens));
@@ -34,18 +34,18 @@
 }
 
 expects! {
-    stored_blocks_are_expected: [cache_events(1, 0, STORED)] => 1024;
-    a_prefix_ends_at_the_first_missing_block: [cache_events(1, 0, STORED), cache_events(1, 4, &[(2, false)])] => 256;
-    a_gap_halves_what_was_known: [cache_events(1, 0, STORED), cache_events(1, 9, &[])] => 512;
-    a_gap_leaves_news_after_it_certain: [cache_events(1, 0, STORED), cache_events(1, 9, &[(1, true)])] => 640;
-    a_second_gap_takes_no_more: [cache_events(1, 0, STORED), cache_events(1, 9, &[]), cache_events(1, 20, &[])] => 512;
-    a_feed_heard_from_the_middle_is_a_gap: [cache_events(1, 7, STORED)] => 1024;
-    a_new_life_empties_the_index: [cache_events(1, 0, STORED), cache_events(2, 0, &[])] => 0;
-    an_older_life_is_ignored: [cache_events(2, 0, &[]), cache_events(1, 0, STORED)] => 0;
+    stored_blocks_are_expected: [feed(1, 0, STORED)] => 1024;
+    a_prefix_ends_at_the_first_missing_block: [feed(1, 0, STORED), feed(1, 4, &[(2, false)])] => 256;
+    a_gap_halves_what_was_known: [feed(1, 0, STORED), feed(1, 9, &[])] => 512;
+    a_gap_leaves_news_after_it_certain: [feed(1, 0, STORED), feed(1, 9, &[(1, true)])] => 640;
+    a_second_gap_takes_no_more: [feed(1, 0, STORED), feed(1, 9, &[]), feed(1, 20, &[])] => 512;
+    a_feed_heard_from_the_middle_is_a_gap: [feed(1, 7, STORED)] => 1024;
+    a_new_life_empties_the_index: [feed(1, 0, STORED), feed(2, 0, &[])] => 0;
+    an_older_life_is_ignored: [feed(2, 0, &[]), feed(1, 0, STORED)] => 0;
     repeated_news_change_nothing:
-        [cache_events(1, 0, STORED), cache_events(1, 4, &[(1, false)]), cache_events(1, 0, STORED)] => 0;
+        [feed(1, 0, STORED), feed(1, 4, &[(1, false)]), feed(1, 0, STORED)] => 0;
     overlapping_news_count_once:
-        [cache_events(1, 0, STORED), cache_events(1, 4, &[(1, false)]), cache_events(1, 3, &[(4, true), (1, false), (1, true)])]
+        [feed(1, 0, STORED), feed(1, 4, &[(1, false)]), feed(1, 3, &[(4, true), (1, false), (1, true)])]
         => 1024;
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn an_answer_that_shows_little_cached_raises_doubt() {
     let mut index = CacheIndex::new();
-    index.apply(&cache_events(1, 0, STORED));
+    index.apply(&feed(1, 0, STORED));
     index.record_cached(&endpoint(0), Tokens(1024), Tokens(1000));
     assert_eq!(index.expected_cached(&endpoint(0), &[1, 2, 3, 4]), Tokens(1024));
     index.record_cached(&endpoint(0), Tokens(1024), Tokens(100));
@@ -94,7 +94,7 @@
         let mut index = CacheIndex::new();
         let events: Vec<(u64, bool)> = blocks.iter().map(|b| (u64::from(b / 2), b % 2 == 0)).collect();
         for (incarnation, from) in starts {
-            index.apply(&cache_events(incarnation.into(), from.into(), &events));
+            index.apply(&feed(incarnation.into(), from.into(), &events));
         }
         index.expected_cached(&endpoint(0), &[1, 2, 3]) <= Tokens(768)
     }
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which part of the load is told, and what the other side makes of it.
+//! Which entries of the load are sent, and the view that the receiver builds from them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -36,30 +36,30 @@
     Time::from_millis(millis)
 }
 
-/// What is told of `second` after `first` was told half a second before.
-fn told(
+/// The entries sent for `second` after `first` was sent `gap` before.
+fn sent_entries(
     first: Vec<EndpointShare>,
     second: Vec<EndpointShare>,
     gap: Duration,
 ) -> Vec<EndpointShare> {
-    let mut teller = DigestSender::new(100_000, at(0));
-    teller.next_part(&digest(1, first), at(0));
-    let part = teller.next_part(&digest(2, second), at(0) + gap);
+    let mut sender = DigestSender::new(100_000, at(0));
+    sender.next_part(&digest(1, first), at(0));
+    let part = sender.next_part(&digest(2, second), at(0) + gap);
     part.map(|part| part.endpoints).unwrap_or_default()
 }
 
 const SOON: Duration = Duration::from_millis(500);
 
-macro_rules! tells {
+macro_rules! sends {
     ($($case:ident: $first:expr, then $second:expr, after $gap:expr => $count:expr;)*) => {$(
         #[test]
         fn $case() {
-            assert_eq!(told($first, $second, $gap).len(), $count);
+            assert_eq!(sent_entries($first, $second, $gap).len(), $count);
         }
     )*};
 }
 
-tells! {
+sends! {
     nothing_where_nothing_changed: vec![share(1, 9_000)], then vec![share(1, 9_000)], after REFRESH_INTERVAL => 0;
     nothing_where_the_change_is_too_small: vec![share(1, 9_000)], then vec![share(1, 9_050)], after SOON => 0;
     a_small_change_after_a_while: vec![share(1, 9_000)], then vec![share(1, 9_050)], after REFRESH_INTERVAL => 1;
@@ -75,45 +75,46 @@
         then vec![EndpointShare { incarnation: Incarnation(2), ..share(1, 9_000) }], after SOON => 1;
 }
 
-/// What a user sees without it: after ten quiet seconds a long queue elsewhere is forgotten, and
-/// requests are sent behind it.
+/// Guards against outdated views: after ten seconds without a change, peers would drop a long queue
+/// and send requests to it.
 #[test]
 fn an_unchanged_view_is_confirmed() {
-    let mut teller = DigestSender::new(100_000, at(0));
-    let mut listener = DigestReceiver::new();
-    let mut heard = Vec::new();
+    let mut sender = DigestSender::new(100_000, at(0));
+    let mut receiver = DigestReceiver::new();
+    let mut received = Vec::new();
     for period in 0..60 {
         let load = digest(period + 1, vec![share(1, 900_000)]);
-        if let Some(part) = teller.next_part(&load, at(500 * period)) {
-            assert_eq!(listener.merge(part).unwrap().endpoints, [share(1, 900_000)]);
-            heard.push(500 * period);
+        if let Some(part) = sender.next_part(&load, at(500 * period)) {
+            assert_eq!(receiver.merge(part).unwrap().endpoints, [share(1, 900_000)]);
+            received.push(500 * period);
         }
     }
-    assert!(heard.windows(2).all(|pair| pair[1] - pair[0] == 2_000), "{heard:?}");
-    assert_eq!(heard.len(), 15);
+    assert!(received.windows(2).all(|pair| pair[1] - pair[0] == 2_000), "{received:?}");
+    assert_eq!(received.len(), 15);
 }
 
 #[test]
 fn the_greatest_changes_go_first_within_the_budget() {
-    let mut teller = DigestSender::new((PART_OVERHEAD_BYTES + ENTRY_BYTES * 4) as u32, at(0));
+    let mut sender = DigestSender::new((PART_OVERHEAD_BYTES + ENTRY_BYTES * 4) as u32, at(0));
     let load: Vec<EndpointShare> = (0..100).map(|n| share(n, 1_000 * n as u64)).collect();
-    let part = teller.next_part(&digest(1, load), at(0)).unwrap();
-    let told: Vec<String> = part.endpoints.iter().map(|s| s.endpoint.to_string()).collect();
-    assert_eq!(told[..2], ["e99", "e98"]);
-    assert!(told.len() <= 10, "{told:?}");
+    let part = sender.next_part(&digest(1, load), at(0)).unwrap();
+    let endpoints: Vec<String> = part.endpoints.iter().map(|s| s.endpoint.to_string()).collect();
+    assert_eq!(endpoints[..2], ["e99", "e98"]);
+    assert!(endpoints.len() <= 10, "{endpoints:?}");
 }
 
-/// A peer that hears every part ends with the same view, whatever the budget held back meanwhile.
+/// A peer that receives every part ends with the same view, whatever the budget held back
+/// meanwhile.
 #[test]
 fn the_parts_add_up_to_the_whole() {
     for seed in 0..20 {
         let mut rng = Rng::with_seed(seed);
-        let mut teller = DigestSender::new(400, at(0));
-        let mut listener = DigestReceiver::new();
+        let mut sender = DigestSender::new(400, at(0));
+        let mut receiver = DigestReceiver::new();
         let mut load = BTreeMap::new();
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         for step in 0..400_u64 {
-            // Changes stop in the end, so that the last ones can be told.
+            // Changes stop halfway, so that the last ones can be sent.
             if step < 200 {
                 let (n, waiting) = (rng.usize(..30), rng.u64(..50_000));
                 if rng.bool() {
@@ -128,57 +129,62 @@
                 waiting: Tokens(1_000 * (step.min(200) % 7)),
                 served: TokenRate(0.0),
             }];
-            if let Some(part) = teller.next_part(&whole, at(500 * step)) {
-                heard = listener.merge(part).unwrap().endpoints.clone();
+            if let Some(part) = sender.next_part(&whole, at(500 * step)) {
+                received = receiver.merge(part).unwrap().endpoints.clone();
             }
         }
-        heard.sort_by_key(|share| share.endpoint.as_str()[1..].parse::<usize>().unwrap());
-        assert_eq!(heard, load.into_values().collect::<Vec<_>>());
+        received.sort_by_key(|share| share.endpoint.as_str()[1..].parse::<usize>().unwrap());
+        assert_eq!(received, load.into_values().collect::<Vec<_>>());
     }
 }
 
 #[test]
 fn late_parts_and_older_lives_are_ignored() {
-    let mut listener = DigestReceiver::new();
-    let life = |life, part: LoadDigest| LoadDigest { incarnation: Incarnation(life), ..part };
-    assert!(listener.merge(life(2, digest(5, vec![share(1, 10)]))).is_some());
-    assert!(listener.merge(life(2, digest(4, vec![share(1, 99)]))).is_none());
-    assert!(listener.merge(life(1, digest(9, vec![share(1, 99)]))).is_none());
-    let fresh = listener.merge(life(3, digest(1, vec![share(2, 7)]))).unwrap();
+    let mut receiver = DigestReceiver::new();
+    let at_incarnation = |incarnation, part: LoadDigest| LoadDigest {
+        incarnation: Incarnation(incarnation),
+        ..part
+    };
+    assert!(receiver.merge(at_incarnation(2, digest(5, vec![share(1, 10)]))).is_some());
+    assert!(receiver.merge(at_incarnation(2, digest(4, vec![share(1, 99)]))).is_none());
+    assert!(receiver.merge(at_incarnation(1, digest(9, vec![share(1, 99)]))).is_none());
+    let fresh = receiver.merge(at_incarnation(3, digest(1, vec![share(2, 7)]))).unwrap();
     assert_eq!(fresh.endpoints, [share(2, 7)], "a new life starts from nothing");
 }
 
 #[test]
 fn suspicions_are_told_once_and_where_suspects_run_again_and_again() {
-    let mut teller = DigestSender::new(100_000, at(0));
+    let mut sender = DigestSender::new(100_000, at(0));
     let mut suspecting = digest(1, vec![share(1, 9_000)]);
-    let entry = Entry { fingerprint: Fingerprint(7), deaths: 1, death_age_ms: 5, refused_ms: 0 };
-    suspecting.suspicions = vec![entry];
-    assert_eq!(teller.next_part(&suspecting, at(0)).unwrap().suspicions, [entry]);
+    let suspicion =
+        Entry { fingerprint: Fingerprint(7), deaths: 1, death_age_ms: 5, refused_ms: 0 };
+    suspecting.suspicions = vec![suspicion];
+    assert_eq!(sender.next_part(&suspecting, at(0)).unwrap().suspicions, [suspicion]);
     suspecting.suspicions[0].death_age_ms = 505;
-    assert_eq!(teller.next_part(&suspecting, at(500)), None, "only its age has changed");
+    assert_eq!(sender.next_part(&suspecting, at(500)), None, "only its age has changed");
     suspecting.suspect_endpoints = vec![EndpointId::new("e1").unwrap()];
     for millis in [1_000, 2_000, 3_000] {
-        let part = teller.next_part(&suspecting, at(millis)).unwrap();
+        let part = sender.next_part(&suspecting, at(millis)).unwrap();
         assert_eq!((part.suspect_endpoints.len(), part.suspicions.len()), (1, 0));
     }
     suspecting.suspicions[0].refused_ms = 600_000;
-    assert_eq!(teller.next_part(&suspecting, at(3_500)).unwrap().suspicions.len(), 1);
+    assert_eq!(sender.next_part(&suspecting, at(3_500)).unwrap().suspicions.len(), 1);
 }
 
-/// The load of an instance that starts 54 requests a second on 200 endpoints, one in fifty long.
-struct Busy {
+/// The load of an instance that starts 54 requests per second on 200 endpoints, one in fifty of
+/// them long.
+struct BusyInstance {
     rng: Rng,
     waiting: Vec<u64>,
     prefilled: Vec<u64>,
 }
 
-impl Busy {
+impl BusyInstance {
     const RATE: u64 = 20_000;
 
     fn step(&mut self) -> Vec<EndpointShare> {
         for (waiting, prefilled) in self.waiting.iter_mut().zip(&mut self.prefilled) {
-            let worked = (*waiting).min(Busy::RATE / 2);
+            let worked = (*waiting).min(BusyInstance::RATE / 2);
             *waiting -= worked;
             *prefilled += worked;
         }
@@ -195,32 +201,34 @@
     }
 }
 
-/// Mean error, in milliseconds of predicted wait, of a peer's view over 500 periods, where `tell`
-/// chooses the entries to tell of each period's load.
-fn mean_error(mut tell: impl FnMut(u64, Vec<EndpointShare>) -> Vec<EndpointShare>) -> f64 {
-    let mut load = Busy { rng: Rng::with_seed(5), waiting: vec![0; 200], prefilled: vec![0; 200] };
+/// Mean error, in milliseconds of predicted wait, of a peer's view over 500 periods, where `send`
+/// chooses the entries to send of each period's load.
+fn mean_error(mut send: impl FnMut(u64, Vec<EndpointShare>) -> Vec<EndpointShare>) -> f64 {
+    let mut load =
+        BusyInstance { rng: Rng::with_seed(5), waiting: vec![0; 200], prefilled: vec![0; 200] };
     let mut view = vec![0; 200];
     let mut sum = 0;
     for period in 1..=500 {
         let now = load.step();
-        for share in tell(period, now) {
+        for share in send(period, now) {
             view[share.endpoint.as_str()[1..].parse::<usize>().unwrap()] = share.waiting_prefill.0;
         }
         sum += view.iter().zip(&load.waiting).map(|(a, b)| a.abs_diff(*b)).sum::<u64>();
     }
-    sum as f64 / 500.0 / 200.0 / Busy::RATE as f64 * 1e3
+    sum as f64 / 500.0 / 200.0 / BusyInstance::RATE as f64 * 1e3
 }
 
-/// The same bytes tell more when they go to what changes a choice: the idea taken from the paper
-/// in docs/decisions/pubsub-paper.md, against telling all entries in turn, and against silence.
-// The figures stand in docs/decisions/pubsub-paper.md.
+/// Sending the entries with the largest effect first gives a smaller error for the same bytes than
+/// sending all entries in turn, and than sending nothing. The idea is from the paper in
+/// docs/decisions/pubsub-paper.md.
+// docs/decisions/pubsub-paper.md has the printed figures.
 #[allow(clippy::print_stdout)]
 fn effect_first_beats_turns_and_silence(budget: u32) {
-    let silent = mean_error(|_, _| Vec::new());
-    let mut teller = DigestSender::new(budget, at(0));
+    let nothing_sent = mean_error(|_, _| Vec::new());
+    let mut sender = DigestSender::new(budget, at(0));
     let mut counts = Vec::new();
     let by_effect = mean_error(|period, load| {
-        let part = teller.next_part(&digest(period, load), at(500 * period));
+        let part = sender.next_part(&digest(period, load), at(500 * period));
         let entries = part.map(|part| part.endpoints).unwrap_or_default();
         counts.push(entries.len());
         entries
@@ -235,9 +243,9 @@
     let each = counts.iter().sum::<usize>() as f64 / counts.len() as f64;
     println!(
         "{budget} B/s, {each:.1} entries a period: by effect {by_effect:.1} ms, \
-         in turn {in_turn:.1} ms, nothing told {silent:.1} ms"
+         in turn {in_turn:.1} ms, nothing sent {nothing_sent:.1} ms"
     );
-    assert!(by_effect < silent, "{by_effect} {silent}");
+    assert!(by_effect < nothing_sent, "{by_effect} {nothing_sent}");
     assert!(by_effect < in_turn, "{by_effect} {in_turn}");
 }
 
--- a/crates/policy/tests/vouch.rs
+++ b/crates/policy/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! Who reads for whom, and that nothing is ever believed to be fresher than it is.
+//! Which instances read the log for which others, and that no state ever counts as fresher than it
+//! is.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,22 +28,22 @@
 cases! {
     one_reads_for_a_small_site => || {
         let all: Vec<_> = (0..4).map(|i| (instance(i), centre(["a", "b"][i % 2]))).collect();
-        let asked = |i: usize| {
+        let targets = |i: usize| {
             let others: Vec<_> = all.iter().filter(|(name, _)| *name != instance(i)).cloned().collect();
             query_targets(&instance(i), &all[i].1, &others)
         };
-        assert_eq!(asked(0), Vec::new());
-        assert_eq!(asked(1), vec![instance(0)]);
-        assert_eq!(asked(3), vec![instance(0), instance(1)]);
+        assert_eq!(targets(0), Vec::new());
+        assert_eq!(targets(1), vec![instance(0)]);
+        assert_eq!(targets(3), vec![instance(0), instance(1)]);
     };
 
     one_in_each_data_centre_reads_for_a_large_site => || {
         let all: Vec<_> = (0..30).map(|i| (instance(i), centre(["a", "b", "c"][i % 3]))).collect();
-        let turns = (0..30).filter(|i| {
+        let reader_indexes = (0..30).filter(|i| {
             let others: Vec<_> = all.iter().filter(|(name, _)| *name != instance(*i)).cloned().collect();
             query_targets(&instance(*i), &all[*i].1, &others).is_empty()
         });
-        assert_eq!(turns.collect::<Vec<_>>(), vec![0, 1, 2]);
+        assert_eq!(reader_indexes.collect::<Vec<_>>(), vec![0, 1, 2]);
     };
 
     who_has_read_less_is_told_so => || {
@@ -53,10 +54,10 @@
         assert_eq!(freshness.check(Position(8), age), FreshnessCheck::Complete(age));
     };
 
-    /// Guards against a key that was taken away and runs on: instances ask each other, and take over what
-    /// peers have read, while words are late, doubled and lost and instances are suspended in the middle of
-    /// a question, an answer, a reading and a transfer. Nobody may believe to know everything up to a moment
-    /// when something that it lacks was there already, and nobody's version may go back.
+    /// Guards against using a revoked key. Instances query each other and take over what peers have
+    /// read, while messages are delayed, duplicated and lost, and instances are suspended in the
+    /// middle of a query, a reply, a read and a transfer. No instance may count as complete up to a
+    /// time when an entry that it lacks existed already, and no instance's position may go back.
     nothing_looks_fresher_than_it_is => || {
         let mut transfers = 0;
         for seed in 0..400 {
@@ -68,14 +69,15 @@
     };
 }
 
-/// One millisecond a step; instances act at random moments and are suspended at random.
+/// A schedule in steps of one millisecond. Instances act at random times and are suspended at
+/// random.
 struct Schedule {
     rng: Rng,
     now: u64,
-    /// When each record was acknowledged.
+    /// Acknowledgement time of each record.
     log: Vec<u64>,
     instances: Vec<Instance>,
-    words: Vec<(u64, usize, Message)>,
+    messages: Vec<(u64, usize, Message)>,
 }
 
 #[derive(Clone, Default)]
@@ -83,19 +85,19 @@
     position: u64,
     as_of: u64,
     suspended_until: u64,
-    /// A reading under way: when it was sent, what it found, when it is back.
-    reading: Option<(u64, u64, u64)>,
-    asked: Option<u64>,
-    /// When a transfer was asked for.
+    /// The read in progress: when it was sent, the position it found, and when it returns.
+    read_in_progress: Option<(u64, u64, u64)>,
+    query_sent_at: Option<u64>,
+    /// When a transfer was requested.
     transfer: Option<u64>,
     inbox: Vec<Message>,
-    /// The furthest position ever known in this life.
+    /// The highest position ever reached.
     furthest: u64,
     transfers: usize,
 }
 
 impl Instance {
-    /// Takes over all that a peer has read; what was read meanwhile may reach further.
+    /// Takes over all that a peer has read; this instance may have read further meanwhile.
     fn adopt(&mut self, position: u64, as_of: u64) {
         self.transfers += 1;
         if position > self.position {
@@ -111,24 +113,24 @@
 
 #[derive(Clone)]
 enum Message {
-    Question {
+    Query {
         from: usize,
-        asked: u64,
+        sent_at: u64,
     },
-    Answer {
+    Reply {
         from: usize,
-        asked: u64,
+        sent_at: u64,
         freshness: Freshness,
     },
-    /// Asks for all that was read beyond a position.
+    /// Requests everything read beyond a position.
     Transfer {
         from: usize,
-        asked: u64,
+        sent_at: u64,
         after: u64,
     },
-    /// All that the sender has read.
+    /// Everything that the sender has read.
     Snapshot {
-        asked: u64,
+        sent_at: u64,
         freshness: Freshness,
     },
 }
@@ -141,7 +143,7 @@
             now: 0,
             log: Vec::new(),
             instances,
-            words: Vec::new(),
+            messages: Vec::new(),
         }
     }
 
@@ -164,17 +166,17 @@
             return;
         }
         for _ in 0..1 + usize::from(self.rng.u32(..10) == 0) {
-            let late =
+            let delay =
                 if self.rng.u32(..8) == 0 { self.rng.u64(..600) } else { self.rng.u64(1..4) };
-            self.words.push((self.now + late, to, message.clone()));
+            self.messages.push((self.now + delay, to, message.clone()));
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.words).into_iter().partition(|(at, ..)| *at <= now);
-        self.words = later;
+            std::mem::take(&mut self.messages).into_iter().partition(|(at, ..)| *at <= now);
+        self.messages = later;
         let due: Vec<(u64, usize, Message)> = due;
         due.into_iter().for_each(|(_, to, message)| self.instances[to].inbox.push(message));
     }
@@ -188,69 +190,69 @@
             return;
         }
         for message in std::mem::take(&mut self.instances[i].inbox) {
-            self.take(i, message);
+            self.handle(i, message);
         }
         self.read(i);
         if self.rng.u32(..40) == 0 {
             let to = self.rng.usize(..self.instances.len());
-            self.instances[i].asked = Some(self.now);
-            self.send(to, Message::Question { from: i, asked: self.now });
+            self.instances[i].query_sent_at = Some(self.now);
+            self.send(to, Message::Query { from: i, sent_at: self.now });
         }
     }
 
-    /// A reading finds what is there at some moment while it is under way.
+    /// A read finds the end of the log as of some moment while it is in progress.
     fn read(&mut self, i: usize) {
         let now = self.now;
         let end = self.log.len() as u64;
         let back_after = self.rng.u64(1..200);
         let starts = self.rng.u32(..150) == 0;
         let me = &mut self.instances[i];
-        match me.reading {
+        match me.read_in_progress {
             Some((sent, found, back)) if back <= now => {
                 me.position = me.position.max(found);
                 me.as_of = me.as_of.max(sent);
-                me.reading = None;
+                me.read_in_progress = None;
             }
-            None if starts => me.reading = Some((now, end, now + back_after)),
+            None if starts => me.read_in_progress = Some((now, end, now + back_after)),
             _ => {}
         }
     }
 
-    fn take(&mut self, i: usize, message: Message) {
+    fn handle(&mut self, i: usize, message: Message) {
         let now = self.now;
         match message {
-            Message::Question { from, asked } => {
+            Message::Query { from, sent_at } => {
                 let freshness = self.freshness(i);
-                self.send(from, Message::Answer { from: i, asked, freshness });
+                self.send(from, Message::Reply { from: i, sent_at, freshness });
             }
-            Message::Answer { from, asked, freshness } => {
+            Message::Reply { from, sent_at, freshness } => {
                 let me = &mut self.instances[i];
-                if me.asked != Some(asked) {
+                if me.query_sent_at != Some(sent_at) {
                     return;
                 }
-                match freshness.check(Position(me.position), Duration::from_millis(now - asked)) {
+                match freshness.check(Position(me.position), Duration::from_millis(now - sent_at)) {
                     FreshnessCheck::Complete(age) => {
                         me.as_of = me.as_of.max(now.saturating_sub(millis(age)))
                     }
                     FreshnessCheck::Behind => {
                         me.transfer = Some(now);
                         let after = me.position;
-                        self.send(from, Message::Transfer { from: i, asked: now, after });
+                        self.send(from, Message::Transfer { from: i, sent_at: now, after });
                     }
                 }
             }
-            Message::Transfer { from, asked, after } => {
+            Message::Transfer { from, sent_at, after } => {
                 let freshness = self.freshness(i);
                 if freshness.position > Position(after) {
-                    self.send(from, Message::Snapshot { asked, freshness });
+                    self.send(from, Message::Snapshot { sent_at, freshness });
                 }
             }
-            Message::Snapshot { asked, freshness } => {
+            Message::Snapshot { sent_at, freshness } => {
                 let me = &mut self.instances[i];
-                if me.transfer != Some(asked) {
+                if me.transfer != Some(sent_at) {
                     return;
                 }
-                let age = freshness.age_after(Duration::from_millis(now - asked));
+                let age = freshness.age_after(Duration::from_millis(now - sent_at));
                 me.adopt(freshness.position.0, now.saturating_sub(millis(age)));
             }
         }
@@ -269,7 +271,7 @@
         let missing = self.log.get(usize::try_from(me.position).unwrap()..).unwrap_or_default();
         assert!(
             missing.iter().all(|acknowledged| *acknowledged >= me.as_of),
-            "instance {i} believes to know all before {} and lacks what came at {missing:?}",
+            "instance {i} counts as complete up to {} but lacks records acknowledged at {missing:?}",
             me.as_of
         );
     }
