--- a/crates/policy/examples/decision_cost.rs
+++ b/crates/policy/examples/decision_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a decision costs: microseconds for each request by the number of endpoints and
-//! workspaces, and memory for each endpoint and workspace.
+//! Prints the cost of scheduling decisions: microseconds per request by the number of endpoints and
+//! workspaces, and memory per endpoint, workspace and request.
 //!
 //! Run it with `cargo run --release -p policy --example decision_cost`.
 
@@ -19,18 +19,18 @@
     scheduler::EndpointState,
 };
 
-/// Requests measured in each setting, after as many that warm up.
+/// Requests measured in each setting, after as many for warm-up.
 const REQUESTS: u64 = 20_000;
-/// Prompt tokens an endpoint does in a second.
-const RATE: u64 = 10_000;
+/// Prompt tokens that an endpoint prefills per second.
+const TOKENS_PER_SECOND: u64 = 10_000;
 
-/// One setting and its result.
-struct Cost {
+/// One setting and its result; times are in microseconds.
+struct Measurement {
     endpoints: usize,
     workspaces: usize,
     load: f64,
-    micros: f64,
-    worst: f64,
+    mean_micros: f64,
+    worst_micros: f64,
     refused: u64,
 }
 
@@ -43,7 +43,12 @@
             let cost = measure(endpoints, workspaces, load);
             println!(
                 "{:9} {:10} {:5.1} {:13.2} {:6.0} {:8}",
-                cost.endpoints, cost.workspaces, cost.load, cost.micros, cost.worst, cost.refused
+                cost.endpoints,
+                cost.workspaces,
+                cost.load,
+                cost.mean_micros,
+                cost.worst_micros,
+                cost.refused
             );
         }
     }
@@ -54,12 +59,14 @@
     );
 }
 
-/// Offers requests at `load` times what the endpoints do, and answers them in the time it takes.
-/// All that the scheduler does for a request counts: offer, poll, first token, end.
-fn measure(endpoints: usize, workspaces: usize, load: f64) -> Cost {
+/// Offers requests at `load` times the endpoints' capacity, and answers each after its prefill
+/// time. Measured is everything that the scheduler does for a request: offer, poll, first token,
+/// end.
+fn measure(endpoints: usize, workspaces: usize, load: f64) -> Measurement {
     let mut scheduler = scheduler(endpoints, workspaces);
     let mut rng = fastrand::Rng::with_seed(7);
-    let gap = Duration::from_secs_f64(1_000.0 / (RATE as f64 * endpoints as f64 * load));
+    let gap =
+        Duration::from_secs_f64(1_000.0 / (TOKENS_PER_SECOND as f64 * endpoints as f64 * load));
     let names: Vec<Workspace> = (0..workspaces).map(|n| format!("w{n}").parse().unwrap()).collect();
     let mut engines = vec![Time::ZERO; endpoints];
     let mut answers: BTreeSet<(Time, RequestId)> = BTreeSet::new();
@@ -80,7 +87,7 @@
             if let Decision::Start(start) = decision {
                 let name = start.shards[0].endpoint.as_str();
                 let engine = &mut engines[name[1..].parse::<usize>().unwrap()];
-                *engine = (*engine).max(now) + Duration::from_millis(1_000_000 / RATE);
+                *engine = (*engine).max(now) + Duration::from_millis(1_000_000 / TOKENS_PER_SECOND);
                 answers.insert((*engine, start.request));
             }
         }
@@ -90,8 +97,15 @@
             refused += u64::from(admission != Admission::Admitted);
         }
     }
-    let micros = spent.as_secs_f64() * 1e6 / REQUESTS as f64;
-    Cost { endpoints, workspaces, load, micros, worst: worst.as_secs_f64() * 1e6, refused }
+    let mean_micros = spent.as_secs_f64() * 1e6 / REQUESTS as f64;
+    Measurement {
+        endpoints,
+        workspaces,
+        load,
+        mean_micros,
+        worst_micros: worst.as_secs_f64() * 1e6,
+        refused,
+    }
 }
 
 fn answer(scheduler: &mut AnyScheduler, request: RequestId, now: Time) {
--- a/crates/policy/examples/place_cost.rs
+++ b/crates/policy/examples/place_cost.rs
@@ -1,7 +1,8 @@
-//! What placing one request costs, at several numbers of endpoints, and what the cache index holds.
+//! Prints the time to place one request by the number of endpoints, and the memory of the cache
+//! index.
 //!
 //! `cargo run --release -p policy --example place_cost` prints a table for
-//! `docs/decisions/placement.md`; it ends within seconds.
+//! `docs/decisions/placement.md` and finishes within seconds.
 
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
 
@@ -22,21 +23,21 @@
 const ROUNDS: u32 = 20_000;
 
 fn main() {
-    println!("{:>9} {:>9} {:>11} {:>10}", "endpoints", "choose", "expected 16", "standing");
+    println!("{:>9} {:>9} {:>11} {:>10}", "endpoints", "choose", "expected 16", "state");
     for count in [4, 20, 200] {
         let endpoints: Vec<EndpointId> =
             (0..count).map(|n| EndpointId::new(&format!("model-{n:04}")).unwrap()).collect();
         println!(
             "{count:>9} {:>6.2} us {:>8.2} us {:>7.2} us",
             time_choose(&endpoints),
-            time_expected(&endpoints),
-            time_standing(&endpoints),
+            time_expected_cached(&endpoints),
+            time_state(&endpoints),
         );
     }
-    memory();
+    print_memory();
 }
 
-fn time(mut step: impl FnMut()) -> f64 {
+fn mean_micros(mut step: impl FnMut()) -> f64 {
     let started = Instant::now();
     (0..ROUNDS).for_each(|_| step());
     started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
@@ -63,34 +64,35 @@
         unreported_work: Duration::from_millis(200),
         ..SelectionRequest::new(Tokens(2_000), false)
     };
-    time(|| {
+    mean_micros(|| {
         black_box(choose(black_box(&candidates), &request, &mut rng));
     })
 }
 
-/// A prompt of 4,096 tokens, 16 blocks, that every engine holds: the most lookups.
-fn time_expected(endpoints: &[EndpointId]) -> f64 {
+/// A prompt of 4,096 tokens, 16 blocks, that every engine has cached: the maximum number of
+/// lookups.
+fn time_expected_cached(endpoints: &[EndpointId]) -> f64 {
     let mut index = CacheIndex::new();
     let prefix: Vec<u64> = (0..16).collect();
     endpoints.iter().for_each(|endpoint| index.record_sent(endpoint, Incarnation(1), &prefix));
-    time(|| {
+    mean_micros(|| {
         for endpoint in endpoints {
             black_box(index.expected_cached(endpoint, black_box(&prefix)));
         }
     })
 }
 
-fn time_standing(endpoints: &[EndpointId]) -> f64 {
+fn time_state(endpoints: &[EndpointId]) -> f64 {
     let mut health = Health::new();
     health.configure(endpoints);
-    time(|| {
+    mean_micros(|| {
         for endpoint in endpoints {
             black_box(health.state(endpoint, Time::ZERO));
         }
     })
 }
 
-fn memory() {
+fn print_memory() {
     let before = resident_kb();
     let mut index = CacheIndex::new();
     let mut rng = Rng::with_seed(1);
--- a/crates/policy/src/answers.rs
+++ b/crates/policy/src/answers.rs
@@ -1,40 +1,40 @@
-//! How long answers take to be written, as seen.
+//! Upper bound of how long an answer takes, from recent answers of its route.
 //!
-//! **Load pattern.** All instances are stopped one after the other while questions keep coming.
+//! **Load pattern.** All instances are stopped one after the other while requests keep arriving.
 //!
-//! **Without it.** What is known of a question beforehand is the most tokens that its answer may have,
-//! and most answers have a third of that. An instance that reckons with the most refuses every
-//! question from the first moment of its stop on, and as the others stop too, callers are sent from
-//! one to the next until they give up.
+//! **Without it.** Beforehand, only the maximum number of tokens of an answer is known, and most
+//! answers have a third of that. An instance that assumes the maximum refuses every request from
+//! the moment it starts to stop, and as the others stop too, callers are sent from one to the next
+//! until they give up.
 //!
-//! **Rule.** The longest of the last [`KEPT`] answers of a route bounds the next one. Until [`ENOUGH`]
-//! have been seen nothing is said.
+//! **Rule.** The longest of the last [`MAX_ANSWERS_PER_ROUTE`] answers of a route is the bound of
+//! the next one. With fewer than [`MIN_ANSWERS`] there is no bound.
 //!
-//! **Grounds.** The next answer is longer than the longest of two hundred once in two hundred times, and
-//! it is cut only if it is also among the last that were taken on: a stop sees a handful of these.
+//! **Grounds.** The next answer is longer than the longest of two hundred in one of two hundred
+//! cases. It is cut off only if it is also among the last ones accepted: a handful for each stop.
 
 use std::{collections::VecDeque, time::Duration};
 
 use indexmap::IndexMap;
 
-/// Answers of a route that are remembered.
+/// Maximum number of recent answers kept for each route.
 const MAX_ANSWERS_PER_ROUTE: usize = 200;
 
-/// Answers that have to be seen before they say anything of the next one.
+/// Answers needed for a bound.
 const MIN_ANSWERS: usize = 20;
 
-/// Routes that are remembered; the one that was noted first goes first. Sites have a few dozen with
-/// traffic.
+/// Maximum number of routes kept; the one added first is evicted first. Sites have a few dozen
+/// routes with traffic.
 const MAX_ROUTES: usize = 512;
 
-/// The times of the latest answers by route, from the first event to the last.
+/// Durations of recent answers by route, from the first event to the last.
 #[derive(Debug, Default)]
 pub struct AnswerTimes {
     routes: IndexMap<String, VecDeque<Duration>>,
 }
 
 impl AnswerTimes {
-    /// Takes note of a whole answer.
+    /// Records the duration of a complete answer.
     pub fn record(&mut self, route: &str, decoding: Duration) {
         if !self.routes.contains_key(route) {
             if self.routes.len() >= MAX_ROUTES {
@@ -49,7 +49,7 @@
         times.push_back(decoding);
     }
 
-    /// How long the next answer takes at most, as far as that can be said.
+    /// Upper bound of the next answer's duration; none while too few answers are known.
     pub fn upper_bound(&self, route: &str) -> Option<Duration> {
         let times = self.routes.get(route).filter(|times| times.len() >= MIN_ANSWERS)?;
         times.iter().max().copied()
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,59 +1,61 @@
-//! When a source that failed is tried again.
+//! Back-off before retrying a failed store.
 //!
 //! **Load pattern.** A store fails for all instances at once, for seconds.
 //!
-//! **Without it.** Every instance retries several times a second, so that the store meets a retry storm the
-//! moment it returns, and each of these calls has a price.
+//! **Without it.** Every instance retries several times a second, so that the store meets a retry
+//! storm when it recovers, and each of these calls has a price.
 //!
-//! **Rule.** Exponential back-off with full jitter (M. Brooker, "Exponential Backoff and Jitter", 2015). Its
-//! spans grow with the instances that share the retries, so that together they retry as often as a few
-//! would; whoever succeeds tells the others at once. The first try is never put off: that peers have failed
-//! doesn't show that this instance will.
+//! **Rule.** Exponential back-off with full jitter (M. Brooker, "Exponential Backoff and Jitter",
+//! 2015). Its spans grow with the number of instances that share the retries, so that together they
+//! retry as often as a few would; the first to succeed informs the others. The first attempt is
+//! never delayed: failures of peers don't mean that this instance's attempt will fail.
 //!
-//! **Grounds.** An instance that nobody shares with retries within [`CAP_EACH`], so that it drops what left in
-//! an outage soon after the source's return.
+//! **Grounds.** An instance that shares its retries with no other retries within
+//! [`MAX_BACKOFF_PER_INSTANCE`], so that it drops endpoints that left during an outage soon after
+//! the store's recovery.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 
-/// The first back-off is drawn from up to this, times the instances that share the retries.
+/// Span of the first back-off, times the number of instances that share the retries.
 pub const FIRST_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How much each instance that shares the retries adds to the longest back-off: together they retry six
+/// Added to the maximum span by each instance that shares the retries: together they retry six
 /// times a second on average.
 pub const MAX_BACKOFF_PER_INSTANCE: Duration = Duration::from_millis(350);
 
-/// No back-off is longer, however many share: where word of the return is lost, a change is in force this
-/// much later.
+/// Maximum span, however many instances share the retries. If the message about the recovery is
+/// lost, a change takes effect this much later.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Failures in a row, and what they mean for the next try.
+/// Consecutive failures, which determine the next back-off.
 #[derive(Debug, Clone, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// How long to wait after a failure, where `sharers` instances retry, this one included.
+    /// Records a failure and returns the back-off. `instances` share the retries, this one
+    /// included.
     pub fn failed(&mut self, instances: usize, rng: &mut Rng) -> Duration {
-        let pause = full_jitter(
+        let backoff = full_jitter(
             per_instance(FIRST_BACKOFF, instances),
             self.failures,
             max_backoff(instances),
             rng,
         );
         self.failures += 1;
-        pause
+        backoff
     }
 
-    /// A try has succeeded.
+    /// Resets the back-off after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
 
-/// A pause drawn evenly from a span that doubles with each failure, up to `cap`.
+/// A back-off drawn uniformly from a span that doubles with each failure, up to `max_backoff`.
 pub fn full_jitter(
     first: Duration,
     failures: u32,
--- a/crates/policy/src/baseline/first_come.rs
+++ b/crates/policy/src/baseline/first_come.rs
@@ -1,20 +1,20 @@
-//! One queue in order of arrival before all endpoints.
+//! First come, first served: one queue in order of arrival for all endpoints.
 
 use super::{BaselineEndpoint, EndpointPicker};
 
-/// Requests that one endpoint gets at once. Sixteen keeps an engine's batch filled with short
-/// prompts, which is how such queues are set up in the field.
+/// Maximum number of requests running on one endpoint. Sixteen keeps an engine's batch filled with
+/// short prompts, which is a common setting of such queues.
 const MAX_RUNNING: u32 = 16;
 
-/// Keeps requests in one queue in order of arrival, and sends the first to the least busy endpoint
-/// once that has a free slot. Whatever stands first blocks the rest.
+/// Keeps requests in one queue in order of arrival, and sends the first one to the least busy
+/// endpoint as soon as that has a free slot. A request that can't start blocks all later ones.
 #[derive(Debug, Default)]
 pub struct FirstComeFirstServed;
 
 impl EndpointPicker for FirstComeFirstServed {
-    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize> {
-        (0..servers.len())
-            .filter(|&index| servers[index].running < MAX_RUNNING)
-            .min_by_key(|&index| servers[index].running)
+    fn pick(&mut self, endpoints: &[BaselineEndpoint]) -> Option<usize> {
+        (0..endpoints.len())
+            .filter(|&index| endpoints[index].running < MAX_RUNNING)
+            .min_by_key(|&index| endpoints[index].running)
     }
 }
--- a/crates/policy/src/baseline/least_outstanding.rs
+++ b/crates/policy/src/baseline/least_outstanding.rs
@@ -1,13 +1,14 @@
-//! The endpoint with the fewest requests of this instance.
+//! Least outstanding requests.
 
 use super::{BaselineEndpoint, EndpointPicker};
 
-/// Sends each request at once to the endpoint that has the fewest of this instance's requests.
+/// Sends each request immediately to the endpoint with the fewest running requests of this
+/// instance.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding;
 
 impl EndpointPicker for LeastOutstanding {
-    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize> {
-        (0..servers.len()).min_by_key(|&index| servers[index].running)
+    fn pick(&mut self, endpoints: &[BaselineEndpoint]) -> Option<usize> {
+        (0..endpoints.len()).min_by_key(|&index| endpoints[index].running)
     }
 }
--- a/crates/policy/src/baseline/mod.rs
+++ b/crates/policy/src/baseline/mod.rs
@@ -1,8 +1,8 @@
-//! Schedulers without any policy, kept to measure the product's own against.
+//! Baseline schedulers without a policy, for comparison with the product's own.
 //!
-//! They keep the contract of [`Scheduler`](crate::Scheduler): each admitted request ends or fails
-//! by its deadline. Beyond that they admit everything, know no shares, no priorities and no retry
-//! budget.
+//! They fulfil the contract of [`Scheduler`](crate::Scheduler): each admitted request ends or fails
+//! by its deadline. Beyond that they admit everything and have no fair shares, priorities or retry
+//! budgets.
 
 mod first_come;
 mod least_outstanding;
--- a/crates/policy/src/baseline/round_robin.rs
+++ b/crates/policy/src/baseline/round_robin.rs
@@ -1,19 +1,19 @@
-//! Endpoints in turn.
+//! Round robin.
 
 use super::{BaselineEndpoint, EndpointPicker};
 
-/// Sends each request at once to the next endpoint in turn.
+/// Sends each request immediately to the next endpoint in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turn: usize,
+    picks: usize,
 }
 
 impl EndpointPicker for RoundRobin {
-    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize> {
-        if servers.is_empty() {
+    fn pick(&mut self, endpoints: &[BaselineEndpoint]) -> Option<usize> {
+        if endpoints.is_empty() {
             return None;
         }
-        self.turn = self.turn.wrapping_add(1);
-        Some(self.turn % servers.len())
+        self.picks = self.picks.wrapping_add(1);
+        Some(self.picks % endpoints.len())
     }
 }
--- a/crates/policy/src/baseline/scheduler.rs
+++ b/crates/policy/src/baseline/scheduler.rs
@@ -1,4 +1,4 @@
-//! What the baselines share: a table of requests, a queue and retries up to a bound.
+//! Common parts of the baselines: a table of requests, a queue, and a bounded number of retries.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -14,49 +14,49 @@
     Time, Tokens, config, scheduler::EndpointState,
 };
 
-/// Attempts for one request. High enough for a retry storm to build up, as it does in the field
-/// where every layer retries a few times; bounded, because every loop is.
+/// Maximum attempts for one request. High enough for a retry storm to develop, as it does in
+/// practice when every layer retries a few times; bounded, as every loop is.
 const MAX_ATTEMPTS: u32 = 10;
 
-/// What callers hear as time to come back: the baselines predict nothing.
+/// Retry-after value sent to callers. It is constant, as the baselines predict nothing.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A rule that picks an endpoint.
+/// A rule that chooses an endpoint.
 pub trait EndpointPicker: Default + Send {
-    /// Picks one of `servers`, or none so that the request waits.
+    /// Returns the index of the chosen endpoint, or none to keep the request waiting.
     fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize>;
 }
 
-/// An endpoint that may get work.
+/// An endpoint that may receive requests.
 #[derive(Debug, Clone)]
 pub struct BaselineEndpoint {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// Its present incarnation.
     pub incarnation: Incarnation,
-    /// Requests of this instance under way there.
+    /// Requests of this instance running there.
     pub running: u32,
-    /// Its memory, once it reported.
+    /// Its total KV cache memory; zero until reported.
     pub memory: Tokens,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct RequestEntry {
     req: Arc<RequestSpec>,
     attempt: u32,
-    /// Endpoint of the attempt under way.
-    at: Option<EndpointId>,
+    /// Endpoint of the running attempt.
+    endpoint: Option<EndpointId>,
 }
 
-/// A scheduler that sends each request where `P` says, and keeps no other rule.
+/// A scheduler that sends each request to the endpoint that `P` chooses, and applies no other rule.
 #[derive(Debug)]
 pub struct BaselineScheduler<P> {
     instance: InstanceId,
     incarnation: Incarnation,
     sequence: u64,
-    rule: P,
+    picker: P,
     servers: Vec<BaselineEndpoint>,
-    requests: IndexMap<RequestId, Entry>,
+    requests: IndexMap<RequestId, RequestEntry>,
     deadlines: BTreeSet<DueRequest>,
     queue: VecDeque<RequestId>,
     failed: Vec<Decision>,
@@ -69,13 +69,13 @@
 }
 
 impl<P: EndpointPicker> BaselineScheduler<P> {
-    /// A scheduler of one life of `instance`, without endpoints yet.
+    /// Creates a scheduler without endpoints for one incarnation of `instance`.
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         BaselineScheduler {
             instance,
             incarnation,
             sequence: 0,
-            rule: P::default(),
+            picker: P::default(),
             servers: Vec::new(),
             requests: IndexMap::new(),
             deadlines: BTreeSet::new(),
@@ -84,7 +84,7 @@
         }
     }
 
-    fn change(&mut self, change: &EndpointChange) {
+    fn apply_change(&mut self, change: &EndpointChange) {
         let known = self.servers.iter().position(|server| server.endpoint == change.endpoint);
         match (known, change.state) {
             (Some(index), EndpointState::Live) => {
@@ -103,11 +103,11 @@
         }
     }
 
-    fn start(&mut self, request: RequestId) -> Option<Decision> {
+    fn try_start(&mut self, request: RequestId) -> Option<Decision> {
         let entry = self.requests.get_mut(&request)?;
-        let index = self.rule.pick(&self.servers)?;
+        let index = self.picker.pick(&self.servers)?;
         entry.attempt += 1;
-        entry.at = Some(self.servers[index].endpoint.clone());
+        entry.endpoint = Some(self.servers[index].endpoint.clone());
         self.servers[index].running += 1;
         Some(Decision::Start(Start {
             request,
@@ -118,7 +118,8 @@
     }
 
     fn leave_endpoint(&mut self, request: RequestId) {
-        let Some(endpoint) = self.requests.get_mut(&request).and_then(|entry| entry.at.take())
+        let Some(endpoint) =
+            self.requests.get_mut(&request).and_then(|entry| entry.endpoint.take())
         else {
             return;
         };
@@ -142,12 +143,12 @@
 
     fn attempt_failed(&mut self, request: RequestId, attempt: u32, cause: FailCause) {
         let Some(entry) = self.requests.get(&request) else { return };
-        if entry.at.is_none() || entry.attempt != attempt {
+        if entry.endpoint.is_none() || entry.attempt != attempt {
             return;
         }
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
-        let again = entry.req.repeatable || not_run;
-        if again && entry.attempt < MAX_ATTEMPTS {
+        let may_retry = entry.req.repeatable || not_run;
+        if may_retry && entry.attempt < MAX_ATTEMPTS {
             self.leave_endpoint(request);
             self.queue.push_back(request);
             return;
@@ -179,14 +180,14 @@
     ) {
         self.servers.retain(|server| endpoints.iter().any(|e| e.endpoint == server.endpoint));
         for change in endpoints {
-            self.change(change);
+            self.apply_change(change);
         }
     }
 
     fn offer(&mut self, req: Arc<RequestSpec>, _now: Time) -> Admission {
         let request = req.id;
         self.deadlines.insert(DueRequest { at: req.deadline, request });
-        self.requests.insert(request, Entry { req, attempt: 0, at: None });
+        self.requests.insert(request, RequestEntry { req, attempt: 0, endpoint: None });
         self.queue.push_back(request);
         Admission::Admitted
     }
@@ -195,9 +196,9 @@
         self.expire(now);
         let mut decisions = std::mem::take(&mut self.failed);
         while let Some(request) = self.queue.front().copied() {
-            let gone = !self.requests.contains_key(&request);
-            let start = self.start(request);
-            if start.is_none() && !gone {
+            let is_removed = !self.requests.contains_key(&request);
+            let start = self.try_start(request);
+            if start.is_none() && !is_removed {
                 break;
             }
             self.queue.pop_front();
@@ -219,7 +220,7 @@
             Event::AttemptFailed { request, attempt, cause, .. } => {
                 self.attempt_failed(request, attempt, cause);
             }
-            Event::Endpoint(change) => self.change(&change),
+            Event::Endpoint(change) => self.apply_change(&change),
             Event::Load(report) => {
                 let server = self.servers.iter_mut().find(|s| s.endpoint == report.endpoint);
                 if let Some(server) = server {
@@ -241,20 +242,20 @@
     }
 }
 
-/// The picked endpoint, and as many of those after it as the footprint needs.
+/// The chosen endpoint, and as many of those after it as the footprint needs.
 fn spread(servers: &[BaselineEndpoint], first: usize, footprint: Tokens) -> Vec<Shard> {
-    let mut left = footprint;
+    let mut remaining = footprint;
     let mut shards = Vec::new();
     for server in servers.iter().cycle().skip(first).take(servers.len()) {
-        let fits = server.memory == Tokens::ZERO || server.memory >= left;
-        let tokens = if fits { left } else { server.memory };
-        left -= tokens;
+        let fits = server.memory == Tokens::ZERO || server.memory >= remaining;
+        let tokens = if fits { remaining } else { server.memory };
+        remaining -= tokens;
         shards.push(Shard {
             endpoint: server.endpoint.clone(),
             incarnation: server.incarnation,
             tokens,
         });
-        if left == Tokens::ZERO {
+        if remaining == Tokens::ZERO {
             break;
         }
     }
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,20 +1,20 @@
 //! Rendezvous hashing: every instance computes the same owner of a key from the same members,
-//! with no message, and a member that comes or goes moves only the keys that it owns.
+//! without communication, and adding or removing a member moves only the keys that it owns.
 //!
-//! **Load pattern.** 3,600 endpoints before 350 instances: each endpoint's load should be asked
-//! for by one instance, each engine's memory swept by one controller, and each instance should
-//! keep connections to some endpoints only.
+//! **Load pattern.** 350 instances in front of 3,600 endpoints. Each endpoint's load should be
+//! polled by one instance, each engine's memory released by one controller, and each instance
+//! should keep connections to some endpoints only.
 //!
-//! **Without it.** Every instance polls every endpoint: 1.26 million polls a round, and as many
+//! **Without it.** Every instance polls every endpoint: 1.26 million polls per round, and as many
 //! open connections.
 //!
-//! **Rule.** Each (key, member) pair has a hash; the highest wins. For the first `n` winners the
-//! members are ordered by the same hash.
+//! **Rule.** Each (key, member) pair has a hash, and the highest one wins. The first `n` owners are
+//! the members with the highest hashes.
 //!
-//! **Grounds.** One hash of about 20 bytes a pair costs some nanoseconds; ownership of 3,600
-//! endpoints among 18 instances of a data centre is 65,000 hashes, computed only when membership
-//! changes. Where views differ for a while, two members own a key at once, or none does; both
-//! must do no harm to whatever is built on it.
+//! **Grounds.** Hashing about 20 bytes per pair takes some nanoseconds. The owners of 3,600
+//! endpoints among the 18 instances of a data centre take 65,000 hashes, computed only when the
+//! membership changes. While views differ, a key has two owners or none; whatever is built on this
+//! must tolerate both.
 
 use std::cmp::Reverse;
 
@@ -22,12 +22,12 @@
 
 use crate::{EndpointId, InstanceId};
 
-/// A key for [`owner`] and [`owners`] from any name.
+/// The key of a name, for [`owner`] and [`owners`].
 pub fn key(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 0)
 }
 
-/// The position of the member that owns `key`; none only where there are no members.
+/// Index of the member that owns `key`; none only if there are no members.
 pub fn owner<'a, M: AsRef<str> + 'a>(
     key: u64,
     members: impl IntoIterator<Item = &'a M>,
@@ -39,28 +39,27 @@
         .map(|(index, _)| index)
 }
 
-/// The positions of the `wanted` members that come first for `key`, best first; all where there
-/// are fewer.
-pub fn owners<M: AsRef<str>>(key: u64, members: &[M], wanted: usize) -> Vec<usize> {
-    let mut scored: Vec<Scored<'_>> = members
+/// Indexes of the first `count` members for `key`, best first; all if there are fewer.
+pub fn owners<M: AsRef<str>>(key: u64, members: &[M], count: usize) -> Vec<usize> {
+    let mut scored: Vec<ScoredMember<'_>> = members
         .iter()
         .enumerate()
         .map(|(index, member)| {
             let name = member.as_ref();
-            Scored { score: Reverse(score(key, name)), name, index }
+            ScoredMember { score: Reverse(score(key, name)), name, index }
         })
         .collect();
-    if wanted < scored.len() {
-        scored.select_nth_unstable(wanted);
-        scored.truncate(wanted);
+    if count < scored.len() {
+        scored.select_nth_unstable(count);
+        scored.truncate(count);
     }
     scored.sort_unstable();
     scored.into_iter().map(|scored| scored.index).collect()
 }
 
-/// The endpoints that instance `me` sends to. Each endpoint picks the `instances_each` instances
-/// that come first for it, so that no endpoint is without senders; an instance has those that
-/// picked it, about `endpoints * instances_each / instances` of them.
+/// Indexes of the endpoints to which instance `me` sends. Each endpoint is assigned to its first
+/// `instances_each` instances, so that no endpoint is without senders; an instance has about
+/// `endpoints * instances_each / instances` endpoints.
 pub fn subset(
     me: &InstanceId,
     instances: &[InstanceId],
@@ -70,17 +69,17 @@
     if instances_each >= instances.len() {
         return (0..endpoints.len()).collect();
     }
-    let picked = |endpoint: &EndpointId| {
+    let is_assigned = |endpoint: &EndpointId| {
         owners(key(endpoint.as_str()), instances, instances_each)
             .into_iter()
             .any(|index| &instances[index] == me)
     };
-    (0..endpoints.len()).filter(|index| picked(&endpoints[*index])).collect()
+    (0..endpoints.len()).filter(|index| is_assigned(&endpoints[*index])).collect()
 }
 
-/// Ordered best first; the name decides between equal scores, so that all agree.
+/// Ordered best first; equal scores are ordered by name, so that all instances agree.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Scored<'a> {
+struct ScoredMember<'a> {
     score: Reverse<u64>,
     name: &'a str,
     index: usize,
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -1,17 +1,19 @@
-//! Which registered endpoints count as there.
+//! Which endpoints count as registered while their registry is unreliable.
 //!
-//! **Load pattern.** Endpoints register in a store that forgets those it hasn't heard of for a
-//! while, also while it is down itself; a few seconds after its return all that live are back.
+//! **Load pattern.** Endpoints register in a store whose registrations expire unless renewed, also
+//! while the store itself is down. A few seconds after its recovery, all live endpoints are
+//! registered again.
 //!
-//! **Without it.** After each outage of the store every endpoint looks gone, and an instance
-//! refuses everything although all of them serve.
+//! **Without it.** After each outage of the store all endpoints look removed, and an instance
+//! refuses every request although they all work.
 //!
-//! **Rule.** What is missing in a reading is gone at once, unless the store failed a short while
-//! ago; then it is kept until [`RETURN`] after the first good reading, and whatever is still
-//! missing then is gone.
+//! **Rule.** An endpoint missing from a read of the store is removed at once, unless the store
+//! failed recently. Then it is kept until [`REGISTRATION_GRACE_PERIOD`] after the first successful
+//! read, and removed if it is still missing.
 //!
-//! **Grounds.** Registrations are back about two seconds after the store. Sooner, live endpoints
-//! would be dropped; much later, gone ones would get work past the bound for leaving.
+//! **Grounds.** Endpoints register again about two seconds after the store's recovery. A shorter
+//! period would drop live endpoints; a much longer one would send requests to removed ones beyond
+//! the time allowed for leaving.
 
 use std::time::Duration;
 
@@ -19,14 +21,14 @@
 
 use crate::Time;
 
-/// How long after a store's return its registrations are back.
+/// Time after a store's recovery within which its live endpoints register again.
 pub const REGISTRATION_GRACE_PERIOD: Duration = Duration::from_millis(2_300);
 
-/// The registrations of which the last reading, or the one before an outage, told.
+/// Registrations of the last read, including those kept from before an outage.
 #[derive(Debug)]
 pub struct Roster<K, V> {
     entries: IndexMap<K, V>,
-    /// When the first good reading after a failure was.
+    /// Time of the first successful read after a failure.
     recovered_at: Option<Time>,
     failing: bool,
 }
@@ -38,13 +40,13 @@
 }
 
 impl<K: Clone + Eq + std::hash::Hash, V: Clone + PartialEq> Roster<K, V> {
-    /// The store couldn't be read.
+    /// Records that the store couldn't be read.
     pub fn failed(&mut self) {
         self.failing = true;
     }
 
-    /// Takes in a good reading of all registrations; true where the result differs from before.
-    pub fn update(&mut self, found: &IndexMap<K, V>, now: Time) -> bool {
+    /// Applies a successful read of all registrations; true if the result differs from before.
+    pub fn update(&mut self, registrations: &IndexMap<K, V>, now: Time) -> bool {
         if std::mem::take(&mut self.failing) {
             self.recovered_at = Some(now);
         }
@@ -53,24 +55,24 @@
         if !keeps_missing {
             self.recovered_at = None;
         }
-        let mut next = found.clone();
+        let mut merged = registrations.clone();
         if keeps_missing {
             for (key, entry) in &self.entries {
-                next.entry(key.clone()).or_insert_with(|| entry.clone());
+                merged.entry(key.clone()).or_insert_with(|| entry.clone());
             }
         }
-        let changed = next != self.entries;
-        self.entries = next;
+        let changed = merged != self.entries;
+        self.entries = merged;
         changed
     }
 
-    /// Whether another reading is worth while although the store has nothing new: something is
-    /// kept that it doesn't have.
+    /// Whether to read again although the store has no changes, because missing entries are being
+    /// kept.
     pub fn is_settling(&self) -> bool {
         self.recovered_at.is_some()
     }
 
-    /// The endpoints that count as there.
+    /// The entries that count as registered.
     pub fn entries(&self) -> &IndexMap<K, V> {
         &self.entries
     }
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What answers seen before say of the next one.
+//! Upper bound of an answer's duration.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         assert_eq!(times.upper_bound("dossier"), None);
     };
 
-    /// Nearly all answers are short, and one in two hundred is long. A stop must reckon with that one.
+    /// One answer in two hundred is long, and a stop has to allow for it.
     the_longest_bounds_the_next => || {
         let mut times = AnswerTimes::default();
         times.record("ask", LONGEST);
@@ -33,7 +33,7 @@
         assert_eq!(times.upper_bound("ask"), Some(SHORT));
     };
 
-    /// Routes come and go with the configuration for years.
+    /// Routes are added and removed by configuration changes for years.
     routes_are_bounded => || {
         let mut times = AnswerTimes::default();
         for route in 0..2_000 {
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -31,8 +31,8 @@
     assert_eq!(keys(&roster), [2]);
 }
 
-/// The store was away, and every registration lapsed meanwhile. The servers live; two seconds
-/// after the store's return they are back. A caller in between must not be refused.
+/// Guards against refusing callers after an outage of the store, in which every registration
+/// expired. The endpoints are alive and register again two seconds after the store's recovery.
 #[test]
 fn an_outage_takes_nobody_away() {
     let mut roster = Roster::default();
@@ -46,8 +46,8 @@
     assert_eq!(keys(&roster), [1]);
 }
 
-/// The store is away twice in a row. What was kept for the first outage is kept for the second,
-/// and only as long.
+/// Two outages in a row. What was kept for the first one is kept for the second, and no longer than
+/// the grace period.
 #[test]
 fn a_second_outage_begins_anew() {
     let mut roster = Roster::default();
