--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -14,13 +14,13 @@
 //! its class, plus the delay of the prompts that it would overtake there, weighted by theirs. Short
 //! prompts therefore avoid engines with long prompts until that costs them as much as it saves.
 //!
-//! Each instance prefers its own part of the endpoints. On the others it adds the unreported work:
+//! Each instance prefers its own share of the endpoints. On the others it adds the unreported work:
 //! what the other instances have probably sent there since their last digest.
 //!
 //! **Grounds.** A tenth of the longest short prefill covers several round trips within a region and
 //! several chunks of prefill, and callers don't notice what it adds to a short prompt's wait. For
 //! longer bands, the budget is a few percent of their own prefill time. The effect of preferring a
-//! part of the endpoints was measured in `docs/decisions/scheduling.md`.
+//! share of the endpoints was measured in `docs/decisions/scheduling.md`.
 
 use std::time::Duration;
 
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -41,10 +41,10 @@
 const MAX_ATTEMPTS: u32 = 200;
 /// How long no requests are sent to an endpoint after it rejected one for lack of room: a few
 /// decode steps.
-const FULL_PAUSE: Duration = Duration::from_millis(50);
-/// How long no requests are sent to an endpoint after it couldn't be reached, fell silent or died,
-/// unless its state is updated before.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
+const FULL_BLOCK_TIME: Duration = Duration::from_millis(50);
+/// How long no requests are sent to an endpoint after it couldn't be reached, fell silent or died;
+/// a new incarnation ends the block.
+const UNREACHABLE_BLOCK_TIME: Duration = Duration::from_millis(500);
 impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
         &mut self,
@@ -62,7 +62,7 @@
         }
         let Some(ended) = self.end_attempt(request, now) else { return };
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
-        self.pause_endpoints(&ended.shards, cause, now);
+        self.block_endpoints(&ended.shards, cause, now);
         if let Some(shard) = ended.shards.first() {
             self.health.record_failure(&shard.endpoint, cause);
         }
@@ -209,17 +209,19 @@
         self.quarantine.died(&shard.endpoint, &present, now);
     }
 
-    fn pause_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
-        let pause = match cause {
-            FailCause::Rejected => FULL_PAUSE,
-            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => UNREACHABLE_PAUSE,
+    fn block_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
+        let block_time = match cause {
+            FailCause::Rejected => FULL_BLOCK_TIME,
+            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => {
+                UNREACHABLE_BLOCK_TIME
+            }
             _ => return,
         };
         // With several shards it isn't known which endpoint rejected the request; the back-off
         // covers that case.
         let [shard] = shards else { return };
         if let Some(endpoint) = self.fleet.for_shard(shard) {
-            endpoint.blocked_until = endpoint.blocked_until.max(now + pause);
+            endpoint.blocked_until = endpoint.blocked_until.max(now + block_time);
         }
     }
 }
--- a/crates/policy/src/adaptive/fleet_refresh.rs
+++ b/crates/policy/src/adaptive/fleet_refresh.rs
@@ -85,8 +85,8 @@
         self.short_rate = if is_limited { total * (1.0 - claim) } else { total };
         let own = self.demand[0].rate(seconds(now), DEMAND_HALF_LIFE_S);
         let by_traffic = if own > 0.0 { own / self.total_demand[0].max(own) } else { 0.0 };
-        let part = 0.5 / self.peers.instances() as f64 + 0.5 * by_traffic;
-        self.short_limiter.set(self.short_rate * part, is_limited, seconds(now));
+        let share = 0.5 / self.peers.instances() as f64 + 0.5 * by_traffic;
+        self.short_limiter.set(self.short_rate * share, is_limited, seconds(now));
     }
 
     /// Whether a long prompt of this instance is starved: its first token is far overdue.
--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -16,10 +16,10 @@
 //! into the remaining memory.
 //!
 //! **Grounds.** Reserving in a fixed order rules out a cycle of waiting instances; reserving all or
-//! none rules out partial holds; serving the longest wait first limits each wait to the prompts
-//! ahead. Instances whose views differ for a moment may both try, in which case one fails and backs
-//! off without losing memory. The engines keep [`SHORT_MEMORY_SHARE`] of their memory for short
-//! prompts, which are thousands of times smaller, so a drained engine continues to serve them.
+//! none rules out partial reservations; serving the longest wait first limits each wait to the
+//! prompts ahead. Instances whose views differ for a moment may both try, in which case one fails
+//! and backs off without losing memory. The engines keep [`SHORT_MEMORY_SHARE`] of their memory for
+//! short prompts, which are thousands of times smaller, so a drained engine continues to serve them.
 
 use std::time::Duration;
 
