--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -60,9 +60,9 @@
     fn finished(&mut self, request: RequestId, output: Tokens, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let RequestState::Running(attempt) = &entry.state else { return };
-        self.quarantine.completed(entry.req.fingerprint);
+        self.quarantine.record_completion(entry.req.fingerprint);
         if let Some(shard) = attempt.shards.first() {
-            self.budgets.succeeded(&entry.req.workspace, &shard.endpoint, now);
+            self.budgets.record_success(&entry.req.workspace, &shard.endpoint, now);
         }
         if let Some(first) = attempt.first_token_at {
             let generated = (output - entry.passed_on).0 as f64;
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -286,7 +286,7 @@
             self.prefix_holders.record_sent(*first, &endpoint.id);
         }
         self.cache.record_sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
-        self.quarantine.started(entry.req.fingerprint, &endpoint.id, now);
+        self.quarantine.record_start(entry.req.fingerprint, &endpoint.id, now);
         let attempt = Attempt {
             sent_at: now,
             predicted,
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -82,7 +82,7 @@
         }
         let fingerprint = entry.req.fingerprint;
         if cause != FailCause::EndpointDied {
-            self.quarantine.stopped(fingerprint);
+            self.quarantine.record_stop(fingerprint);
         }
         match self.give_up_cause(request, cause, now) {
             Some(cause) => self.fail(request, cause, now),
@@ -114,7 +114,7 @@
         if self.end_attempt(request, now).is_some()
             && let Some(entry) = self.requests.get(&request)
         {
-            self.quarantine.stopped(entry.req.fingerprint);
+            self.quarantine.record_stop(entry.req.fingerprint);
         }
         let Some(entry) = self.requests.swap_remove(&request) else { return };
         self.unmeasured_requests.shift_remove(&request);
@@ -170,7 +170,7 @@
             return None;
         }
         let endpoint = &entry.excluded.last()?.endpoint;
-        let paid = self.budgets.pay(&entry.req.workspace, endpoint, now);
+        let paid = self.budgets.try_spend(&entry.req.workspace, endpoint, now);
         (!paid).then_some(FailCause::RetryBudget)
     }
 
@@ -206,7 +206,7 @@
         };
         let entries = self.requests.values().filter(ran_there);
         let present: Vec<Fingerprint> = entries.map(|entry| entry.req.fingerprint).collect();
-        self.quarantine.died(&shard.endpoint, &present, now);
+        self.quarantine.record_death(&shard.endpoint, &present, now);
     }
 
     fn block_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -38,7 +38,7 @@
 impl Backoff {
     /// Records a failure and returns the back-off. `instances` share the retries, this one
     /// included.
-    pub fn failed(&mut self, instances: usize, rng: &mut Rng) -> Duration {
+    pub fn record_failure(&mut self, instances: usize, rng: &mut Rng) -> Duration {
         let backoff = full_jitter(
             per_instance(FIRST_BACKOFF, instances),
             self.failures,
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -344,7 +344,7 @@
         if plan.part_prefill_ms > self.short_prefill_ms() || !helpers.is_empty() {
             self.long_share.add(plan.part_prefill_ms * plan.servers.len() as f64, now);
         }
-        self.quarantine.started(request.fingerprint, &endpoint, now);
+        self.quarantine.record_start(request.fingerprint, &endpoint, now);
         self.jobs.insert(job_id, job);
         Placement {
             job: job_id,
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -306,7 +306,7 @@
         }
         match failed {
             None => {
-                self.quarantine.completed(job.fingerprint);
+                self.quarantine.record_completion(job.fingerprint);
                 match job.first_event_at {
                     Some(began) => {
                         let decode_ms = now.since(began).as_secs_f64() * 1000.0;
@@ -323,7 +323,7 @@
                 }
             }
             Some(cause) => {
-                self.quarantine.stopped(job.fingerprint);
+                self.quarantine.record_stop(job.fingerprint);
                 let cause = counted_cause(cause);
                 self.health.record_failure(&job.endpoint, cause);
                 if let Some(server) = self.servers.get_mut(&job.endpoint) {
@@ -347,7 +347,7 @@
         let ran = self.jobs.values().filter(|job| job.endpoint == *endpoint && job.is_sent);
         let present: Vec<Fingerprint> = ran.map(|job| job.fingerprint).collect();
         if !present.is_empty() {
-            self.quarantine.died(endpoint, &present, now);
+            self.quarantine.record_death(endpoint, &present, now);
         }
     }
 
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -103,7 +103,7 @@
 
     /// Records that an endpoint died while these fingerprints ran there. Returns the entries to
     /// send to the other instances.
-    pub fn died(
+    pub fn record_death(
         &mut self,
         endpoint: &EndpointId,
         present: &[Fingerprint],
@@ -119,9 +119,9 @@
 
     /// Records a complete run. It clears a suspect, but doesn't lift a refusal, which expires by
     /// itself.
-    pub fn completed(&mut self, fingerprint: Fingerprint) {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint) {
         self.suspects.swap_remove(&fingerprint);
-        self.stopped(fingerprint);
+        self.record_stop(fingerprint);
     }
 
     /// Quarantine state of a fingerprint.
@@ -178,14 +178,14 @@
     }
 
     /// Records that a request was sent to an endpoint.
-    pub fn started(&mut self, fingerprint: Fingerprint, endpoint: &EndpointId, now: Time) {
+    pub fn record_start(&mut self, fingerprint: Fingerprint, endpoint: &EndpointId, now: Time) {
         if self.state(fingerprint, now) == QuarantineState::Suspect {
             self.running.insert(endpoint.clone(), fingerprint);
         }
     }
 
     /// Records that a request no longer runs, without a complete answer.
-    pub fn stopped(&mut self, fingerprint: Fingerprint) {
+    pub fn record_stop(&mut self, fingerprint: Fingerprint) {
         self.running.retain(|_, suspect| *suspect != fingerprint);
     }
 
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -59,12 +59,12 @@
     }
 
     /// Adds `share` of a unit for a success.
-    pub fn succeeded(&mut self, share: f64) {
+    pub fn record_success(&mut self, share: f64) {
         self.units = (self.units + share).min(MAX_BUDGET_UNITS);
     }
 
     /// Refills the budget up to `now`; true if it has a unit for a retry.
-    pub fn affords(&mut self, now: Time) -> bool {
+    pub fn has_unit(&mut self, now: Time) -> bool {
         let refill = now.since(self.updated).as_secs_f64() * REFILL_UNITS_PER_SECOND;
         self.units = (self.units + refill).min(MAX_BUDGET_UNITS);
         self.updated = self.updated.max(now);
@@ -72,7 +72,7 @@
     }
 
     /// Deducts the unit of a retry.
-    pub fn pay(&mut self) {
+    pub fn spend(&mut self) {
         self.units = (self.units - 1.0).max(0.0);
     }
 }
@@ -97,20 +97,20 @@
     }
 
     /// Adds to both budgets for a success.
-    pub fn succeeded(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) {
+    pub fn record_success(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) {
         let share = self.share;
-        budget(&mut self.workspaces, workspace, now).succeeded(share);
-        budget(&mut self.endpoints, endpoint, now).succeeded(share);
+        budget(&mut self.workspaces, workspace, now).record_success(share);
+        budget(&mut self.endpoints, endpoint, now).record_success(share);
     }
 
     /// Deducts one retry after a failure at `endpoint`, from both budgets or from neither; false if
     /// one of them is exhausted.
-    pub fn pay(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) -> bool {
-        let affordable = budget(&mut self.workspaces, workspace, now).affords(now)
-            && budget(&mut self.endpoints, endpoint, now).affords(now);
+    pub fn try_spend(&mut self, workspace: &Workspace, endpoint: &EndpointId, now: Time) -> bool {
+        let affordable = budget(&mut self.workspaces, workspace, now).has_unit(now)
+            && budget(&mut self.endpoints, endpoint, now).has_unit(now);
         if affordable {
-            budget(&mut self.workspaces, workspace, now).pay();
-            budget(&mut self.endpoints, endpoint, now).pay();
+            budget(&mut self.workspaces, workspace, now).spend();
+            budget(&mut self.endpoints, endpoint, now).spend();
         }
         affordable
     }
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -41,7 +41,7 @@
 
 impl<K: Clone + Eq + std::hash::Hash, V: Clone + PartialEq> Roster<K, V> {
     /// Records that the store couldn't be read.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failing = true;
     }
 
--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -25,7 +25,7 @@
         let mut at = Duration::ZERO;
         while at < OUTAGE {
             attempts += 1;
-            at += backoff.failed(sharing, &mut rng);
+            at += backoff.record_failure(sharing, &mut rng);
         }
     }
     attempts
@@ -46,8 +46,8 @@
         let mut rng = Rng::with_seed(3);
         let mut backoff_after_two = || {
             let mut backoff = Backoff::default();
-            backoff.failed(24, &mut rng);
-            backoff.failed(24, &mut rng)
+            backoff.record_failure(24, &mut rng);
+            backoff.record_failure(24, &mut rng)
         };
         let backoffs: Vec<_> = (0..100).map(|_| backoff_after_two()).collect();
         let cap = (MAX_BACKOFF_PER_INSTANCE * 24).min(MAX_BACKOFF);
@@ -62,6 +62,6 @@
     alone_it_is_tried_often => || {
         let mut rng = Rng::with_seed(5);
         let mut backoff = Backoff::default();
-        assert!((0..1_000).all(|_| backoff.failed(1, &mut rng) <= MAX_BACKOFF_PER_INSTANCE));
+        assert!((0..1_000).all(|_| backoff.record_failure(1, &mut rng) <= MAX_BACKOFF_PER_INSTANCE));
     };
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -36,7 +36,7 @@
         let mut rng = Rng::with_seed(seed);
         let mut quarantine = Quarantine::new();
         let mut waiting: Vec<Fingerprint> = (0..40).map(Fingerprint).collect();
-        quarantine.died(&endpoint(0), &waiting, at(10));
+        quarantine.record_death(&endpoint(0), &waiting, at(10));
         rng.shuffle(&mut waiting);
         let mut deaths = 1;
         let mut now = at(10);
@@ -44,12 +44,12 @@
             now = now + Duration::from_secs(5);
             let target = (1..4).find(|n| quarantine.may_run(fingerprint, &endpoint(*n), 3, now));
             let target = endpoint(target.unwrap());
-            quarantine.started(fingerprint, &target, now);
+            quarantine.record_start(fingerprint, &target, now);
             if fingerprint == POISON {
                 deaths += 1;
-                quarantine.died(&target, &[fingerprint, Fingerprint(100)], now);
+                quarantine.record_death(&target, &[fingerprint, Fingerprint(100)], now);
             } else {
-                quarantine.completed(fingerprint);
+                quarantine.record_completion(fingerprint);
             }
         }
         assert_eq!(deaths, 2);
@@ -63,7 +63,7 @@
 fn suspects(numbers: &[u128]) -> Quarantine {
     let mut quarantine = Quarantine::new();
     let present: Vec<Fingerprint> = numbers.iter().copied().map(Fingerprint).collect();
-    quarantine.died(&endpoint(0), &present, at(10));
+    quarantine.record_death(&endpoint(0), &present, at(10));
     quarantine
 }
 
@@ -71,7 +71,7 @@
 fn suspects_run_apart_and_not_on_the_last_endpoint() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(12);
-    quarantine.started(Fingerprint(1), &endpoint(1), now);
+    quarantine.record_start(Fingerprint(1), &endpoint(1), now);
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 3, now));
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(2), 1, now));
@@ -79,7 +79,7 @@
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 1, later), "a single endpoint");
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 1, later), "still apart");
     assert!(quarantine.may_run(Fingerprint(3), &endpoint(1), 1, now), "no suspect, no bounds");
-    quarantine.stopped(Fingerprint(1));
+    quarantine.record_stop(Fingerprint(1));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
 }
 
@@ -97,7 +97,7 @@
 fn a_rack_that_fails_convicts_nobody() {
     let mut quarantine = Quarantine::new();
     for n in 0..3 {
-        quarantine.died(
+        quarantine.record_death(
             &endpoint(n),
             &[Fingerprint(1)],
             at(10) + Duration::from_millis(300 * n as u64),
@@ -113,8 +113,8 @@
 fn a_killer_run_apart_is_found_however_soon_it_kills_again() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(10) + Duration::from_millis(50);
-    quarantine.started(Fingerprint(1), &endpoint(1), now);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], now);
+    quarantine.record_start(Fingerprint(1), &endpoint(1), now);
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], now);
     assert_eq!(
         quarantine.state(Fingerprint(1), now),
         QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
@@ -125,15 +125,15 @@
 #[test]
 fn a_verdict_expires_and_the_next_lasts_twice_as_long() {
     let mut quarantine = suspects(&[1]);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], at(20));
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
     assert_eq!(
         quarantine.state(Fingerprint(1), at(20)),
         QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
     );
     let expiry = at(20) + FIRST_REFUSAL_PERIOD;
     assert_eq!(quarantine.state(Fingerprint(1), expiry), QuarantineState::Clear);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], expiry);
-    quarantine.died(&endpoint(2), &[Fingerprint(1)], expiry + Duration::from_secs(10));
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], expiry);
+    quarantine.record_death(&endpoint(2), &[Fingerprint(1)], expiry + Duration::from_secs(10));
     let again = quarantine.state(Fingerprint(1), expiry + Duration::from_secs(10));
     assert_eq!(again, QuarantineState::Refused(FIRST_REFUSAL_PERIOD * 2));
 }
@@ -147,7 +147,7 @@
 #[test]
 fn other_instances_refuse_what_one_has_found() {
     let mut here = suspects(&[1, 2]);
-    here.died(&endpoint(1), &[Fingerprint(1)], at(20));
+    here.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
     let mut there = Quarantine::new();
     // Instances' clocks differ, so only durations are sent.
     there.import(&here.export(at(30)), at(5_000));
@@ -160,7 +160,7 @@
 fn a_flood_of_suspects_stays_within_bounds() {
     let flood: Vec<Fingerprint> = (0..3 * MAX_SUSPECTS as u128).map(Fingerprint).collect();
     let mut quarantine = Quarantine::new();
-    quarantine.died(&endpoint(0), &flood, at(1));
+    quarantine.record_death(&endpoint(0), &flood, at(1));
     assert_eq!(quarantine.export(at(1)).len(), MAX_SUSPECTS);
 }
 
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -26,13 +26,13 @@
     let mut budgets = RetryBudgets::new(0.1);
     let (caller, failing, good) = (workspace("desk"), endpoint("e0"), endpoint("e1"));
     let now = Time::ZERO;
-    let burst = (0..1_000).filter(|_| budgets.pay(&caller, &failing, now)).count();
+    let burst = (0..1_000).filter(|_| budgets.try_spend(&caller, &failing, now)).count();
     assert_eq!(burst, INITIAL_BUDGET_UNITS as usize);
     let retried = (0..1_000)
         .filter(|_| {
-            budgets.succeeded(&caller, &good, now);
-            budgets.succeeded(&caller, &failing, now);
-            budgets.pay(&caller, &failing, now)
+            budgets.record_success(&caller, &good, now);
+            budgets.record_success(&caller, &failing, now);
+            budgets.try_spend(&caller, &failing, now)
         })
         .count();
     assert!((95..=100).contains(&retried), "{retried}");
@@ -42,18 +42,18 @@
 fn a_hot_workspace_does_not_spend_the_others_budget() {
     let mut budgets = RetryBudgets::new(0.1);
     for n in 0..100 {
-        budgets.pay(&workspace("hot"), &endpoint(&format!("e{n}")), Time::ZERO);
+        budgets.try_spend(&workspace("hot"), &endpoint(&format!("e{n}")), Time::ZERO);
     }
-    assert!(!budgets.pay(&workspace("hot"), &endpoint("e"), Time::ZERO));
-    assert!(budgets.pay(&workspace("quiet"), &endpoint("e"), Time::ZERO));
+    assert!(!budgets.try_spend(&workspace("hot"), &endpoint("e"), Time::ZERO));
+    assert!(budgets.try_spend(&workspace("quiet"), &endpoint("e"), Time::ZERO));
 }
 
 #[test]
 fn successes_do_not_save_up_for_a_storm() {
     let mut budgets = RetryBudgets::new(0.1);
     let (caller, target) = (workspace("desk"), endpoint("e0"));
-    (0..100_000).for_each(|_| budgets.succeeded(&caller, &target, Time::ZERO));
-    let burst = (0..1_000).filter(|_| budgets.pay(&caller, &target, Time::ZERO)).count();
+    (0..100_000).for_each(|_| budgets.record_success(&caller, &target, Time::ZERO));
+    let burst = (0..1_000).filter(|_| budgets.try_spend(&caller, &target, Time::ZERO)).count();
     assert_eq!(burst, MAX_BUDGET_UNITS as usize);
 }
 
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -37,7 +37,7 @@
 fn an_outage_takes_nobody_away() {
     let mut roster = Roster::default();
     roster.update(&found(&[1, 2]), at(0));
-    roster.failed();
+    roster.record_failure();
     assert!(!roster.update(&found(&[]), at(5_000)));
     assert_eq!(keys(&roster), [1, 2]);
     roster.update(&found(&[1]), at(6_500));
@@ -52,9 +52,9 @@
 fn a_second_outage_begins_anew() {
     let mut roster = Roster::default();
     roster.update(&found(&[1]), at(0));
-    roster.failed();
+    roster.record_failure();
     roster.update(&found(&[]), at(1_000));
-    roster.failed();
+    roster.record_failure();
     roster.update(&found(&[]), at(3_000));
     assert_eq!(keys(&roster), [1]);
     roster.update(&found(&[]), at(3_000) + REGISTRATION_GRACE_PERIOD + Duration::from_millis(1));
@@ -65,7 +65,7 @@
 fn a_change_within_an_outage_counts() {
     let mut roster = Roster::default();
     roster.update(&found(&[1]), at(0));
-    roster.failed();
+    roster.record_failure();
     let draining: IndexMap<u32, &str> = [(1, "leaving")].into_iter().collect();
     assert!(roster.update(&draining, at(1_000)));
     assert_eq!(roster.entries()[&1], "leaving");
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -111,7 +111,7 @@
         if self.query(QueryTarget::AnyLive).await {
             return query_interval;
         }
-        self.roster.failed();
+        self.roster.record_failure();
         time_until_retry.min(query_interval)
     }
 
@@ -229,7 +229,7 @@
                 if self.query(QueryTarget::AnyLive).await {
                     return query_interval;
                 }
-                self.roster.failed();
+                self.roster.record_failure();
                 self.access.time_until_retry().min(query_interval)
             }
         }
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -58,7 +58,8 @@
             log::warn!(source = self.source.as_str(), cause:% = e; "source_lost");
             self.tracker.set_unreachable(self.source, true);
         }
-        let pause = self.backoff.failed(self.tracker.retry_group_size(), &mut fastrand::Rng::new());
+        let pause =
+            self.backoff.record_failure(self.tracker.retry_group_size(), &mut fastrand::Rng::new());
         self.retry_at = Some(Instant::now() + pause);
     }
 
