--- a/crates/router/src/follow/configuration.rs
+++ b/crates/router/src/follow/configuration.rs
@@ -54,7 +54,7 @@
         loop {
             let pause = self.refresh().await;
             if self.tracker.wait_for_announcement(Source::Configuration, pause).await {
-                self.access.prepare_update().await;
+                self.access.react_to_announcement().await;
             }
         }
     }
@@ -72,6 +72,9 @@
         time_until_retry.min(QUERY_INTERVAL)
     }
 
+    /// Whether this instance has every update that a peer has announced; queries other peers where
+    /// it hasn't.
+    ///
     /// Guards against a late update: where a peer other than the queried readers has announced it,
     /// the readers' replies don't contain it yet.
     async fn has_all_updates(&mut self) -> bool {
@@ -94,6 +97,8 @@
         is_applied
     }
 
+    /// Updates from any peer; false where none has replied or the update failed.
+    ///
     /// Guards against an instance that alone can't reach the log and refuses all requests that need
     /// a key, although its peers have just read the log.
     async fn query_any_peer(&mut self) -> bool {
@@ -140,14 +145,14 @@
 
     async fn read(&mut self) -> Duration {
         match self.source.read().await {
-            Ok(reading) => {
+            Ok(read) => {
                 self.access.record_success();
-                let bytes = reading.update.as_ref().map(|published| published.bytes.clone());
+                let bytes = read.update.as_ref().map(|published| published.bytes.clone());
                 let is_newer =
-                    reading.update.is_some_and(|published| self.put_in_force(published.table));
-                self.access.log_read(reading.position, is_newer);
-                self.configuration.confirm(reading.as_of);
-                self.tracker.update_configuration(reading.position, reading.as_of, bytes);
+                    read.update.is_some_and(|published| self.put_in_force(published.table));
+                self.access.log_read(read.position, is_newer);
+                self.configuration.confirm(read.as_of);
+                self.tracker.update_configuration(read.position, read.as_of, bytes);
                 if is_newer {
                     self.tracker.announce();
                 }
--- a/crates/router/src/follow/endpoints.rs
+++ b/crates/router/src/follow/endpoints.rs
@@ -91,7 +91,7 @@
             if !self.tracker.wait_for_announcement(Source::Endpoints, left).await {
                 return;
             }
-            self.access.prepare_update().await;
+            self.access.react_to_announcement().await;
             if !self.access.is_active_reader() || !self.query(QueryTarget::LastAnnouncer).await {
                 return;
             }
@@ -208,13 +208,13 @@
     async fn read(&mut self) -> Duration {
         let before = self.source.position();
         match self.source.read().await {
-            Ok(reading) => {
+            Ok(read) => {
                 self.access.record_success();
-                let changes = match reading.update {
+                let changes = match read.update {
                     Some(entries) => self.replace_all(entries),
                     None => Vec::new(),
                 };
-                let (position, as_of) = (reading.position, reading.as_of);
+                let (position, as_of) = (read.position, read.as_of);
                 self.access.log_read(position, !changes.is_empty());
                 self.tracker.update_endpoints(before, position, as_of, &changes, &self.registered);
                 if before.is_some() && !changes.is_empty() {
--- a/crates/router/src/follow/mod.rs
+++ b/crates/router/src/follow/mod.rs
@@ -77,7 +77,7 @@
     /// Reacts to an update that a peer announced. The first reader retries an unreachable source at
     /// once; the others wait a random time, so that the first reader can read the update and their
     /// queries are spread.
-    async fn prepare_update(&mut self) {
+    async fn react_to_announcement(&mut self) {
         if !self.is_first_reader() {
             Timer::after(MAX_UPDATE_DELAY.mul_f64(fastrand::f64())).await;
         } else if self.is_unreachable {
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -32,10 +32,10 @@
 /// compared to a read of the log.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The latest changes of endpoints that are kept for peers that have read less.
+/// Maximum number of the latest endpoint changes that are kept for peers that have read less.
 const MAX_KEPT_CHANGES: usize = 64;
 
-/// Maximum of changes in one reply, so that it fits into one datagram.
+/// Maximum number of changes in one reply, so that it fits into one datagram.
 const MAX_CHANGES_PER_REPLY: usize = 16;
 
 /// Capacity of the channels for queries that wait to be sent and for the replies to one query.
@@ -53,9 +53,11 @@
 /// One instance's reply to a peer's query.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct FreshnessReply {
-    /// How fresh its configuration is; none where it can't read the source itself.
+    /// How fresh its configuration is; none before it has one, and while it can't read the source
+    /// itself.
     pub configuration: Option<Freshness>,
-    /// How fresh its endpoints are; none where it can't read the source itself.
+    /// How fresh its endpoints are; none before it has any, and while it can't read the source
+    /// itself.
     pub endpoints: Option<Freshness>,
     /// Changes of endpoints since the queried position; none where they are no longer kept, or too
     /// many for one reply.
@@ -105,7 +107,7 @@
     Accepted(T),
 }
 
-/// What instances follow.
+/// A source that instances follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Source {
     /// The operators' configuration.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -28,7 +28,7 @@
 pub use instance::Instance;
 pub use settings::Settings;
 
-/// Maximum of names in one log line.
+/// Maximum number of names in one log line.
 const MAX_LOGGED_NAMES: usize = 16;
 
 /// Joins names for a log line; beyond the maximum, only the number of further names is added.
--- a/crates/router/src/links/mod.rs
+++ b/crates/router/src/links/mod.rs
@@ -5,7 +5,7 @@
 //! the next update replaces a lost one, and none waits for another. A stream would deliver outdated
 //! updates late and in order (`docs/decisions/platform.md`). What peers send unasked only changes
 //! where this instance sends work, or wakes a follower to query; no guarantee depends on it.
-//! Replies to this instance's own queries ([`queries`]) count as [`policy::freshness`] defines.
+//! Replies to this instance's own queries ([`queries`]) are evaluated by [`policy::freshness`].
 
 mod message;
 mod queries;
@@ -47,8 +47,8 @@
 /// yet, so none of them knows how many share the retries.
 const DIRECTORY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Maximum of updates in one datagram, so that it fits into one packet: an update with a part takes
-/// about 40 bytes.
+/// Maximum number of updates in one datagram, so that it fits into one packet: an update with a
+/// part takes about 40 bytes.
 const MAX_UPDATES_PER_DATAGRAM: usize = 24;
 
 /// Longer datagrams aren't decoded.
@@ -131,7 +131,7 @@
     Received(Datagram, SocketAddr),
 }
 
-/// What the links of an instance are made of.
+/// Arguments of [`Links::new`].
 pub struct LinkParts {
     /// This instance's entry in the directory.
     pub own_entry: PeerEntry,
@@ -355,7 +355,7 @@
         }
         let (last_seen, address) = (now, from);
         let peer = Peer { address, data_centre, incarnation, sequence, last_seen, is_live: true };
-        self.discard_updates(&instance);
+        self.remove_from_schedulers(&instance);
         self.discovered.push(instance.clone());
         self.peers.insert(instance, peer);
         self.update_peer_counts();
@@ -425,11 +425,11 @@
             peer.is_live = false;
         }
         self.lost.push(instance.clone());
-        self.discard_updates(instance);
+        self.remove_from_schedulers(instance);
         self.update_peer_counts();
     }
 
-    fn discard_updates(&self, instance: &InstanceId) {
+    fn remove_from_schedulers(&self, instance: &InstanceId) {
         for group in self.groups.all() {
             lock(&group.scheduler).remove_peer(instance);
         }
--- a/crates/router/src/links/queries.rs
+++ b/crates/router/src/links/queries.rs
@@ -14,7 +14,7 @@
 /// Replies that arrive later are dropped.
 const REPLY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Maximum of live instances that a query to [`QueryTarget::AnyLive`] goes to.
+/// Maximum number of live instances that a query to [`QueryTarget::AnyLive`] goes to.
 const MAX_ANY_TARGETS: usize = 3;
 
 /// A query whose replies may still arrive.
