--- a/crates/policy/tests/affinity.rs
+++ b/crates/policy/tests/affinity.rs
@@ -37,14 +37,14 @@
     stored_blocks_are_expected: [feed(1, 0, STORED)] => 1024;
     a_prefix_ends_at_the_first_missing_block: [feed(1, 0, STORED), feed(1, 4, &[(2, false)])] => 256;
     a_gap_halves_what_was_known: [feed(1, 0, STORED), feed(1, 9, &[])] => 512;
-    a_gap_leaves_news_after_it_certain: [feed(1, 0, STORED), feed(1, 9, &[(1, true)])] => 640;
+    a_gap_leaves_later_events_certain: [feed(1, 0, STORED), feed(1, 9, &[(1, true)])] => 640;
     a_second_gap_takes_no_more: [feed(1, 0, STORED), feed(1, 9, &[]), feed(1, 20, &[])] => 512;
-    a_feed_heard_from_the_middle_is_a_gap: [feed(1, 7, STORED)] => 1024;
-    a_new_life_empties_the_index: [feed(1, 0, STORED), feed(2, 0, &[])] => 0;
-    an_older_life_is_ignored: [feed(2, 0, &[]), feed(1, 0, STORED)] => 0;
-    repeated_news_change_nothing:
+    a_feed_received_from_the_middle_is_a_gap: [feed(1, 7, STORED)] => 1024;
+    a_new_incarnation_empties_the_index: [feed(1, 0, STORED), feed(2, 0, &[])] => 0;
+    an_older_incarnation_is_ignored: [feed(2, 0, &[]), feed(1, 0, STORED)] => 0;
+    repeated_events_change_nothing:
         [feed(1, 0, STORED), feed(1, 4, &[(1, false)]), feed(1, 0, STORED)] => 0;
-    overlapping_news_count_once:
+    overlapping_events_count_once:
         [feed(1, 0, STORED), feed(1, 4, &[(1, false)]), feed(1, 3, &[(4, true), (1, false), (1, true)])]
         => 1024;
 }
@@ -90,7 +90,7 @@
 }
 
 quickcheck! {
-    fn no_news_yield_more_than_was_asked_for(starts: Vec<(u8, u8)>, blocks: Vec<u8>) -> bool {
+    fn no_events_yield_more_than_the_prefix(starts: Vec<(u8, u8)>, blocks: Vec<u8>) -> bool {
         let mut index = CacheIndex::new();
         let events: Vec<(u64, bool)> = blocks.iter().map(|b| (u64::from(b / 2), b % 2 == 0)).collect();
         for (incarnation, from) in starts {
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -14,7 +14,7 @@
 const LONGEST: Duration = Duration::from_millis(4_000);
 
 cases! {
-    nothing_is_said_of_what_was_hardly_seen => || {
+    few_answers_give_no_bound => || {
         let mut times = AnswerTimes::default();
         (0..19).for_each(|_| times.record("ask", SHORT));
         assert_eq!(times.upper_bound("ask"), None);
@@ -24,7 +24,7 @@
     };
 
     /// One answer in two hundred is long, and a stop has to allow for it.
-    the_longest_bounds_the_next => || {
+    the_longest_answer_is_the_bound => || {
         let mut times = AnswerTimes::default();
         times.record("ask", LONGEST);
         (0..199).for_each(|_| times.record("ask", SHORT));
--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -59,7 +59,7 @@
     };
 
     /// Guards against a single disconnected instance that notices the store's recovery late.
-    alone_it_is_tried_often => || {
+    a_single_instance_retries_often => || {
         let mut rng = Rng::with_seed(5);
         let mut backoff = Backoff::default();
         assert!((0..1_000).all(|_| backoff.record_failure(1, &mut rng) <= MAX_BACKOFF_PER_INSTANCE));
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -71,7 +71,7 @@
         then vec![EndpointShare { prefilled: Tokens(900), ..share(1, 9_000) }], after SOON => 1;
     nothing_of_little_work_done_since: vec![share(1, 9_000)],
         then vec![EndpointShare { prefilled: Tokens(300), ..share(1, 9_000) }], after SOON => 0;
-    a_new_life_at_once: vec![share(1, 9_000)],
+    a_new_incarnation_at_once: vec![share(1, 9_000)],
         then vec![EndpointShare { incarnation: Incarnation(2), ..share(1, 9_000) }], after SOON => 1;
 }
 
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn late_parts_and_older_lives_are_ignored() {
+fn late_parts_and_older_incarnations_are_ignored() {
     let mut receiver = DigestReceiver::new();
     let at_incarnation = |incarnation, part: LoadDigest| LoadDigest {
         incarnation: Incarnation(incarnation),
@@ -149,11 +149,11 @@
     assert!(receiver.merge(at_incarnation(2, digest(4, vec![share(1, 99)]))).is_none());
     assert!(receiver.merge(at_incarnation(1, digest(9, vec![share(1, 99)]))).is_none());
     let fresh = receiver.merge(at_incarnation(3, digest(1, vec![share(2, 7)]))).unwrap();
-    assert_eq!(fresh.endpoints, [share(2, 7)], "a new life starts from nothing");
+    assert_eq!(fresh.endpoints, [share(2, 7)], "a new incarnation starts empty");
 }
 
 #[test]
-fn suspicions_are_told_once_and_where_suspects_run_again_and_again() {
+fn suspicions_are_sent_once_and_suspect_endpoints_repeatedly() {
     let mut sender = DigestSender::new(100_000, at(0));
     let mut suspecting = digest(1, vec![share(1, 9_000)]);
     let suspicion =
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -46,7 +46,7 @@
         assert_eq!(reader_indexes.collect::<Vec<_>>(), vec![0, 1, 2]);
     };
 
-    who_has_read_less_is_told_so => || {
+    an_instance_that_has_read_less_is_behind => || {
         let freshness = Freshness { position: Position(7), age: Duration::ZERO };
         assert_eq!(freshness.check(Position(6), Duration::ZERO), FreshnessCheck::Behind);
         let age = Duration::from_millis(300);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -65,14 +65,14 @@
 ejects! {
     three_failures_eject: Group::of(4).fail(0, Broken, 3), needed 1 => [Failures];
     two_failures_do_not: Group::of(4).fail(0, Broken, 2), needed 1 => [];
-    an_answer_ends_the_row: Group::of(4).fail(0, Broken, 2).answer(0, 1.0).fail(0, Broken, 2),
+    an_answer_resets_the_failures: Group::of(4).fail(0, Broken, 2).answer(0, 1.0).fail(0, Broken, 2),
         needed 1 => [];
     a_busy_endpoint_is_not_at_fault: Group::of(4).fail(0, Rejected, 50), needed 1 => [];
     silence_alone_ejects_nobody: Group::of(4).fail(0, Silent, 50), needed 1 => [];
-    of_four_only_one_goes: Group::of(4).fail(0, Broken, 3).fail(1, Broken, 3), needed 1 => [Failures];
-    of_two_none_goes: Group::of(2).fail(0, Broken, 9), needed 1 => [];
-    load_needs_them_all: Group::of(4).fail(0, Broken, 9), needed 4 => [];
-    a_dead_one_goes_even_of_two: Group::of(2).fail(0, NotSent, 2), needed 2 => [Dead];
+    of_four_only_one_is_ejected: Group::of(4).fail(0, Broken, 3).fail(1, Broken, 3), needed 1 => [Failures];
+    of_two_none_is_ejected: Group::of(2).fail(0, Broken, 9), needed 1 => [];
+    load_needs_all_of_them: Group::of(4).fail(0, Broken, 9), needed 4 => [];
+    a_dead_one_is_ejected_even_of_two: Group::of(2).fail(0, NotSent, 2), needed 2 => [Dead];
     a_dead_one_uses_up_the_floor: Group::of(4).fail(0, NotSent, 2).fail(1, Broken, 9),
         needed 1 => [Dead];
     far_slower_than_the_others:
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn where_all_are_out_all_may_be_tried() {
+fn if_all_are_ejected_all_are_usable() {
     let mut group = Group::of(2).fail(0, NotSent, 2).fail(1, NotSent, 2);
     assert_eq!(group.causes(1), [Dead, Dead]);
     assert!(matches!(group.health.state(&endpoint(0), group.now), HealthState::Usable(_)));
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -129,8 +129,8 @@
 
 herd_cases! {
     four_instances_with_late_views_do_not_herd: Site { instances: 4, report_interval: 0.4, utilisation: 0.7 };
-    nor_do_they_when_busier: Site { instances: 4, report_interval: 1.0, utilisation: 0.9 };
-    nor_do_sixteen: Site { instances: 16, report_interval: 1.0, utilisation: 0.9 };
+    four_busier_instances_do_not_herd: Site { instances: 4, report_interval: 1.0, utilisation: 0.9 };
+    sixteen_instances_do_not_herd: Site { instances: 16, report_interval: 1.0, utilisation: 0.9 };
 }
 
 #[derive(Debug)]
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -31,7 +31,7 @@
 /// on an engine, one of them crashes it; suspects are rerun isolated, and the second death
 /// identifies it.
 #[test]
-fn the_second_death_finds_the_killer_and_clears_the_rest() {
+fn the_second_death_identifies_the_poison_request_and_clears_the_rest() {
     for seed in 0..50 {
         let mut rng = Rng::with_seed(seed);
         let mut quarantine = Quarantine::new();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn suspects_run_apart_and_not_on_the_last_endpoint() {
+fn suspects_run_isolated_and_not_on_the_last_endpoint() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(12);
     quarantine.record_start(Fingerprint(1), &endpoint(1), now);
@@ -94,7 +94,7 @@
 /// Guards against refusing a popular request everywhere for ten minutes: a rack fails, and three
 /// engines that all ran it die in the same second.
 #[test]
-fn a_rack_that_fails_convicts_nobody() {
+fn a_failed_rack_confirms_no_suspect() {
     let mut quarantine = Quarantine::new();
     for n in 0..3 {
         quarantine.record_death(
@@ -110,7 +110,7 @@
 /// death, crashes the next engine at once; if that death counted as the first one because they are
 /// so close, all four engines would die within a second.
 #[test]
-fn a_killer_run_apart_is_found_however_soon_it_kills_again() {
+fn an_isolated_poison_request_is_found_however_soon_it_crashes_again() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(10) + Duration::from_millis(50);
     quarantine.record_start(Fingerprint(1), &endpoint(1), now);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_verdict_expires_and_the_next_lasts_twice_as_long() {
+fn a_refusal_expires_and_the_next_lasts_twice_as_long() {
     let mut quarantine = suspects(&[1]);
     quarantine.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
     assert_eq!(
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn other_instances_refuse_what_one_has_found() {
+fn other_instances_refuse_what_one_has_confirmed() {
     let mut here = suspects(&[1, 2]);
     here.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
     let mut there = Quarantine::new();
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -9,7 +9,7 @@
 };
 
 fn found(keys: &[u32]) -> IndexMap<u32, &'static str> {
-    keys.iter().map(|key| (*key, "life")).collect()
+    keys.iter().map(|key| (*key, "registered")).collect()
 }
 
 fn at(ms: u64) -> Time {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_missing_is_gone() {
+fn a_missing_entry_is_removed() {
     let mut roster = Roster::default();
     assert!(roster.update(&found(&[1, 2]), at(0)));
     assert!(!roster.update(&found(&[1, 2]), at(500)));
@@ -34,7 +34,7 @@
 /// Guards against refusing callers after an outage of the store, in which every registration
 /// expired. The endpoints are alive and register again two seconds after the store's recovery.
 #[test]
-fn an_outage_takes_nobody_away() {
+fn an_outage_removes_no_entry() {
     let mut roster = Roster::default();
     roster.update(&found(&[1, 2]), at(0));
     roster.record_failure();
