--- a/crates/policy/src/digest.rs
+++ b/crates/policy/src/digest.rs
@@ -145,7 +145,7 @@
         Some(part)
     }
 
-    /// All entries sent so far, for a peer with a new link.
+    /// All entries as last sent, for a peer with a new link.
     pub fn full_digest(&self, digest: &LoadDigest) -> LoadDigest {
         LoadDigest {
             endpoints: self.endpoints.values().map(|sent| sent.share.clone()).collect(),
--- a/crates/policy/src/selection/mod.rs
+++ b/crates/policy/src/selection/mod.rs
@@ -118,9 +118,9 @@
 /// Work that other instances have likely added to an endpoint's queue if the view of them is `age`
 /// old: an endpoint that is busy for a share of the time receives as much work in the same time,
 /// and all but this instance's own part of it is unreported.
-pub fn unreported_work(age: Duration, busy: f64, instances: usize) -> Duration {
+pub fn unreported_work(age: Duration, utilisation: f64, instances: usize) -> Duration {
     let others = 1.0 - 1.0 / instances.max(1) as f64;
-    age.mul_f64(busy.clamp(0.0, 1.0) * others).min(MAX_UNREPORTED_WORK)
+    age.mul_f64(utilisation.clamp(0.0, 1.0) * others).min(MAX_UNREPORTED_WORK)
 }
 
 /// Chooses the endpoint for `request`, as an index into `candidates`; none if no candidate can take
