--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -235,8 +235,8 @@
             Err(PlacementRefusal::NoEndpoint) => Err(self.give_up(Reason::NoEndpoint)),
             Err(PlacementRefusal::Quarantined(_)) => Err(self.give_up(Reason::Quarantined)),
             Err(PlacementRefusal::TooLate(by)) => {
-                log::info!(id = self.id(), prompt = request.prompt_tokens, late_ms = by.as_millis() as u64;
-                    "too_late");
+                log::info!(id = self.id(), prompt = request.prompt_tokens,
+                    late_ms = by.as_millis() as u64; "too_late");
                 Err(self.refuse_with_retry_after(Reason::TooLate, by))
             }
             Err(PlacementRefusal::Crowded(after)) => {
