--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -32,7 +32,7 @@
 
 /// Upper estimate of the duration of a call without token counts, as a multiple of its route's
 /// goal. Used to decide whether the call fits in before a stop.
-const PLAIN_CALL_GOALS: u32 = 3;
+const PLAIN_CALL_GOAL_MULTIPLE: u32 = 3;
 
 /// State of the instance that dispatching shares with its other tasks.
 pub struct DispatchContext<D> {
@@ -65,8 +65,8 @@
 
 impl<D> Dispatch<D> {
     /// Creates the filter.
-    pub fn new(parts: DispatchContext<D>) -> Self {
-        Dispatch(Arc::new(parts))
+    pub fn new(context: DispatchContext<D>) -> Self {
+        Dispatch(Arc::new(context))
     }
 
     /// Refuses a request that is expected to outlast a stop in progress.
@@ -80,7 +80,7 @@
         let Some(left) = self.0.lifecycle.time_until_cutoff() else { return Ok(()) };
         let needed = match received.caller.tokens {
             Some(tokens) => self.expected_duration(&received.route.name, tokens, group),
-            None => received.route.goal * PLAIN_CALL_GOALS,
+            None => received.route.goal * PLAIN_CALL_GOAL_MULTIPLE,
         };
         match needed > left {
             true => Err(Refusal::not_run(Reason::Stopping, CAPACITY_RETRY_AFTER)),
--- a/crates/router/src/filter/identify.rs
+++ b/crates/router/src/filter/identify.rs
@@ -39,12 +39,12 @@
     pub table: Arc<RouteTable>,
     /// The route that matches host and path.
     pub route: Arc<Route>,
-    /// Owner of the API key; `None` on routes that don't require one.
+    /// Owner of the API key; `None` where no key is required.
     pub owner: Option<Owner>,
 }
 
 impl Identified {
-    /// Workspace of the API key; `None` on routes that don't require one.
+    /// Workspace of the API key; `None` where no key is required.
     pub fn workspace(&self) -> Option<&Workspace> {
         self.owner.as_ref().map(|owner| &owner.workspace)
     }
--- a/crates/router/src/filter/receive.rs
+++ b/crates/router/src/filter/receive.rs
@@ -33,7 +33,7 @@
     pub caller: RequestMetadata,
     /// The route that matches host and path.
     pub route: Arc<Route>,
-    /// Owner of the API key; `None` on routes that don't require one.
+    /// Owner of the API key; `None` where no key is required.
     pub owner: Option<Owner>,
     /// When the head had been received.
     pub arrived: Time,
--- a/crates/router/src/filter/reservations.rs
+++ b/crates/router/src/filter/reservations.rs
@@ -1,4 +1,5 @@
-//! Reservations of KV memory on helpers, for prompts that don't fit on the engine that runs them.
+//! Reservations of KV memory on helpers, for prompts that need memory on engines besides the one
+//! that runs them.
 //!
 //! Guards against memory that is never released: a reservation expires soon after its last renewal,
 //! whatever became of its owner, of its release or of the response to it. Every reservation has its
