--- a/crates/policy/src/adaptive/reserve.rs
+++ b/crates/policy/src/adaptive/reserve.rs
@@ -19,7 +19,8 @@
 //! none rules out partial reservations; serving the longest wait first limits each wait to the
 //! prompts ahead. Instances whose views differ for a moment may both try, in which case one fails
 //! and backs off without losing memory. The engines keep [`SHORT_MEMORY_SHARE`] of their memory for
-//! short prompts, which are thousands of times smaller, so a drained engine continues to serve them.
+//! short prompts, which are thousands of times smaller, so a drained engine continues to serve
+//! them.
 
 use std::time::Duration;
 
