--- a/crates/daemon/examples/control_cost.rs
+++ b/crates/daemon/examples/control_cost.rs
@@ -94,7 +94,7 @@
         let page = ListPage {
             instances: meshes.iter().enumerate().map(|(n, m)| listed(n, count, m)).collect(),
         };
-        meshes.iter().for_each(|mesh| mesh.list_read(&page));
+        meshes.iter().for_each(|mesh| mesh.apply_list(&page));
         thread::sleep(SETTLE);
         Fleet { meshes, views, rss_before, executor }
     }
--- a/crates/daemon/examples/ledger_rate.rs
+++ b/crates/daemon/examples/ledger_rate.rs
@@ -97,7 +97,7 @@
     let cfg = LedgerConfig {
         stream: "ledger-0".to_owned(),
         window: Duration::from_secs(86_400),
-        log_keeps: Duration::from_secs(3_600),
+        log_retention: Duration::from_secs(3_600),
     };
     let ledger = Ledger::new(log, cfg, Writer { instance, incarnation: Incarnation(1) }, clock);
     let executor = LocalExecutor::new();
--- a/crates/daemon/src/checkpoint.rs
+++ b/crates/daemon/src/checkpoint.rs
@@ -39,7 +39,7 @@
     /// The stream.
     pub stream: &'a str,
     /// How long the log keeps records.
-    pub log_keeps: Duration,
+    pub log_retention: Duration,
     /// Names the writer, so that no two checkpoints have the same name.
     pub writer: String,
 }
@@ -47,7 +47,7 @@
 /// Writes checkpoints for as long as it is polled. Each instance would write one, and the first to
 /// do it spares the others theirs.
 pub async fn run<L: Log>(log: &L, clock: Clock, schedule: Schedule<'_>, source: &impl Source) {
-    let keeps = schedule.log_keeps;
+    let keeps = schedule.log_retention;
     // Without this all instances would write theirs at once.
     let due = (keeps / DUE).mul_f64(0.75 + 0.5 * fastrand::f64());
     let (mut seen, mut since) = (None, clock.now());
--- a/crates/daemon/src/controller/configuration.rs
+++ b/crates/daemon/src/controller/configuration.rs
@@ -151,7 +151,7 @@
             time_ms: record.time_ms,
             data: &record.data,
         });
-        for entry in state.replay.accept(page.first, records) {
+        for entry in state.replay.apply_page(page.first, records) {
             log::info!(
                 offset = entry.offset.0,
                 id = entry.id.as_str(),
@@ -173,7 +173,7 @@
 
 impl<L> Source for Publications<L> {
     fn covered(&self) -> Option<Offset> {
-        lock(&self.state).replay.checkpointed().map(|stamp| stamp.offset)
+        lock(&self.state).replay.last_checkpoint().map(|stamp| stamp.offset)
     }
 
     fn is_urgent(&self) -> bool {
@@ -221,8 +221,8 @@
         drop(state);
         if active.version > Version(0) {
             let minutes = active.config.ledger.log_keeps_minutes;
-            let log_keeps = Duration::from_secs(60 * minutes).min(LOG_KEEPS * 24);
-            let schedule = Schedule { stream: STREAM, log_keeps, writer };
+            let log_retention = Duration::from_secs(60 * minutes).min(LOG_KEEPS * 24);
+            let schedule = Schedule { stream: STREAM, log_retention, writer };
             let (log, clock) = (&publications.log, publications.clock);
             return checkpoint::run(log, clock, schedule, &*publications).await;
         }
--- a/crates/daemon/src/controller/ledgers.rs
+++ b/crates/daemon/src/controller/ledgers.rs
@@ -43,6 +43,6 @@
 pub(super) fn heard(shared: &Arc<Shared>, ends: &[u64]) {
     let Some(ledgers) = shared.ledgers() else { return };
     for (ledger, end) in ledgers.iter().zip(ends) {
-        ledger.note_end(Offset(*end));
+        ledger.record_stream_end(Offset(*end));
     }
 }
--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -16,7 +16,7 @@
 };
 
 use futures_lite::FutureExt;
-use policy::membership::owners::OwnerLife;
+use policy::membership::owners::OwnerStatus;
 use protocols::engine::{
     Engine, EngineError, listing,
     wire::{Held, HeldPage, Owner},
@@ -155,5 +155,5 @@
 /// Held by an instance that is proved to be gone, see [`policy::membership::owners`].
 fn is_gone(shared: &Shared, holder: &Owner) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
-    mesh.owner(&holder.instance, holder.incarnation) == OwnerLife::Gone
+    mesh.owner(&holder.instance, holder.incarnation) == OwnerStatus::Gone
 }
--- a/crates/daemon/src/controller/mod.rs
+++ b/crates/daemon/src/controller/mod.rs
@@ -10,7 +10,7 @@
 
 use std::sync::Arc;
 
-use policy::{config::EndpointKind, membership::State, rendezvous};
+use policy::{config::EndpointKind, membership::MemberState, rendezvous};
 use smol::channel::Receiver;
 
 pub use memory::LEASE;
@@ -38,7 +38,7 @@
 /// while views of who lives differ it may have two, so whatever they do must do no harm twice.
 fn chosen(shared: &Shared, name: &str) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
-    let live = mesh.status().into_iter().filter(|peer| peer.state == State::Live);
+    let live = mesh.status().into_iter().filter(|peer| peer.state == MemberState::Live);
     let mut members: Vec<_> = live.map(|peer| peer.instance).collect();
     members.push(shared.owner.instance.clone());
     let chosen = rendezvous::owner(rendezvous::key(name), &members);
--- a/crates/daemon/src/controller/peers.rs
+++ b/crates/daemon/src/controller/peers.rs
@@ -56,7 +56,7 @@
         let page = HttpInstanceList::new(address).list().await;
         let Some(state) = shared.upgrade() else { return };
         if let (Ok(page), Some(mesh)) = (page, state.mesh()) {
-            mesh.list_read(&page);
+            mesh.apply_list(&page);
         }
         drop(state);
         Timer::after(LIST_PERIOD.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
@@ -89,7 +89,7 @@
             log::info!(peer = instance.as_str(), incarnation = incarnation.0; "peer_gone");
             for route in shared.active().deployments.values() {
                 let instance = instance.clone();
-                route.deployment.observe(Event::PeerGone { instance, incarnation });
+                route.deployment.observe(Event::PeerRemoved { instance, incarnation });
             }
         }
     }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -43,7 +43,7 @@
 pub async fn ledgers_written(shared: &Shared) {
     let end = shared.clock.now() + LEDGER_PATIENCE;
     let written =
-        || shared.ledgers().is_none_or(|ledgers| ledgers.iter().all(|ledger| ledger.is_written()));
+        || shared.ledgers().is_none_or(|ledgers| ledgers.iter().all(|ledger| ledger.is_flushed()));
     while !written() && shared.clock.now() < end {
         Timer::after(LOOK_PERIOD).await;
     }
--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -88,17 +88,17 @@
         request,
         reason,
         prompt = spec.prompt.0,
-        allowed_s = forecast.allowed_s,
-        own_s = forecast.own_s,
-        others_s = forecast.others_s,
-        turn_s = forecast.turn_s,
+        allowed_s = forecast.budget_s,
+        own_s = forecast.prefill_s,
+        others_s = forecast.prefill_ahead_s,
+        turn_s = forecast.fair_share_wait_s,
         margin = forecast.margin,
         rate = forecast.rate.0,
         is_measured = forecast.is_measured,
         in_flight = forecast.in_flight.0,
         queued = forecast.queued.0,
-        under_way = forecast.under_way,
-        heard_ms = forecast.heard.as_millis() as u64;
+        under_way = forecast.in_flight_requests,
+        heard_ms = forecast.max_peer_age.as_millis() as u64;
         "refused"
     );
 }
@@ -109,7 +109,7 @@
         id: received.record.id,
         workspace: received.workspace.clone(),
         kind: CallKind::Service,
-        prompt: RequestSpec::SERVICE_CALL,
+        prompt: RequestSpec::SERVICE_CALL_TOKENS,
         max_output: policy::Tokens::ZERO,
         arrived: received.record.arrived,
         deadline: timed.deadline,
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -6,7 +6,7 @@
 use http_types::StatusCode;
 use policy::{
     Outcome, Refusal, RefusalReason, RunStatus,
-    ledger::{Answer as KeptAnswer, CallKey, MAX_KEPT_BODY},
+    ledger::{Answer as KeptAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
 };
 use protocols::log::http::HttpLog;
 use smol::channel::bounded;
@@ -58,7 +58,7 @@
             deduplicates: work.rules.as_ref().is_some_and(|rules| rules.deduplicates),
             deadline: admitted.timed.deadline,
         };
-        let outcome = ledgers.of(&key).claim(req).await;
+        let outcome = ledgers.ledger_for(&key).claim(req).await;
         let deployment = &admitted.ticket.deployment.name;
         self.shared.metrics.once_call(deployment, outcome.name());
         match outcome {
@@ -129,7 +129,7 @@
     KeptAnswer {
         status: whole.status,
         content_type: whole.content_type.clone(),
-        body: body.filter(|body| body.len() <= MAX_KEPT_BODY).map(str::to_owned),
+        body: body.filter(|body| body.len() <= MAX_ANSWER_BODY_BYTES).map(str::to_owned),
     }
 }
 
--- a/crates/daemon/src/ledger/claim.rs
+++ b/crates/daemon/src/ledger/claim.rs
@@ -4,7 +4,7 @@
 
 use policy::{
     Offset, RunStatus,
-    ledger::{Answer, CallKey, Entry, GivenUp},
+    ledger::{AbandonOutcome, Answer, CallKey, Entry},
 };
 use protocols::log::Log;
 
@@ -56,7 +56,7 @@
     /// Gives the call up. What the caller may be told of it.
     pub fn not_run(mut self) -> RunStatus {
         match self.give_up() {
-            Some(GivenUp::NotRun) => RunStatus::No,
+            Some(AbandonOutcome::NotRun) => RunStatus::No,
             _ => RunStatus::Unknown,
         }
     }
@@ -66,7 +66,7 @@
         self.ledger = None;
     }
 
-    fn give_up(&mut self) -> Option<GivenUp> {
+    fn give_up(&mut self) -> Option<AbandonOutcome> {
         let ledger = self.ledger.take()?;
         let now = ledger.core.clock.now();
         let (given_up, waiters) = lock(&ledger.core.state).give_up(&self.key, now);
--- a/crates/daemon/src/ledger/decide.rs
+++ b/crates/daemon/src/ledger/decide.rs
@@ -54,24 +54,24 @@
 
 /// Judges a call by what its key's stream says.
 pub(super) fn judge(
-    standing: &KeyState,
+    key_state: &KeyState,
     ledger: &Ledger,
     req: &ClaimRequest,
     waited: bool,
 ) -> Judged {
-    if standing.fingerprint != req.fingerprint {
+    if key_state.fingerprint != req.fingerprint {
         return Judged::Ended(Ended::BodyDiffers);
     }
-    if let Phase::Done(answer) = &standing.phase {
+    if let Phase::Done(answer) = &key_state.phase {
         return Judged::Ended(Ended::Answer(answer.clone()));
     }
-    if let Some(attempt) = standing.next_attempt(req.deduplicates, ledger.now_ms()) {
+    if let Some(attempt) = key_state.next_attempt(req.deduplicates, ledger.now_ms()) {
         // A caller of this key has heard "not run", and only a call that came after that may make
         // it untrue.
-        let spent = waited && standing.phase == Phase::NotRun;
+        let spent = waited && key_state.phase == Phase::NotRun;
         return if spent { Judged::Ended(Ended::NotRun) } else { Judged::Claim(attempt) };
     }
-    match standing.phase {
+    match key_state.phase {
         Phase::Unknown => Judged::Ended(Ended::Unknown),
         _ => Judged::Wait,
     }
--- a/crates/daemon/src/ledger/mod.rs
+++ b/crates/daemon/src/ledger/mod.rs
@@ -42,7 +42,7 @@
     /// How long keys are remembered.
     pub window: Duration,
     /// How long the log keeps records.
-    pub log_keeps: Duration,
+    pub log_retention: Duration,
 }
 
 /// One ledger stream as this instance sees it.
@@ -69,7 +69,7 @@
             let cfg = LedgerConfig {
                 stream: format!("ledger-{index}"),
                 window: Duration::from_secs(60 * rules.window_minutes),
-                log_keeps: Duration::from_secs(60 * rules.log_keeps_minutes),
+                log_retention: Duration::from_secs(60 * rules.log_keeps_minutes),
             };
             Ledger::new(log.clone(), cfg, writer.clone(), clock)
         });
@@ -77,7 +77,7 @@
     }
 
     /// The ledger of a key.
-    pub fn of(&self, key: &CallKey) -> &Ledger<L> {
+    pub fn ledger_for(&self, key: &CallKey) -> &Ledger<L> {
         let hash = xxh3_64(key.to_string().as_bytes());
         let index = usize::try_from(hash % self.streams.len() as u64).unwrap_or(0);
         &self.streams[index]
@@ -183,8 +183,8 @@
     }
 
     /// Whether the log has taken all that this instance had to say.
-    pub fn is_written(&self) -> bool {
-        lock(&self.core.state).is_written()
+    pub fn is_flushed(&self) -> bool {
+        lock(&self.core.state).is_flushed()
     }
 
     /// The offset that will be read next, which other instances may compare with theirs.
@@ -194,8 +194,8 @@
 
     /// Takes note of how far another instance has read. An instance that is behind can't say that
     /// an unknown key has not run.
-    pub fn note_end(&self, next: policy::Offset) {
-        lock(&self.core.state).note_end(next);
+    pub fn record_stream_end(&self, next: policy::Offset) {
+        lock(&self.core.state).record_stream_end(next);
     }
 
     /// How many keys are remembered.
@@ -232,7 +232,7 @@
             match self.wait_for_own(&req, &changed).await {
                 Own::Won => return ClaimOutcome::Run(claim),
                 Own::Lost => claim.forget(),
-                Own::GivenUp => {
+                Own::AbandonOutcome => {
                     claim.forget();
                     return ClaimOutcome::Unknown;
                 }
@@ -283,7 +283,7 @@
     Won,
     Lost,
     /// Given up while it may stand in the log.
-    GivenUp,
+    AbandonOutcome,
     /// The log took no appends, and this one certainly not.
     NotAppended,
 }
--- a/crates/daemon/src/ledger/outbox.rs
+++ b/crates/daemon/src/ledger/outbox.rs
@@ -4,7 +4,7 @@
 
 use policy::{
     Offset, Time,
-    ledger::{Batch, ClaimId, Entry, Step},
+    ledger::{Batch, ClaimId, ClaimantState, Entry},
 };
 use smol::channel::Sender;
 
@@ -58,7 +58,7 @@
     }
 
     /// Whether there is nothing to append.
-    pub(super) fn is_written(&self) -> bool {
+    pub(super) fn is_flushed(&self) -> bool {
         self.queue.is_empty() && self.in_flight.is_none()
     }
 
@@ -67,7 +67,7 @@
         if self.in_flight.as_ref().is_some_and(|known| known.batch.sequence == sequence) {
             self.in_flight = None;
         }
-        self.note_end(Offset(offset.0 + 1));
+        self.record_stream_end(Offset(offset.0 + 1));
         (self.failing_since, self.busy_since) = (None, None);
     }
 
@@ -119,7 +119,8 @@
         let appending = appending.map(|in_flight| in_flight.batch.sequence);
         let waiting = self.own.iter().filter(|(_, call)| {
             let sequence = call.id.map(|id| id.sequence);
-            call.claimant.step() == Step::Waiting && (sequence.is_none() || sequence != appending)
+            call.claimant.step() == ClaimantState::Waiting
+                && (sequence.is_none() || sequence != appending)
         });
         let keys: Vec<_> = waiting.map(|(key, call)| (key.clone(), call.id.is_some())).collect();
         let mut waiters = Vec::new();
--- a/crates/daemon/src/ledger/state.rs
+++ b/crates/daemon/src/ledger/state.rs
@@ -5,8 +5,8 @@
 use policy::{
     Fingerprint, Offset, Time,
     ledger::{
-        Answer, CallKey, Claim, ClaimId, Claimant, Entry, GivenUp, KeyTime, Ledger, Phase, Step,
-        Window, Writer,
+        AbandonOutcome, Answer, CallKey, Claim, ClaimId, Claimant, ClaimantState, Entry, KeyAge,
+        Ledger, Phase, RetentionWindow, Writer,
     },
     replay::{LogRecord, Replay},
 };
@@ -67,7 +67,7 @@
         State {
             writer,
             window,
-            replay: Replay::new(Window(window)),
+            replay: Replay::new(RetentionWindow(window)),
             reached_end: false,
             known_end: Offset(0),
             failing_since: None,
@@ -86,7 +86,7 @@
         self.replay.next()
     }
 
-    pub(super) fn note_end(&mut self, next: Offset) {
+    pub(super) fn record_stream_end(&mut self, next: Offset) {
         self.known_end = self.known_end.max(next);
     }
 
@@ -120,9 +120,9 @@
     /// Decides what a call does next. `waited` says that it came before what it finds now.
     pub(super) fn next(&mut self, req: &ClaimRequest, waited: bool, now: Time) -> Next {
         match req.key.time(self.window, clock::wall_ms()) {
-            KeyTime::TooOld => return Next::Ended(Ended::KeyTooOld),
-            KeyTime::FromTheFuture => return Next::Ended(Ended::KeyFromTheFuture),
-            KeyTime::Usable => {}
+            KeyAge::TooOld => return Next::Ended(Ended::KeyTooOld),
+            KeyAge::FromTheFuture => return Next::Ended(Ended::KeyFromTheFuture),
+            KeyAge::Usable => {}
         }
         if let Some((fingerprint, answer)) = self.answers.get(&req.key) {
             return Next::Ended(match *fingerprint == req.fingerprint {
@@ -136,9 +136,9 @@
                 false => Next::Read(self.wait(&req.key)),
             };
         };
-        let attempt = match ledger.standing(&req.key) {
+        let attempt = match ledger.key_state(&req.key) {
             None => 1,
-            Some(standing) => match judge(standing, ledger, req, waited) {
+            Some(key_state) => match judge(key_state, ledger, req, waited) {
                 Judged::Claim(attempt) => attempt,
                 Judged::Wait => return Next::Wait(self.wait(&req.key)),
                 Judged::Ended(ended) => return Next::Ended(ended),
@@ -199,25 +199,25 @@
 
     /// What became of an own claim; none while it waits. Past its time it is given up.
     pub(super) fn own_step(&mut self, key: &CallKey, in_time: bool, now: Time) -> Option<Own> {
-        let Some(call) = self.own.get(key) else { return Some(Own::GivenUp) };
+        let Some(call) = self.own.get(key) else { return Some(Own::AbandonOutcome) };
         let refused = call.refused;
         match call.claimant.step() {
-            Step::Won => Some(Own::Won),
-            Step::Lost => {
+            ClaimantState::Won => Some(Own::Won),
+            ClaimantState::Lost => {
                 self.own.remove(key);
                 Some(Own::Lost)
             }
-            Step::Waiting if refused => {
+            ClaimantState::Waiting if refused => {
                 self.own.remove(key);
                 match self.refusal() {
                     Ended::LogDown => Some(Own::NotAppended),
-                    _ => Some(Own::GivenUp),
+                    _ => Some(Own::AbandonOutcome),
                 }
             }
-            Step::Waiting if in_time => None,
+            ClaimantState::Waiting if in_time => None,
             _ => {
                 let _ = self.give_up(key, now);
-                Some(Own::GivenUp)
+                Some(Own::AbandonOutcome)
             }
         }
     }
@@ -231,14 +231,20 @@
     }
 
     /// Gives an own call up, and tells the others what is true of it.
-    pub(super) fn give_up(&mut self, key: &CallKey, now: Time) -> (GivenUp, Vec<Sender<()>>) {
-        let Some(mut call) = self.own.remove(key) else { return (GivenUp::Unknown, Vec::new()) };
+    pub(super) fn give_up(
+        &mut self,
+        key: &CallKey,
+        now: Time,
+    ) -> (AbandonOutcome, Vec<Sender<()>>) {
+        let Some(mut call) = self.own.remove(key) else {
+            return (AbandonOutcome::Unknown, Vec::new());
+        };
         let given_up = call.claimant.abandon(now);
         let key = key.clone();
         match call.id {
             // It was never put in a batch, so nobody can have seen it.
             None => self.queue.retain(|entry| !is_claim_of(entry, &key)),
-            Some(claim) if given_up == GivenUp::Sending => {
+            Some(claim) if given_up == AbandonOutcome::Sending => {
                 self.queue.push(Entry::Unknown { key: key.clone(), claim });
             }
             Some(claim) => self.queue.push(Entry::NotRun { key: key.clone(), claim }),
@@ -264,8 +270,8 @@
             time_ms: record.time_ms,
             data: &record.data,
         });
-        let mut changed = self.replay.accept(page.first, records);
-        self.note_end(page.end);
+        let mut changed = self.replay.apply_page(page.first, records);
+        self.record_stream_end(page.end);
         if !self.is_complete() {
             self.reached_end = self.replay.next() >= page.end;
             if self.is_complete() {
@@ -284,7 +290,7 @@
     fn forget_stored_answers(&mut self, changed: &[CallKey]) {
         let Some(ledger) = self.replay.state() else { return };
         for key in changed {
-            let stored = ledger.standing(key).map(|standing| &standing.phase);
+            let stored = ledger.key_state(key).map(|key_state| &key_state.phase);
             if matches!(stored, Some(Phase::Done(_))) {
                 self.answers.remove(key);
             }
@@ -295,9 +301,9 @@
         let Some(ledger) = self.replay.state() else { return };
         for (key, call) in &mut self.own {
             let Some(id) = call.id else { continue };
-            if call.claimant.step() == Step::Waiting {
+            if call.claimant.step() == ClaimantState::Waiting {
                 call.claimant.observe(ledger, &self.writer, &call.claim, id);
-                if call.claimant.step() != Step::Waiting {
+                if call.claimant.step() != ClaimantState::Waiting {
                     changed.push(key.clone());
                 }
             }
@@ -333,8 +339,8 @@
     }
 
     /// Up to where the last checkpoint seen in the stream goes.
-    pub(super) fn checkpointed(&self) -> Option<Offset> {
-        self.replay.checkpointed().map(|stamp| stamp.offset)
+    pub(super) fn last_checkpoint(&self) -> Option<Offset> {
+        self.replay.last_checkpoint().map(|stamp| stamp.offset)
     }
 
     pub(super) fn writer(&self) -> &Writer {
--- a/crates/daemon/src/ledger/writer.rs
+++ b/crates/daemon/src/ledger/writer.rs
@@ -59,13 +59,13 @@
 pub(super) async fn checkpoints<L: Log>(core: &Core<L>) {
     let writer = lock(&core.state).writer().to_string();
     let stream = core.cfg.stream.as_str();
-    let schedule = Schedule { stream, log_keeps: core.cfg.log_keeps, writer };
+    let schedule = Schedule { stream, log_retention: core.cfg.log_retention, writer };
     checkpoint::run(&core.log, core.clock, schedule, core).await;
 }
 
 impl<L> Source for Core<L> {
     fn covered(&self) -> Option<Offset> {
-        lock(&self.state).checkpointed()
+        lock(&self.state).last_checkpoint()
     }
 
     fn is_urgent(&self) -> bool {
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -6,7 +6,7 @@
 use policy::{
     Deployment, Incarnation, InstanceId, LoadDigest,
     digest::DigestSender,
-    membership::{ListLine, owners::OwnerLife},
+    membership::{ListEntry, owners::OwnerStatus},
 };
 use protocols::instances::{ListPage, ListedState, Role};
 
@@ -101,7 +101,7 @@
         self.is_full_mesh() || link.hello.data_centre == self.me.data_centre
     }
 
-    pub(super) fn list_read(&self, page: &ListPage) {
+    pub(super) fn apply_list(&self, page: &ListPage) {
         let now = self.now();
         let entries = page.instances.iter().filter(|listed| listed.role == Role::Entry);
         let mut state = self.lock();
@@ -114,10 +114,10 @@
                 state.add_place(&instance, &listed.data_centre);
                 let leaving = listed.state == ListedState::Leaving;
                 let incarnation = listed.incarnation;
-                lines.push(ListLine { member: instance, incarnation, leaving });
+                lines.push(ListEntry { member: instance, incarnation, leaving });
             }
         }
-        state.members.list_read(&lines, now);
+        state.members.apply_list(&lines, now);
         state.forget_unlisted(&lines, now);
         self.choose_links(&mut state);
     }
@@ -136,9 +136,9 @@
         self.push(&mut state, &links, &Packet::Heartbeat { leaving: true }).ok();
     }
 
-    pub(super) fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerLife {
+    pub(super) fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
         if *instance == self.me.instance && incarnation == self.me.incarnation {
-            return OwnerLife::Alive;
+            return OwnerStatus::Alive;
         }
         self.lock().members.owner(instance, incarnation, self.now())
     }
@@ -174,12 +174,12 @@
 
 impl State {
     /// Drops what is known of instances that are dead and unlisted.
-    fn forget_unlisted(&mut self, lines: &[ListLine<InstanceId>], now: policy::Time) {
+    fn forget_unlisted(&mut self, lines: &[ListEntry<InstanceId>], now: policy::Time) {
         let State { members, places, targets, .. } = self;
         let listed: IndexSet<&InstanceId> = lines.iter().map(|line| &line.member).collect();
         let live = |instance: &InstanceId| {
             listed.contains(instance)
-                || members.state(instance, now) != policy::membership::State::Dead
+                || members.state(instance, now) != policy::membership::MemberState::Dead
         };
         places.retain(|instance, _| live(instance));
         targets.retain(|_, target| target.seed || target.instance.as_ref().is_some_and(live));
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -3,7 +3,7 @@
 use std::{fmt, sync::Arc, time::Duration};
 
 use futures_lite::{FutureExt, future::or};
-use policy::{DataCentre, Incarnation, InstanceId, membership::Evidence};
+use policy::{DataCentre, Incarnation, InstanceId, membership::MemberObservation};
 use smol::{
     Timer,
     channel::{Receiver, bounded},
@@ -292,7 +292,7 @@
         Packet::Hello(_) | Packet::Heartbeat { leaving: false } => Vec::new(),
         Packet::Heartbeat { leaving: true } => {
             let known = std::mem::replace(&mut link.leaving, true);
-            state.members.observe(instance, incarnation, Evidence::Leaving, now);
+            state.members.observe(instance, incarnation, MemberObservation::Leaving, now);
             let leaving = PeerEvent::Leaving { instance: instance.clone(), incarnation };
             if known { Vec::new() } else { vec![leaving] }
         }
@@ -306,7 +306,7 @@
         Packet::Flood { origin, message } => flooded(shared, &mut state, peer, origin, message),
         Packet::Goodbye => goodbye(&mut state, instance, incarnation, now),
     };
-    state.members.observe(instance, incarnation, Evidence::Alive, now);
+    state.members.observe(instance, incarnation, MemberObservation::Alive, now);
     Ok(Some(events))
 }
 
@@ -331,7 +331,7 @@
     incarnation: Incarnation,
     now: policy::Time,
 ) -> Vec<PeerEvent> {
-    state.members.observe(instance, incarnation, Evidence::Stopped, now);
+    state.members.observe(instance, incarnation, MemberObservation::Stopped, now);
     state.announced.swap_remove(instance);
     vec![PeerEvent::Gone { instance: instance.clone(), incarnation }]
 }
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -34,7 +34,7 @@
 
 use policy::{
     DataCentre, Deployment, Incarnation, InstanceId, LoadDigest,
-    membership::{State, owners::OwnerLife},
+    membership::{MemberState, owners::OwnerStatus},
 };
 use protocols::instances::ListPage;
 use smol::{
@@ -46,7 +46,7 @@
 use shared::Shared;
 
 /// A link without any sign of life for this long is dropped and dialled anew: three heartbeats.
-pub const SILENT_AFTER: Duration = policy::membership::SUSPECT_AFTER;
+pub const SILENT_AFTER: Duration = policy::membership::SUSPECT_TIMEOUT;
 
 /// How long a new link may take until both sides have said hello.
 pub const HELLO_WITHIN: Duration = Duration::from_secs(1);
@@ -137,7 +137,7 @@
     /// Its newest life.
     pub incarnation: Incarnation,
     /// Its state by all witnesses.
-    pub state: State,
+    pub state: MemberState,
     /// Whether a link to it stands.
     pub linked: bool,
 }
@@ -212,8 +212,8 @@
     }
 
     /// Takes in the platform's list, as one witness among several and as source of addresses.
-    pub fn list_read(&self, page: &ListPage) {
-        self.shared.list_read(page);
+    pub fn apply_list(&self, page: &ListPage) {
+        self.shared.apply_list(page);
     }
 
     /// Tells all peers that this instance wants no new work any more.
@@ -222,7 +222,7 @@
     }
 
     /// Whether an owner of engine memory still lives.
-    pub fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerLife {
+    pub fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
         self.shared.owner(instance, incarnation)
     }
 
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -6,7 +6,7 @@
 use policy::{
     DataCentre, Deployment, Incarnation, InstanceId, LoadDigest, Time,
     digest::{DigestReceiver, DigestSender},
-    membership::{Evidence, Membership},
+    membership::{MemberObservation, Membership},
     topology::{self, Placed},
 };
 use smol::channel::Sender;
@@ -127,7 +127,7 @@
 
     /// Takes note of a life that was met on a link, and says what the instance has to hear.
     pub(super) fn met(&mut self, hello: &Hello, now: Time) -> Vec<PeerEvent> {
-        self.members.observe(&hello.instance, hello.incarnation, Evidence::Alive, now);
+        self.members.observe(&hello.instance, hello.incarnation, MemberObservation::Alive, now);
         self.add_place(&hello.instance, &hello.data_centre);
         let mut events = Vec::new();
         let known = self.announced.insert(hello.instance.clone(), hello.incarnation);
--- a/crates/daemon/src/peer/tick.rs
+++ b/crates/daemon/src/peer/tick.rs
@@ -7,7 +7,7 @@
 
 use policy::{
     InstanceId,
-    membership::{self, HEARTBEAT},
+    membership::{self, HEARTBEAT_INTERVAL},
 };
 use smol::Timer;
 
@@ -60,7 +60,7 @@
     let quiet: Vec<InstanceId> = state
         .links
         .iter()
-        .filter(|(_, link)| now.since(link.sent) + TICK > HEARTBEAT)
+        .filter(|(_, link)| now.since(link.sent) + TICK > HEARTBEAT_INTERVAL)
         .map(|(instance, _)| instance.clone())
         .collect();
     let packet = Packet::Heartbeat { leaving: state.leaving };
@@ -73,7 +73,7 @@
     let State { announced, members, .. } = state;
     let mut gone = Vec::new();
     announced.retain(|instance, incarnation| {
-        let live = members.state(instance, now) != membership::State::Dead;
+        let live = members.state(instance, now) != membership::MemberState::Dead;
         if !live {
             let (instance, incarnation) = (instance.clone(), *incarnation);
             gone.push(PeerEvent::Gone { instance, incarnation });
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -30,10 +30,13 @@
     node_with(log, name, life, Duration::from_secs(3_600))
 }
 
-fn node_with(log: &LogService, name: &str, life: u64, log_keeps: Duration) -> Node {
+fn node_with(log: &LogService, name: &str, life: u64, log_retention: Duration) -> Node {
     let clock = Clock::start();
-    let cfg =
-        LedgerConfig { stream: STREAM.to_owned(), window: Duration::from_secs(86_400), log_keeps };
+    let cfg = LedgerConfig {
+        stream: STREAM.to_owned(),
+        window: Duration::from_secs(86_400),
+        log_retention,
+    };
     let instance = InstanceId::new(name).unwrap();
     let writer = Writer { instance, incarnation: Incarnation(life) };
     let ledger = Ledger::new(HttpLog::new(log.address()), cfg, writer, clock);
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -18,7 +18,7 @@
 use policy::{
     DataCentre, Deployment, EndpointId, Incarnation, InstanceId, LoadDigest, TokenRate, Tokens,
     config::Version,
-    membership::{State, owners::OwnerLife},
+    membership::{MemberState, owners::OwnerStatus},
     report::EndpointShare,
     scheduler::EndpointState,
 };
@@ -134,7 +134,7 @@
         })
     }
 
-    fn state(&self, name: &str) -> Option<State> {
+    fn state(&self, name: &str) -> Option<MemberState> {
         let status = self.mesh.status();
         status.into_iter().find(|peer| peer.instance == id(name)).map(|peer| peer.state)
     }
@@ -166,12 +166,12 @@
     second.wait_linked("entry-1");
     let place = DataCentre::new("brasov-a").unwrap();
     let instances = vec![listed(&second, "entry-2", &place), listed(&third, "entry-3", &place)];
-    second.mesh.list_read(&ListPage { instances });
+    second.mesh.apply_list(&ListPage { instances });
     second.wait_linked("entry-3");
     second.mesh.broadcast(news(7)).unwrap();
     assert_eq!(first.wait_message(), (id("entry-2"), news(7)));
     assert_eq!(third.wait_message(), (id("entry-2"), news(7)));
-    assert_eq!(second.mesh.owner(&id("entry-3"), Incarnation(1)), OwnerLife::Alive);
+    assert_eq!(second.mesh.owner(&id("entry-3"), Incarnation(1)), OwnerStatus::Alive);
 }
 
 fn listed(peer: &Peer, name: &str, data_centre: &DataCentre) -> Listed {
@@ -199,7 +199,7 @@
     let instances =
         peers.iter().enumerate().map(|(n, peer)| listed(peer, &name(n), &place(n))).collect();
     let page = ListPage { instances };
-    peers.iter().for_each(|peer| peer.mesh.list_read(&page));
+    peers.iter().for_each(|peer| peer.mesh.apply_list(&page));
     let links = |peer: &Peer| peer.mesh.status().iter().filter(|peer| peer.linked).count();
     // Five within the data centre, and two links for each of three pairs of data centres.
     until("all links stand", || peers.iter().map(links).sum::<usize>() == 18 * 5 + 2 * 2 * 3);
@@ -298,7 +298,7 @@
     drop(second);
     let _second = Peer::start("entry-2", 2, &[first.mesh.address()]);
     assert_eq!(first.wait_gone("entry-2"), Incarnation(1));
-    assert_eq!(first.state("entry-2"), Some(State::Live));
+    assert_eq!(first.state("entry-2"), Some(MemberState::Live));
     // A life that wakes after it was replaced finds no way back.
     let stale = Peer::start("entry-2", 1, &[first.mesh.address()]);
     thread::sleep(Duration::from_secs(1));
@@ -313,7 +313,7 @@
     second.wait_linked("entry-1");
     second.mesh.set_leaving();
     first.wait(|event| matches!(event, PeerEvent::Leaving { .. }).then_some(()));
-    assert_eq!(first.state("entry-2"), Some(State::Leaving));
+    assert_eq!(first.state("entry-2"), Some(MemberState::Leaving));
     // Its heartbeats go on saying so; the instance hears it once.
     thread::sleep(Duration::from_millis(2_500));
     assert_eq!(first.events.try_recv().ok(), None);
@@ -385,7 +385,7 @@
         PeerEvent::Gone { .. } => panic!("a live peer was taken for dead"),
         _ => None,
     });
-    assert_eq!(second.state("entry-1"), Some(State::Live));
+    assert_eq!(second.state("entry-1"), Some(MemberState::Live));
     second.mesh.broadcast(news(1)).unwrap();
     assert_eq!(first.wait_message().0, id("entry-2"));
 }
--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -188,17 +188,17 @@
         let here: f64 = bands().map(|band| self.queues[band].tokens()).sum();
         let peers: f64 = bands().map(|band| self.peers.queued[band]).sum();
         Forecast {
-            own_s: prediction.own,
-            others_s: prediction.others,
-            turn_s: prediction.workspace_wait,
+            prefill_s: prediction.own,
+            prefill_ahead_s: prediction.others,
+            fair_share_wait_s: prediction.workspace_wait,
             margin: self.margins[entry.queue_index].factor(seconds(now)),
-            allowed_s: entry.first_token_by.since(now).as_secs_f64(),
+            budget_s: entry.first_token_by.since(now).as_secs_f64(),
             rate: TokenRate(self.fleet.typical_rate),
             is_measured: self.fleet.has_measured_speed,
             in_flight: Tokens(self.total_prefill_ahead[entry.band.index()] as u64),
             queued: Tokens((here + peers) as u64),
-            under_way: self.requests.len(),
-            heard: self.peers.age(now),
+            in_flight_requests: self.requests.len(),
+            max_peer_age: self.peers.age(now),
         }
     }
 
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -352,7 +352,7 @@
             Event::Load(report) => self.fleet.apply_report(&report, now),
             Event::Cache(events) => self.cache.apply(&events),
             Event::Peer(digest) => self.apply_peer_digest(digest, now),
-            Event::PeerGone { instance, incarnation } => self.peer_gone(&instance, incarnation),
+            Event::PeerRemoved { instance, incarnation } => self.peer_gone(&instance, incarnation),
             Event::Endpoint(change) => self.endpoint_changed(&change, now),
             Event::Probe { endpoint, healthy } => self.probed(&endpoint, healthy, now),
         }
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -114,7 +114,7 @@
             .map_while(|block| engine.blocks.is_certain(*block))
             .map(|certain| if certain { 1.0 } else { UNCERTAIN_WEIGHT })
             .sum();
-        Tokens((cached_blocks * RequestSpec::PREFIX_BLOCK.0 as f64) as u64)
+        Tokens((cached_blocks * RequestSpec::PREFIX_BLOCK_TOKENS.0 as f64) as u64)
     }
 
     /// Drops the index of a removed engine.
--- a/crates/policy/src/baseline/scheduler.rs
+++ b/crates/policy/src/baseline/scheduler.rs
@@ -231,7 +231,7 @@
             | Event::Progress { .. }
             | Event::Cache(_)
             | Event::Peer(_)
-            | Event::PeerGone { .. }
+            | Event::PeerRemoved { .. }
             | Event::Probe { .. } => {}
         }
     }
--- a/crates/policy/src/ledger/claimant.rs
+++ b/crates/policy/src/ledger/claimant.rs
@@ -5,7 +5,7 @@
 
 /// How far the claimant has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum ClaimantState {
     /// The claim waits to be appended or to be read back.
     Waiting,
     /// It was read back as the valid one.
@@ -22,7 +22,7 @@
 /// a task that is about to send can't both have their way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Claimant {
-    step: Step,
+    step: ClaimantState,
     offset: Offset,
     deadline: Time,
     deduplicates: bool,
@@ -31,7 +31,7 @@
 
 /// What a caller may be told once its claim is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum GivenUp {
+pub enum AbandonOutcome {
     /// The call did not run, and no claim made before now will run it.
     NotRun,
     /// This claim didn't run it; another one may have, or may yet.
@@ -43,12 +43,12 @@
 impl Claimant {
     /// A claim that waits; nothing is sent after `deadline`. `deduplicates` as in [`Claim`].
     pub fn new(deadline: Time, deduplicates: bool) -> Self {
-        let (step, offset) = (Step::Waiting, Offset(0));
+        let (step, offset) = (ClaimantState::Waiting, Offset(0));
         Claimant { step, offset, deadline, deduplicates, maybe_ran: false }
     }
 
     /// How far it has come.
-    pub fn step(&self) -> Step {
+    pub fn step(&self) -> ClaimantState {
         self.step
     }
 
@@ -64,18 +64,18 @@
 
     /// Takes note of a ledger that holds the claim's batch, or of a later one.
     pub fn observe(&mut self, ledger: &Ledger, writer: &Writer, claim: &Claim, id: ClaimId) {
-        if self.step != Step::Waiting || ledger.sequence(writer) < id.sequence {
+        if self.step != ClaimantState::Waiting || ledger.sequence(writer) < id.sequence {
             return;
         }
-        match ledger.standing(&claim.key) {
-            Some(standing) if holds(standing, writer, id) => {
-                self.step = Step::Won;
-                self.offset = standing.offset;
-                self.maybe_ran = standing.maybe_ran;
+        match ledger.key_state(&claim.key) {
+            Some(key_state) if holds(key_state, writer, id) => {
+                self.step = ClaimantState::Won;
+                self.offset = key_state.offset;
+                self.maybe_ran = key_state.maybe_ran;
             }
             // The batch counts and the claim isn't the valid one, and never will be: a claim is
             // valid from its place in the stream on, or not at all.
-            _ => self.step = Step::Lost,
+            _ => self.step = ClaimantState::Lost,
         }
     }
 
@@ -85,18 +85,18 @@
     /// before it in the stream and have run, so only a claim that was won proves that nothing ran.
     /// Where the endpoint deduplicates, an earlier attempt of unknown outcome may have run, and
     /// past the deadline another instance may have taken over.
-    pub fn abandon(&mut self, now: Time) -> GivenUp {
+    pub fn abandon(&mut self, now: Time) -> AbandonOutcome {
         let taken_over = self.deduplicates && now >= self.deadline;
         match self.step {
-            Step::Sending => return GivenUp::Sending,
-            Step::Won if !self.maybe_ran && !taken_over => {
-                self.step = Step::Abandoned;
-                return GivenUp::NotRun;
+            ClaimantState::Sending => return AbandonOutcome::Sending,
+            ClaimantState::Won if !self.maybe_ran && !taken_over => {
+                self.step = ClaimantState::Abandoned;
+                return AbandonOutcome::NotRun;
             }
-            Step::Waiting | Step::Won => self.step = Step::Abandoned,
-            Step::Lost | Step::Abandoned => {}
+            ClaimantState::Waiting | ClaimantState::Won => self.step = ClaimantState::Abandoned,
+            ClaimantState::Lost | ClaimantState::Abandoned => {}
         }
-        GivenUp::Unknown
+        AbandonOutcome::Unknown
     }
 
     /// Asks for the right to send the first byte, right before it is sent.
@@ -105,14 +105,14 @@
     /// long gone, and only the clock read here, after the pause, shows it. A later pause does no
     /// harm, because nobody else can win the claim.
     pub fn begin_sending(&mut self, now: Time) -> bool {
-        if self.step != Step::Won || now >= self.deadline {
+        if self.step != ClaimantState::Won || now >= self.deadline {
             return false;
         }
-        self.step = Step::Sending;
+        self.step = ClaimantState::Sending;
         true
     }
 }
 
-fn holds(standing: &KeyState, writer: &Writer, id: ClaimId) -> bool {
-    standing.is_held_by(writer, id) && standing.phase == Phase::Claimed
+fn holds(key_state: &KeyState, writer: &Writer, id: ClaimId) -> bool {
+    key_state.is_held_by(writer, id) && key_state.phase == Phase::Claimed
 }
--- a/crates/policy/src/ledger/fold.rs
+++ b/crates/policy/src/ledger/fold.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Answer, Batch, CallKey, Claim, ClaimId, Entry, KeyTime, Part, Writer,
+    Answer, Batch, CallKey, Claim, ClaimId, Entry, KeyAge, LedgerPart, Writer,
     key::{CLOCK_SKEW, millis},
     record::hex,
 };
 use crate::{
     Fingerprint, Offset,
-    replay::{Fold, Stamp},
+    replay::{Fold, LogPosition},
 };
 
 /// Keys in one part of a checkpoint. With answers of a few hundred bytes a part is about 100 KB.
@@ -30,11 +30,11 @@
 
 /// The bytes of answers that are kept in all. Small instances have a few gigabytes; beyond this
 /// the oldest answers' bodies are dropped, and callers that send again hear only that the call ran.
-pub const MAX_KEPT_BYTES: usize = 256 << 20;
+pub const MAX_RETAINED_BODY_BYTES: usize = 256 << 20;
 
 /// How long keys are remembered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Window(pub Duration);
+pub struct RetentionWindow(pub Duration);
 
 /// How far a call has come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -110,7 +110,7 @@
 /// The state of one ledger stream.
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    window: Window,
+    window: RetentionWindow,
     keys: HashMap<CallKey, KeyState>,
     /// Keys by when they are forgotten.
     expiry: BTreeSet<(u64, CallKey)>,
@@ -125,7 +125,7 @@
 
 impl Ledger {
     /// What is known of `key`.
-    pub fn standing(&self, key: &CallKey) -> Option<&KeyState> {
+    pub fn key_state(&self, key: &CallKey) -> Option<&KeyState> {
         self.keys.get(key)
     }
 
@@ -164,20 +164,20 @@
         entry: Entry,
         writer: &Writer,
         id: ClaimId,
-        stamp: Stamp,
+        stamp: LogPosition,
     ) -> Option<CallKey> {
         match entry {
             Entry::Claim(claim) => self.claim(claim, writer, id, stamp),
             // This attempt didn't run, which says nothing of an earlier one.
             Entry::NotRun { key, claim } => {
-                self.advance(key, writer, claim, |standing| match standing.phase {
-                    Phase::Claimed if standing.maybe_ran => Some(Phase::Unknown),
+                self.advance(key, writer, claim, |key_state| match key_state.phase {
+                    Phase::Claimed if key_state.maybe_ran => Some(Phase::Unknown),
                     Phase::Claimed => Some(Phase::NotRun),
                     _ => None,
                 })
             }
             Entry::Unknown { key, claim } => {
-                self.advance(key, writer, claim, |standing| match standing.phase {
+                self.advance(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed => Some(Phase::Unknown),
                     _ => None,
                 })
@@ -185,7 +185,7 @@
             // An answer may still come after the claimant has told its caller that the outcome is
             // unknown; it is the first one, and every later caller gets it.
             Entry::Done { key, claim, answer } => {
-                self.advance(key, writer, claim, |standing| match standing.phase {
+                self.advance(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed | Phase::Unknown => Some(Phase::Done(answer)),
                     Phase::NotRun | Phase::Done(_) => None,
                 })
@@ -198,26 +198,26 @@
         claim: Claim,
         writer: &Writer,
         id: ClaimId,
-        stamp: Stamp,
+        stamp: LogPosition,
     ) -> Option<CallKey> {
         // A claim that surfaces after its key was forgotten would be taken for the first.
-        if claim.key.time(self.window.0, stamp.time_ms) != KeyTime::Usable {
+        if claim.key.time(self.window.0, stamp.time_ms) != KeyAge::Usable {
             return None;
         }
         let mut maybe_ran = false;
-        if let Some(standing) = self.keys.get(&claim.key) {
-            maybe_ran = standing.maybe_ran || standing.phase != Phase::NotRun;
-            let next = standing.next_attempt(claim.deduplicates, stamp.time_ms);
-            if next != Some(claim.attempt) || standing.fingerprint != claim.fingerprint {
+        if let Some(key_state) = self.keys.get(&claim.key) {
+            maybe_ran = key_state.maybe_ran || key_state.phase != Phase::NotRun;
+            let next = key_state.next_attempt(claim.deduplicates, stamp.time_ms);
+            if next != Some(claim.attempt) || key_state.fingerprint != claim.fingerprint {
                 return None;
             }
-            self.expiry.remove(&(standing.expires_ms, claim.key.clone()));
+            self.expiry.remove(&(key_state.expires_ms, claim.key.clone()));
         } else if claim.attempt != 1 {
             return None;
         }
-        let made_ms = claim.key.made_ms().unwrap_or(0);
-        let expires_ms = made_ms.max(stamp.time_ms).saturating_add(millis(self.window.0));
-        let standing = KeyState {
+        let created_at_ms = claim.key.created_at_ms().unwrap_or(0);
+        let expires_ms = created_at_ms.max(stamp.time_ms).saturating_add(millis(self.window.0));
+        let key_state = KeyState {
             attempt: claim.attempt,
             writer: writer.clone(),
             claim: id,
@@ -230,7 +230,7 @@
             phase: Phase::Claimed,
         };
         self.expiry.insert((expires_ms, claim.key.clone()));
-        self.keys.insert(claim.key.clone(), standing);
+        self.keys.insert(claim.key.clone(), key_state);
         Some(claim.key)
     }
 
@@ -242,12 +242,12 @@
         claim: ClaimId,
         step: impl FnOnce(&KeyState) -> Option<Phase>,
     ) -> Option<CallKey> {
-        let standing = self.keys.get_mut(&key)?;
-        if !standing.is_held_by(writer, claim) {
+        let key_state = self.keys.get_mut(&key)?;
+        if !key_state.is_held_by(writer, claim) {
             return None;
         }
-        standing.phase = step(standing)?;
-        let (expires_ms, bytes) = (standing.expires_ms, standing.body_bytes());
+        key_state.phase = step(key_state)?;
+        let (expires_ms, bytes) = (key_state.expires_ms, key_state.body_bytes());
         self.keep_body(expires_ms, &key, bytes);
         Some(key)
     }
@@ -260,12 +260,12 @@
         }
         self.bodies.insert((expires_ms, key.clone()));
         self.kept_bytes += bytes;
-        while self.kept_bytes > MAX_KEPT_BYTES
+        while self.kept_bytes > MAX_RETAINED_BODY_BYTES
             && let Some((_, oldest)) = self.bodies.pop_first()
         {
-            let Some(standing) = self.keys.get_mut(&oldest) else { continue };
-            self.kept_bytes = self.kept_bytes.saturating_sub(standing.body_bytes());
-            if let Phase::Done(answer) = &mut standing.phase {
+            let Some(key_state) = self.keys.get_mut(&oldest) else { continue };
+            self.kept_bytes = self.kept_bytes.saturating_sub(key_state.body_bytes());
+            if let Phase::Done(answer) = &mut key_state.phase {
                 answer.body = None;
             }
         }
@@ -277,7 +277,7 @@
             && *expires_ms < now_ms
             && let Some(expired) = self.expiry.pop_first()
         {
-            let bytes = self.keys.remove(&expired.1).map_or(0, |standing| standing.body_bytes());
+            let bytes = self.keys.remove(&expired.1).map_or(0, |key_state| key_state.body_bytes());
             self.kept_bytes = self.kept_bytes.saturating_sub(bytes);
             self.bodies.remove(&expired);
         }
@@ -291,11 +291,11 @@
 
 impl Fold for Ledger {
     type Entry = Batch;
-    type Part = Part;
-    type Setup = Window;
+    type Part = LedgerPart;
+    type Params = RetentionWindow;
     type Change = CallKey;
 
-    fn empty(window: &Window) -> Self {
+    fn empty(window: &RetentionWindow) -> Self {
         Ledger {
             window: *window,
             keys: HashMap::new(),
@@ -308,47 +308,47 @@
         }
     }
 
-    fn restore(window: &Window, parts: Vec<Part>) -> Self {
+    fn restore(window: &RetentionWindow, parts: Vec<LedgerPart>) -> Self {
         let mut ledger = Ledger::empty(window);
         for part in parts {
             for (writer, sequence, seen_ms) in part.writers {
                 ledger.writers.insert(writer, (sequence, seen_ms));
             }
-            for (key, standing) in part.keys {
-                let (expires_ms, bytes) = (standing.expires_ms, standing.body_bytes());
+            for (key, key_state) in part.keys {
+                let (expires_ms, bytes) = (key_state.expires_ms, key_state.body_bytes());
                 ledger.expiry.insert((expires_ms, key.clone()));
-                ledger.keys.insert(key.clone(), standing);
+                ledger.keys.insert(key.clone(), key_state);
                 ledger.keep_body(expires_ms, &key, bytes);
             }
         }
         ledger
     }
 
-    fn parts(&self) -> Vec<Part> {
+    fn parts(&self) -> Vec<LedgerPart> {
         let writers = self.writers.iter();
         let writers = writers.map(|(writer, (sequence, seen))| (writer.clone(), *sequence, *seen));
         let mut writers: Vec<_> = writers.collect();
         // The same state gives the same records, whoever writes them.
         writers.sort();
-        let mut parts = vec![Part { keys: Vec::new(), writers }];
+        let mut parts = vec![LedgerPart { keys: Vec::new(), writers }];
         let mut bytes = 0;
         for (_, key) in &self.expiry {
-            let Some(standing) = self.keys.get(key) else { continue };
+            let Some(key_state) = self.keys.get(key) else { continue };
             if let Some(last) = parts.last()
                 && (last.keys.len() == KEYS_PER_PART || bytes > BYTES_PER_PART)
             {
-                parts.push(Part { keys: Vec::new(), writers: Vec::new() });
+                parts.push(LedgerPart { keys: Vec::new(), writers: Vec::new() });
                 bytes = 0;
             }
-            bytes += standing.body_bytes();
+            bytes += key_state.body_bytes();
             if let Some(last) = parts.last_mut() {
-                last.keys.push((key.clone(), standing.clone()));
+                last.keys.push((key.clone(), key_state.clone()));
             }
         }
         parts
     }
 
-    fn apply(&mut self, batch: Batch, stamp: Stamp) -> Vec<CallKey> {
+    fn apply(&mut self, batch: Batch, stamp: LogPosition) -> Vec<CallKey> {
         self.forget(stamp.time_ms);
         // Guards against an append that was repeated because its answer was lost, and against one
         // that surfaces after its writer has gone on: both carry a number that is not new.
--- a/crates/policy/src/ledger/key.rs
+++ b/crates/policy/src/ledger/key.rs
@@ -9,14 +9,14 @@
 
 /// The longest `Idempotency-Key`, in bytes. Customary keys are UUIDs; every instance keeps every
 /// key for a day.
-pub const MAX_KEY_LEN: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 
 /// Why a text can't be an `Idempotency-Key`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
     /// The text is empty.
     Empty,
-    /// The text is longer than [`MAX_KEY_LEN`].
+    /// The text is longer than [`MAX_KEY_BYTES`].
     TooLong,
     /// The text holds something besides printable ASCII.
     BadCharacter,
@@ -27,7 +27,7 @@
         match self {
             KeyError::Empty => write!(f, "the Idempotency-Key is empty"),
             KeyError::TooLong => {
-                write!(f, "the Idempotency-Key is longer than {MAX_KEY_LEN} bytes")
+                write!(f, "the Idempotency-Key is longer than {MAX_KEY_BYTES} bytes")
             }
             KeyError::BadCharacter => {
                 write!(f, "the Idempotency-Key holds more than printable ASCII characters")
@@ -60,7 +60,7 @@
         if text.is_empty() {
             return Err(KeyError::Empty);
         }
-        if text.len() > MAX_KEY_LEN {
+        if text.len() > MAX_KEY_BYTES {
             return Err(KeyError::TooLong);
         }
         if !text.bytes().all(|c| c.is_ascii_graphic() || c == b' ') {
@@ -70,7 +70,7 @@
     }
 
     /// When the key was made, where it is a UUIDv7 and therefore says so.
-    pub fn made_ms(&self) -> Option<u64> {
+    pub fn created_at_ms(&self) -> Option<u64> {
         let uuid = Uuid::try_parse(&self.text).ok()?;
         if uuid.get_version_num() != 7 {
             return None;
@@ -80,16 +80,16 @@
     }
 
     /// Whether the key may still be claimed at `now_ms`, by its own time.
-    pub fn time(&self, window: Duration, now_ms: u64) -> KeyTime {
-        let Some(made) = self.made_ms() else { return KeyTime::Usable };
+    pub fn time(&self, window: Duration, now_ms: u64) -> KeyAge {
+        let Some(made) = self.created_at_ms() else { return KeyAge::Usable };
         let window = millis(window);
         if made.saturating_add(window) < now_ms {
-            return KeyTime::TooOld;
+            return KeyAge::TooOld;
         }
         if made > now_ms.saturating_add(millis(CLOCK_SKEW)) {
-            return KeyTime::FromTheFuture;
+            return KeyAge::FromTheFuture;
         }
-        KeyTime::Usable
+        KeyAge::Usable
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// Whether a key fits the window in which keys are remembered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyTime {
+pub enum KeyAge {
     /// It fits, or doesn't tell its time.
     Usable,
     /// Older than the window: what became of it may be forgotten, so it may not run.
--- a/crates/policy/src/ledger/mod.rs
+++ b/crates/policy/src/ledger/mod.rs
@@ -18,7 +18,7 @@
 mod key;
 mod record;
 
-pub use claimant::{Claimant, GivenUp, Step};
-pub use fold::{KeyState, Ledger, MAX_KEPT_BYTES, Phase, Window};
-pub use key::{CallKey, KeyError, KeyTime, MAX_KEY_LEN};
-pub use record::{Answer, Batch, Claim, ClaimId, Entry, MAX_KEPT_BODY, Part, Writer};
+pub use claimant::{AbandonOutcome, Claimant, ClaimantState};
+pub use fold::{KeyState, Ledger, MAX_RETAINED_BODY_BYTES, Phase, RetentionWindow};
+pub use key::{CallKey, KeyAge, KeyError, MAX_KEY_BYTES};
+pub use record::{Answer, Batch, Claim, ClaimId, Entry, LedgerPart, MAX_ANSWER_BODY_BYTES, Writer};
--- a/crates/policy/src/ledger/record.rs
+++ b/crates/policy/src/ledger/record.rs
@@ -9,7 +9,7 @@
 
 /// The largest body kept for callers that send again, in bytes. Confirmations of registrations and
 /// holds are well below; a hundred claims a second with larger ones would fill the log.
-pub const MAX_KEPT_BODY: usize = 16 << 10;
+pub const MAX_ANSWER_BODY_BYTES: usize = 16 << 10;
 
 /// One life of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
     /// The body's type.
     #[serde(default)]
     pub content_type: Option<String>,
-    /// The body; absent where it is longer than [`MAX_KEPT_BODY`] or not UTF-8.
+    /// The body; absent where it is longer than [`MAX_ANSWER_BODY_BYTES`] or not UTF-8.
     pub body: Option<String>,
 }
 
@@ -110,7 +110,7 @@
 
 /// One part of a ledger's checkpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Part {
+pub struct LedgerPart {
     /// Some of the keys.
     pub keys: Vec<(CallKey, KeyState)>,
     /// The writers, with their last batch and when it came. Only in the first part.
--- a/crates/policy/src/membership/member.rs
+++ b/crates/policy/src/membership/member.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Incarnation, Time,
-    membership::{DEAD_AFTER, Evidence, LIST_LAG, SUSPECT_AFTER, State},
+    membership::{DEAD_TIMEOUT, MAX_LIST_LAG, MemberObservation, MemberState, SUSPECT_TIMEOUT},
 };
 
 #[derive(Debug)]
@@ -54,15 +54,15 @@
         };
     }
 
-    pub(super) fn observe(&mut self, evidence: Evidence, now: Time) {
+    pub(super) fn observe(&mut self, evidence: MemberObservation, now: Time) {
         match evidence {
-            Evidence::Alive => {
+            MemberObservation::Alive => {
                 self.last_sign = self.last_sign.max(now);
                 self.heard = true;
             }
-            Evidence::Leaving => self.leaving = true,
-            Evidence::Stopped => self.stopped = true,
-            Evidence::Operator { leaving } => self.operator_leaving = leaving,
+            MemberObservation::Leaving => self.leaving = true,
+            MemberObservation::Stopped => self.stopped = true,
+            MemberObservation::Operator { leaving } => self.operator_leaving = leaving,
         }
     }
 
@@ -74,32 +74,32 @@
         }
         // Such a line may still mean the life before this one; taken at its word, an endpoint that
         // has just restarted would be shut out.
-        let may_mean_the_last = self.replaced.is_some_and(|at| now.since(at) < LIST_LAG);
+        let may_mean_the_last = self.replaced.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
         if leaving && !may_mean_the_last {
             self.listed_leaving = Some(now);
-        } else if !leaving && self.listed_leaving.is_some_and(|at| now.since(at) >= LIST_LAG) {
+        } else if !leaving && self.listed_leaving.is_some_and(|at| now.since(at) >= MAX_LIST_LAG) {
             // A list that says *live* sooner may be an older copy than the one that said
             // *leaving*.
             self.listed_leaving = None;
         }
     }
 
-    pub(super) fn state(&self, list_read: Option<Time>, now: Time) -> State {
+    pub(super) fn state(&self, apply_list: Option<Time>, now: Time) -> MemberState {
         if self.stopped {
-            return State::Dead;
+            return MemberState::Dead;
         }
         let silent = now.since(self.last_sign);
         // One that was never heard of directly is in service on the word of a list that has it.
-        let on_the_list = !self.heard && self.listed.is_some() && self.listed == list_read;
-        if silent >= DEAD_AFTER && !on_the_list {
-            return State::Dead;
+        let on_the_list = !self.heard && self.listed.is_some() && self.listed == apply_list;
+        if silent >= DEAD_TIMEOUT && !on_the_list {
+            return MemberState::Dead;
         }
         if self.leaving || self.operator_leaving || self.listed_leaving.is_some() {
-            return State::Leaving;
+            return MemberState::Leaving;
         }
-        if silent >= SUSPECT_AFTER && !on_the_list {
-            return State::Suspect;
+        if silent >= SUSPECT_TIMEOUT && !on_the_list {
+            return MemberState::Suspect;
         }
-        State::Live
+        MemberState::Live
     }
 }
--- a/crates/policy/src/membership/mod.rs
+++ b/crates/policy/src/membership/mod.rs
@@ -16,9 +16,9 @@
 //! *live* takes its *leaving* back only after the list's lag. Direct signs of life (heartbeats, answers) decide between live, suspect
 //! and dead; the list only introduces members and confirms absence.
 //!
-//! **Grounds.** Heartbeats come each [`HEARTBEAT`]. [`SUSPECT_AFTER`] is three of them, so that one
-//! lost and one late change nothing; [`DEAD_AFTER`] leaves time for one fresh connection, since
-//! open ones may be silent while the member lives. [`LIST_LAG`] is the assumed lag of the list:
+//! **Grounds.** Heartbeats come each [`HEARTBEAT_INTERVAL`]. [`SUSPECT_TIMEOUT`] is three of them, so that one
+//! lost and one late change nothing; [`DEAD_TIMEOUT`] leaves time for one fresh connection, since
+//! open ones may be silent while the member lives. [`MAX_LIST_LAG`] is the assumed lag of the list:
 //! the brief says that it lags and not by how much.
 
 mod member;
@@ -33,28 +33,28 @@
 use member::Member;
 
 /// The time between two heartbeats of a member.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A member not heard of for this long is suspect: nothing new is sent, nothing is given up.
-pub const SUSPECT_AFTER: Duration = Duration::from_secs(3);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A member not heard of for this long is dead. The second half of the time is for a fresh
 /// connection to be dialled and to answer.
-pub const DEAD_AFTER: Duration = Duration::from_secs(6);
+pub const DEAD_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How old the list's content may be.
-pub const LIST_LAG: Duration = Duration::from_secs(30);
+pub const MAX_LIST_LAG: Duration = Duration::from_secs(30);
 
 /// How long a dead member's incarnation is remembered, so that a late list or a late message can't
 /// bring it back.
-pub const FORGET_AFTER: Duration = Duration::from_secs(600);
+pub const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(600);
 
 /// The most members kept. Twice the endpoints and instances of the long-run sizes.
 pub const MAX_MEMBERS: usize = 8_192;
 
 /// A member's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum MemberState {
     /// In service.
     Live,
     /// It finishes what it has and gets nothing new.
@@ -67,7 +67,7 @@
 
 /// What a witness says of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Evidence {
+pub enum MemberObservation {
     /// A heartbeat or an answer, by the member itself.
     Alive,
     /// The member itself says, or another instance passes on, that it is leaving.
@@ -83,7 +83,7 @@
 
 /// One line of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListLine<K> {
+pub struct ListEntry<K> {
     /// The member.
     pub member: K,
     /// Its incarnation, or zero where the list doesn't know it.
@@ -96,18 +96,24 @@
 #[derive(Debug)]
 pub struct Membership<K> {
     members: IndexMap<K, Member>,
-    list_read: Option<Time>,
+    apply_list: Option<Time>,
     started: Time,
 }
 
 impl<K: Clone + Eq + Hash> Membership<K> {
     /// Knows of nobody.
     pub fn new(now: Time) -> Membership<K> {
-        Membership { members: IndexMap::new(), list_read: None, started: now }
+        Membership { members: IndexMap::new(), apply_list: None, started: now }
     }
 
     /// Takes note of evidence about one incarnation of a member.
-    pub fn observe(&mut self, key: &K, incarnation: Incarnation, evidence: Evidence, now: Time) {
+    pub fn observe(
+        &mut self,
+        key: &K,
+        incarnation: Incarnation,
+        evidence: MemberObservation,
+        now: Time,
+    ) {
         if let Some(member) = self.member(key, incarnation, now) {
             member.observe(evidence, now);
         }
@@ -115,8 +121,8 @@
 
     /// Takes note of a whole list. Members that it lacks lose its support; that alone makes nobody
     /// dead who is heard of directly.
-    pub fn list_read(&mut self, lines: &[ListLine<K>], now: Time) {
-        self.list_read = Some(now);
+    pub fn apply_list(&mut self, lines: &[ListEntry<K>], now: Time) {
+        self.apply_list = Some(now);
         self.members.values_mut().for_each(|member| member.listed = None);
         for line in lines {
             if let Some(member) = self.member(&line.member, line.incarnation, now) {
@@ -127,8 +133,8 @@
     }
 
     /// The member's state.
-    pub fn state(&self, key: &K, now: Time) -> State {
-        self.members.get(key).map_or(State::Dead, |member| member.state(self.list_read, now))
+    pub fn state(&self, key: &K, now: Time) -> MemberState {
+        self.members.get(key).map_or(MemberState::Dead, |member| member.state(self.apply_list, now))
     }
 
     /// The member's newest known incarnation.
@@ -137,18 +143,18 @@
     }
 
     /// All members that aren't dead.
-    pub fn members(&self, now: Time) -> impl Iterator<Item = Known<'_, K>> {
+    pub fn members(&self, now: Time) -> impl Iterator<Item = MemberStatus<'_, K>> {
         self.members.iter().filter_map(move |(key, member)| {
-            let state = member.state(self.list_read, now);
+            let state = member.state(self.apply_list, now);
             let incarnation = member.incarnation;
-            (state != State::Dead).then_some(Known { key, incarnation, state })
+            (state != MemberState::Dead).then_some(MemberStatus { key, incarnation, state })
         })
     }
 
     /// Whether enough is known to call anyone absent: the list was read once, or heartbeats had
     /// their time.
     pub fn is_settled(&self, now: Time) -> bool {
-        self.list_read.is_some() || now.since(self.started) >= DEAD_AFTER
+        self.apply_list.is_some() || now.since(self.started) >= DEAD_TIMEOUT
     }
 
     /// The record that evidence about `incarnation` belongs to; none where that life is over.
@@ -172,26 +178,26 @@
     }
 
     fn forget_long_dead(&mut self, now: Time) {
-        let list_read = self.list_read;
+        let apply_list = self.apply_list;
         self.members.retain(|_, member| {
-            member.state(list_read, now) != State::Dead
-                || now.since(member.last_sign) < FORGET_AFTER
+            member.state(apply_list, now) != MemberState::Dead
+                || now.since(member.last_sign) < DEAD_MEMBER_RETENTION
         });
     }
 
     fn forget_dead(&mut self, now: Time) {
-        let list_read = self.list_read;
-        self.members.retain(|_, member| member.state(list_read, now) != State::Dead);
+        let apply_list = self.apply_list;
+        self.members.retain(|_, member| member.state(apply_list, now) != MemberState::Dead);
     }
 }
 
 /// A member that isn't dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Known<'a, K> {
+pub struct MemberStatus<'a, K> {
     /// The member.
     pub key: &'a K,
     /// Its newest incarnation.
     pub incarnation: Incarnation,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
 }
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -11,7 +11,7 @@
 /// vocabularies; engines report their own counts, which replace the estimate.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-const BLOCK_BYTES: usize = RequestSpec::PREFIX_BLOCK.0 as usize * BYTES_PER_TOKEN;
+const BLOCK_BYTES: usize = RequestSpec::PREFIX_BLOCK_TOKENS.0 as usize * BYTES_PER_TOKEN;
 
 /// The prompt size that a text of this many bytes stands for; at least one token.
 pub fn estimate_tokens(bytes: usize) -> Tokens {
--- a/crates/policy/src/publication/fold.rs
+++ b/crates/policy/src/publication/fold.rs
@@ -8,7 +8,7 @@
 use crate::{
     Offset,
     config::{Config, Findings, SETTINGS, SourceFile, Version, load},
-    replay::{Fold, Stamp},
+    replay::{Fold, LogPosition},
 };
 
 /// Entries of the audit trail that instances keep at hand. Operators publish a few times a day;
@@ -138,7 +138,7 @@
         )
     }
 
-    fn change(&mut self, change: Change, stamp: Stamp) -> AuditEntry {
+    fn change(&mut self, change: Change, stamp: LogPosition) -> AuditEntry {
         let mut entry = AuditEntry {
             offset: stamp.offset,
             time_ms: stamp.time_ms,
@@ -217,7 +217,7 @@
 impl Fold for Publication {
     type Entry = PublicationEntry;
     type Part = PublicationPart;
-    type Setup = ();
+    type Params = ();
     type Change = AuditEntry;
 
     fn empty((): &()) -> Self {
@@ -248,7 +248,7 @@
         }]
     }
 
-    fn apply(&mut self, entry: PublicationEntry, stamp: Stamp) -> Vec<AuditEntry> {
+    fn apply(&mut self, entry: PublicationEntry, stamp: LogPosition) -> Vec<AuditEntry> {
         let id = match &entry {
             PublicationEntry::Change(change) => &change.id,
             PublicationEntry::Note(note) => &note.id,
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -44,7 +44,7 @@
 
 /// Where and when an entry was taken by the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
+pub struct LogPosition {
     /// Its place.
     pub offset: Offset,
     /// The log's clock, in milliseconds. It never goes back from entry to entry: an earlier time
@@ -59,21 +59,21 @@
     /// One part of a checkpoint.
     type Part: Serialize + DeserializeOwned;
     /// What all readers of the stream agree on beforehand.
-    type Setup: Clone;
+    type Params: Clone;
     /// What an entry changed, for whoever waits for it.
     type Change;
 
     /// The state before the first record.
-    fn empty(setup: &Self::Setup) -> Self;
+    fn empty(setup: &Self::Params) -> Self;
 
     /// The state that a checkpoint holds.
-    fn restore(setup: &Self::Setup, parts: Vec<Self::Part>) -> Self;
+    fn restore(setup: &Self::Params, parts: Vec<Self::Part>) -> Self;
 
     /// The state as parts of a checkpoint, each small enough for one record; at least one.
     fn parts(&self) -> Vec<Self::Part>;
 
     /// Takes one entry into account.
-    fn apply(&mut self, entry: Self::Entry, stamp: Stamp) -> Vec<Self::Change>;
+    fn apply(&mut self, entry: Self::Entry, stamp: LogPosition) -> Vec<Self::Change>;
 }
 
 /// What a record holds.
@@ -111,11 +111,11 @@
 
 /// A stream as far as it was read, and the state that it folds into.
 pub struct Replay<F: Fold> {
-    setup: F::Setup,
+    setup: F::Params,
     next: Offset,
     time_ms: u64,
     state: State<F>,
-    checkpointed: Option<Stamp>,
+    checkpointed: Option<LogPosition>,
     first: Offset,
     unreadable: u64,
 }
@@ -129,13 +129,13 @@
 struct Rebuild<F: Fold> {
     /// The first record that was still kept.
     from: Offset,
-    entries: Vec<(F::Entry, Stamp)>,
+    entries: Vec<(F::Entry, LogPosition)>,
     checkpoints: HashMap<String, Vec<Option<CheckpointPart<F::Part>>>>,
 }
 
 impl<F: Fold> Replay<F> {
     /// A reader of a stream from its beginning.
-    pub fn new(setup: F::Setup) -> Self {
+    pub fn new(setup: F::Params) -> Self {
         let state = State::Complete(F::empty(&setup));
         let (next, first) = (Offset(0), Offset(0));
         Replay { setup, next, time_ms: 0, state, checkpointed: None, first, unreadable: 0 }
@@ -155,7 +155,7 @@
     }
 
     /// When and up to where the last whole checkpoint was seen.
-    pub fn checkpointed(&self) -> Option<Stamp> {
+    pub fn last_checkpoint(&self) -> Option<LogPosition> {
         self.checkpointed
     }
 
@@ -177,7 +177,7 @@
 
     /// Takes a page of the stream: `first` is the first offset that the log still keeps. It alone
     /// tells whether records were missed, because offsets only rise and may leave numbers out.
-    pub fn accept<'a>(
+    pub fn apply_page<'a>(
         &mut self,
         first: Offset,
         records: impl IntoIterator<Item = LogRecord<'a>>,
@@ -227,7 +227,7 @@
 
     fn take(&mut self, record: LogRecord<'_>, changes: &mut Vec<F::Change>) {
         self.time_ms = self.time_ms.max(record.time_ms);
-        let stamp = Stamp { offset: record.offset, time_ms: self.time_ms };
+        let stamp = LogPosition { offset: record.offset, time_ms: self.time_ms };
         match serde_json::from_slice::<Content<F::Entry, F::Part>>(record.data) {
             Ok(Content::Entry(entry)) => match &mut self.state {
                 State::Complete(fold) => changes.extend(fold.apply(entry, stamp)),
@@ -242,7 +242,7 @@
     fn take_part(&mut self, part: CheckpointPart<F::Part>, changes: &mut Vec<F::Change>) {
         let covers = part.covers;
         if part.part + 1 == part.parts && covers <= self.next {
-            self.checkpointed = Some(Stamp { offset: covers, time_ms: self.time_ms });
+            self.checkpointed = Some(LogPosition { offset: covers, time_ms: self.time_ms });
         }
         let State::Rebuilding(rebuild) = &mut self.state else { return };
         if covers < rebuild.from || covers > self.next {
@@ -254,7 +254,7 @@
         let mut fold = F::restore(&self.setup, parts);
         for (entry, stamp) in entries {
             if stamp.offset >= covers {
-                let stamp = Stamp { time_ms: stamp.time_ms.max(time_ms), ..stamp };
+                let stamp = LogPosition { time_ms: stamp.time_ms.max(time_ms), ..stamp };
                 changes.extend(fold.apply(entry, stamp));
             }
         }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -23,7 +23,7 @@
     pub workspace: Workspace,
     /// What it asks for.
     pub kind: CallKind,
-    /// Estimated prompt size. For a service call, [`RequestSpec::SERVICE_CALL`].
+    /// Estimated prompt size. For a service call, [`RequestSpec::SERVICE_CALL_TOKENS`].
     pub prompt: Tokens,
     /// The most tokens it may generate.
     pub max_output: Tokens,
@@ -46,11 +46,11 @@
 impl RequestSpec {
     /// The weight of one call to a plain service, in tokens. Only its ratio to other service
     /// calls matters, because services and engines never share an endpoint.
-    pub const SERVICE_CALL: Tokens = Tokens(100);
+    pub const SERVICE_CALL_TOKENS: Tokens = Tokens(100);
 
     /// Tokens of one prefix block. 256 tokens keep a million-token prompt's chain under 4,000
     /// hashes; engines cache in smaller blocks, whose multiples these are.
-    pub const PREFIX_BLOCK: Tokens = Tokens(256);
+    pub const PREFIX_BLOCK_TOKENS: Tokens = Tokens(256);
 
     /// Memory the request needs on an engine when its output is as long as allowed.
     pub fn footprint(&self) -> Tokens {
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -74,15 +74,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
     /// Seconds of prefill of the prompt itself.
-    pub own_s: f64,
+    pub prefill_s: f64,
     /// Seconds for what goes before it.
-    pub others_s: f64,
+    pub prefill_ahead_s: f64,
     /// Seconds until its workspace's turn.
-    pub turn_s: f64,
+    pub fair_share_wait_s: f64,
     /// What the first two are multiplied by.
     pub margin: f64,
     /// Seconds until the first token has to be out.
-    pub allowed_s: f64,
+    pub budget_s: f64,
     /// Prefill speed that it was computed with.
     pub rate: TokenRate,
     /// Whether any engine's speed was measured.
@@ -92,9 +92,9 @@
     /// Prefill that waits here and at the other instances.
     pub queued: Tokens,
     /// Requests of this instance under way.
-    pub under_way: usize,
+    pub in_flight_requests: usize,
     /// Age of the oldest word of another instance.
-    pub heard: Duration,
+    pub max_peer_age: Duration,
 }
 
 /// The reasons for turning a request away.
@@ -316,7 +316,7 @@
     /// Another instance told its part of the load.
     Peer(LoadDigest),
     /// Another instance is gone or has a new incarnation; its part of the load is void.
-    PeerGone {
+    PeerRemoved {
         /// The instance.
         instance: InstanceId,
         /// The life that ended.
--- a/crates/policy/tests/ledger_model/world.rs
+++ b/crates/policy/tests/ledger_model/world.rs
@@ -6,8 +6,8 @@
 use policy::{
     EndpointGroup, Fingerprint, Offset, Time, Workspace,
     ledger::{
-        Answer, Batch, CallKey, Claim, ClaimId, Claimant, Entry, GivenUp, Ledger, Phase, Step,
-        Window,
+        AbandonOutcome, Answer, Batch, CallKey, Claim, ClaimId, Claimant, ClaimantState, Entry,
+        Ledger, Phase, RetentionWindow,
     },
     replay::{LogRecord, Replay, encode},
 };
@@ -130,13 +130,13 @@
             return;
         };
         match call.claimant.step() {
-            Step::Waiting | Step::Won => {
+            ClaimantState::Waiting | ClaimantState::Won => {
                 push(out, state, i, "the call is given up", |state| self.give_up(state, i));
-                if call.claimant.step() == Step::Won {
+                if call.claimant.step() == ClaimantState::Won {
                     push(out, state, i, "the call is sent", |state| self.send(state, i));
                 }
             }
-            Step::Sending => {
+            ClaimantState::Sending => {
                 // Of a lease only a holder that pauses is of interest here.
                 if self.protocol != Protocol::Lease {
                     push(out, state, i, "the outcome stays unknown", |state| {
@@ -152,7 +152,7 @@
                 }
             }
             // The caller has heard its answer.
-            Step::Lost | Step::Abandoned => {}
+            ClaimantState::Lost | ClaimantState::Abandoned => {}
         }
     }
 
@@ -241,12 +241,12 @@
         {
             let claim = self.claim(call.attempt);
             call.claimant.observe(&ledger, &writer, &claim, id);
-            if call.claimant.step() == Step::Lost {
+            if call.claimant.step() == ClaimantState::Lost {
                 instance.call = None;
             }
         }
-        let Some(standing) = ledger.standing(&self.key) else { return };
-        let Phase::Done(answer) = &standing.phase else { return };
+        let Some(key_state) = ledger.key_state(&self.key) else { return };
+        let Phase::Done(answer) = &key_state.phase else { return };
         let answer = intern(&mut self.answers.borrow_mut(), answer.clone());
         match state.stored {
             Some(stored) if stored != answer => state.violation = Some("a stored answer changed"),
@@ -258,10 +258,10 @@
         let Some(ledger) = self.ledger(state, i) else { return };
         state.calls += 1;
         let deduplicates = self.protocol == Protocol::Lease;
-        let attempt = match ledger.standing(&self.key) {
+        let attempt = match ledger.key_state(&self.key) {
             None => Some(1),
             // Enough time has passed for a lease to lapse: the holder may be paused for any time.
-            Some(standing) => standing.next_attempt(deduplicates, u64::MAX),
+            Some(key_state) => key_state.next_attempt(deduplicates, u64::MAX),
         };
         // Otherwise the caller hears the answer, or "unknown".
         let Some(attempt) = attempt else { return };
@@ -285,7 +285,7 @@
         let hasty = self.protocol == Protocol::HastyRefusal;
         // Of a lease only the double run is of interest here.
         let hears_not_run =
-            (given_up == GivenUp::NotRun || hasty) && self.protocol != Protocol::Lease;
+            (given_up == AbandonOutcome::NotRun || hasty) && self.protocol != Protocol::Lease;
         let instance = &mut state.instances[i];
         instance.call = None;
         match id {
@@ -339,7 +339,7 @@
         instance.sequence += 1;
         let claimed = queue.iter().position(|entry| self.is_claim(*entry));
         if let (Some(index), Some(call)) = (claimed, &mut instance.call)
-            && call.claimant.step() == Step::Waiting
+            && call.claimant.step() == ClaimantState::Waiting
         {
             call.id = Some(ClaimId { sequence, index: index as u32 });
         }
@@ -394,14 +394,14 @@
 
     fn replay(&self, state: &State, i: usize) -> Replay<Ledger> {
         let instance = &state.instances[i];
-        let mut replay = Replay::new(Window(Duration::from_secs(86_400)));
+        let mut replay = Replay::new(RetentionWindow(Duration::from_secs(86_400)));
         let records = self.records.borrow();
         let read = (instance.from..instance.upto).map(|at| LogRecord {
             offset: Offset(at.into()),
             time_ms: u64::from(at) * 10_000,
             data: &records[usize::from(state.log[usize::from(at)])],
         });
-        replay.accept(Offset(instance.from.into()), read);
+        replay.apply_page(Offset(instance.from.into()), read);
         replay
     }
 }
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -8,8 +8,8 @@
     EndpointGroup, Fingerprint, Incarnation, InstanceId, Offset, Workspace,
     config::{SourceFile, Version},
     ledger::{
-        Answer, Batch, CallKey, Claim, ClaimId, Entry, KeyTime, Ledger, MAX_KEPT_BODY,
-        MAX_KEPT_BYTES, Phase, Window, Writer,
+        Answer, Batch, CallKey, Claim, ClaimId, Entry, KeyAge, Ledger, MAX_ANSWER_BODY_BYTES,
+        MAX_RETAINED_BODY_BYTES, Phase, RetentionWindow, Writer,
     },
     publication::{Change, Publication, PublicationEntry, Verdict, check_change, difference},
     replay::{Fold, LogRecord, Replay, encode},
@@ -38,7 +38,7 @@
             time_ms: *time_ms,
             data,
         });
-        replay.accept(Offset(first as u64), records)
+        replay.apply_page(Offset(first as u64), records)
     }
 }
 
@@ -64,12 +64,12 @@
 }
 
 fn ledger() -> Replay<Ledger> {
-    Replay::new(Window(WINDOW))
+    Replay::new(RetentionWindow(WINDOW))
 }
 
 fn holder(replay: &Replay<Ledger>, text: &str) -> Option<String> {
-    let standing = replay.state()?.standing(&key(text))?;
-    Some(standing.writer.instance.to_string())
+    let key_state = replay.state()?.key_state(&key(text))?;
+    Some(key_state.writer.instance.to_string())
 }
 
 #[test]
@@ -105,30 +105,30 @@
     log.append(3, batch("a", 2, vec![done]));
     log.append(4, batch("a", 3, vec![not_run]));
     log.feed(&mut replay, 0);
-    let standing = replay.state().unwrap().standing(&key("k")).unwrap();
-    assert_eq!((standing.attempt, &standing.phase), (1, &Phase::Done(answer)));
+    let key_state = replay.state().unwrap().key_state(&key("k")).unwrap();
+    assert_eq!((key_state.attempt, &key_state.phase), (1, &Phase::Done(answer)));
 }
 
 /// Callers get large answers all day; instances must not run out of memory over them.
 #[test]
 fn the_oldest_answers_lose_their_bodies_first() {
     let (mut log, mut replay) = (Log::default(), ledger());
-    let count = MAX_KEPT_BYTES / MAX_KEPT_BODY + 1;
+    let count = MAX_RETAINED_BODY_BYTES / MAX_ANSWER_BODY_BYTES + 1;
     let claims = (0..count).map(|i| claim(&format!("k{i:06}"), 1)).collect();
     log.append(0, batch("a", 1, claims));
     log.feed(&mut replay, 0);
     for (index, sequence) in (0..count).zip(2..) {
         let claim = ClaimId { sequence: 1, index: u32::try_from(index).unwrap() };
-        let body = Some("x".repeat(MAX_KEPT_BODY));
+        let body = Some("x".repeat(MAX_ANSWER_BODY_BYTES));
         let answer = Answer { status: 200, content_type: None, body };
         let done = Entry::Done { key: key(&format!("k{index:06}")), claim, answer };
         let data = batch("a", sequence, vec![done]);
         let offset = Offset(sequence - 1);
-        replay.accept(Offset(0), [LogRecord { offset, time_ms: 1, data: &data }]);
+        replay.apply_page(Offset(0), [LogRecord { offset, time_ms: 1, data: &data }]);
     }
     let has_body = |index: usize| {
-        let standing = replay.state().unwrap().standing(&key(&format!("k{index:06}"))).unwrap();
-        matches!(&standing.phase, Phase::Done(answer) if answer.body.is_some())
+        let key_state = replay.state().unwrap().key_state(&key(&format!("k{index:06}"))).unwrap();
+        matches!(&key_state.phase, Phase::Done(answer) if answer.body.is_some())
     };
     assert_eq!([has_body(0), has_body(1), has_body(count - 1)], [false, true, true]);
 }
@@ -149,10 +149,10 @@
 #[test]
 fn a_uuidv7_key_can_not_be_claimed_after_its_window() {
     let made = Uuid::new_v7(Timestamp::from_unix(NoContext, 500, 0)).to_string();
-    assert_eq!(key(&made).made_ms(), Some(500_000));
-    assert_eq!(key(&made).time(WINDOW, 100_000), KeyTime::FromTheFuture);
-    assert_eq!(key(&made).time(WINDOW, 1_500_000), KeyTime::Usable);
-    assert_eq!(key(&made).time(WINDOW, 1_500_001), KeyTime::TooOld);
+    assert_eq!(key(&made).created_at_ms(), Some(500_000));
+    assert_eq!(key(&made).time(WINDOW, 100_000), KeyAge::FromTheFuture);
+    assert_eq!(key(&made).time(WINDOW, 1_500_000), KeyAge::Usable);
+    assert_eq!(key(&made).time(WINDOW, 1_500_001), KeyAge::TooOld);
     let (mut log, mut replay) = (Log::default(), ledger());
     log.append(1_500_001, batch("a", 1, vec![claim(&made, 1)]));
     log.feed(&mut replay, 0);
@@ -300,7 +300,7 @@
     left.len() == right.len()
         && (0..4).all(|i| {
             let key = key(&format!("k{i}"));
-            left.standing(&key) == right.standing(&key)
+            left.key_state(&key) == right.key_state(&key)
         })
 }
 
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -122,7 +122,7 @@
 
     /// Blocks that the prefix cache may fill.
     pub(crate) fn cache_room(&self) -> usize {
-        (self.free().0 / RequestSpec::PREFIX_BLOCK.0) as usize
+        (self.free().0 / RequestSpec::PREFIX_BLOCK_TOKENS.0) as usize
     }
 
     /// Takes memory under `id`, if there is room. Repeating it only extends the lease.
--- a/crates/standin/src/engine/step.rs
+++ b/crates/standin/src/engine/step.rs
@@ -109,7 +109,7 @@
     {
         state.cache.store(&import.prefix, now);
     }
-    let cached = Tokens(state.cache.covered(&prefix) as u64 * RequestSpec::PREFIX_BLOCK.0);
+    let cached = Tokens(state.cache.covered(&prefix) as u64 * RequestSpec::PREFIX_BLOCK_TOKENS.0);
     let leaving = state.leaving;
     let Some(stream) = state.streams.get_mut(id) else { return false };
     // At least one token is computed, because the first output token comes from it.
