--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -167,7 +167,7 @@
             let part = candidate_part(base, server, 1, request, now);
             let completions = server.completions(rules, now);
             let estimate = server.estimate(rules, &self.placement, part, &completions, now);
-            let predicted = self.first_ms(rules, base, server, &estimate);
+            let predicted = self.first_event_ms(rules, base, server, &estimate);
             let isolation_cost = self.isolation_cost(base.base_isolation_cost, server);
             let own = placement.lateness_cost(predicted, request.goal_ms)
                 + placement.miss_probability(estimate.pause_ms, request.max_pause_ms);
@@ -246,7 +246,7 @@
     }
 
     /// Milliseconds until the first event, if the part is prefilled as predicted.
-    pub(super) fn first_ms(
+    pub(super) fn first_event_ms(
         &self,
         rules: &EngineRules,
         plan: &PlacementPlan,
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -182,12 +182,12 @@
     /// Typical total duration of a request, with a margin for a busy engine. Requests that decode
     /// alongside are assumed to have a similar context, but no longer than the group's usual one:
     /// short requests are placed with short ones.
-    pub fn typical_duration(&self, prompt: u64, output: u64) -> Duration {
+    pub fn typical_duration(&self, prompt_tokens: u64, output_tokens: u64) -> Duration {
         let Some(rules) = &self.rules else { return Duration::ZERO };
-        let passes = output.div_ceil(u64::from(rules.stride.max(1))) as f64;
-        let context = rules.usual_context.min(prompt + output / 2);
+        let passes = output_tokens.div_ceil(u64::from(rules.stride.max(1))) as f64;
+        let context = rules.usual_context.min(prompt_tokens + output_tokens / 2);
         let decode_passes_ms = passes * rules.pass_ms(rules.slots, context);
-        let ms = BUSY_SLOWDOWN * (rules.read_ms(prompt) + decode_passes_ms) + START_DELAY_MS;
+        let ms = BUSY_SLOWDOWN * (rules.read_ms(prompt_tokens) + decode_passes_ms) + START_DELAY_MS;
         Duration::from_secs_f64(ms / 1000.0)
     }
 
--- a/crates/policy/src/placement/split.rs
+++ b/crates/policy/src/placement/split.rs
@@ -48,7 +48,7 @@
     index: usize,
     estimate: PartEstimate,
     /// Milliseconds until the first event, if this part is the last to be prefilled.
-    first_ms: f64,
+    first_event_ms: f64,
     cost: f64,
 }
 
@@ -207,7 +207,7 @@
         let MemoryShares { at_head, reserve } =
             self.spread_memory(rules, &candidates, head, trial.memory_tokens)?;
         let estimates = || candidates.iter().map(|c| &c.estimate);
-        let predicted_ms = candidates.iter().map(|c| c.first_ms).fold(0.0, f64::max);
+        let predicted_ms = candidates.iter().map(|c| c.first_event_ms).fold(0.0, f64::max);
         let prefilled_in_ms =
             estimates().map(|estimate| estimate.prefilled_in_ms).fold(0.0, f64::max);
         let cost_to_others = estimates().map(|estimate| estimate.cost_to_others).sum::<f64>()
@@ -256,12 +256,12 @@
         let Engine { index, server, completions } = engine;
         let part = candidate_part(trial, server, parts, request, now);
         let estimate = server.estimate(rules, &self.placement, part, completions, now);
-        let first_ms = self.first_ms(rules, trial, server, &estimate);
-        let own = trial.weight * self.placement.lateness_cost(first_ms, request.goal_ms);
+        let first_event_ms = self.first_event_ms(rules, trial, server, &estimate);
+        let own = trial.weight * self.placement.lateness_cost(first_event_ms, request.goal_ms);
         let cost_to_others = estimate.cost_to_others + self.delay_cost(std::iter::once(&estimate));
         let helper_failure = trial.weight * self.helper_failure_cost(parts, server.risk);
         let cost = self.health_penalty(server, now) * (own + cost_to_others + helper_failure);
-        Candidate { index: *index, estimate, first_ms, cost }
+        Candidate { index: *index, estimate, first_event_ms, cost }
     }
 
     /// Chooses the engine that runs the request: one with enough memory and without long prefill
--- a/crates/policy/tests/stalls.rs
+++ b/crates/policy/tests/stalls.rs
@@ -34,9 +34,9 @@
 }
 
 enum Event {
-    FirstEvent,
-    End,
-    HelperRefusal(EndpointId),
+    Answered,
+    Ended,
+    HelperRefused(EndpointId),
 }
 
 impl Site {
@@ -59,12 +59,12 @@
             let time = Time::from_millis(at);
             let instance = &mut self.instances[from];
             match event {
-                Event::FirstEvent => {
+                Event::Answered => {
                     instance.record_first_event(job, time);
-                    self.schedule(at + DECODE_MS, from, job, Event::End);
+                    self.schedule(at + DECODE_MS, from, job, Event::Ended);
                 }
-                Event::End => instance.finish(job, None, time),
-                Event::HelperRefusal(endpoint) => {
+                Event::Ended => instance.finish(job, None, time),
+                Event::HelperRefused(endpoint) => {
                     instance.record_helper_refusal(&endpoint, time);
                     instance.finish(job, Some(FailCause::Rejected), time);
                     refused.push((from, job));
@@ -167,11 +167,11 @@
             runs[engine] += 1;
             let hold = placed.hold.as_millis() as u64;
             if placed.helpers.iter().any(|helper| helper.endpoint == refusing) {
-                let event = Event::HelperRefusal(refusing.clone());
+                let event = Event::HelperRefused(refusing.clone());
                 site.schedule(now + hold + REFUSAL_DELAY_MS, from, placed.job, event);
             } else {
                 let first_event_at = now + placed.predicted_ms as u64 + 1;
-                site.schedule(first_event_at, from, placed.job, Event::FirstEvent);
+                site.schedule(first_event_at, from, placed.job, Event::Answered);
             }
         }
     }
