--- a/crates/daemon/examples/ledger_rate.rs
+++ b/crates/daemon/examples/ledger_rate.rs
@@ -139,8 +139,8 @@
                 part.claims += 1;
                 part.delays.push(began.elapsed());
             }
-            claim.begin_sending();
-            claim.done(Answer { status: 200, content_type: None, body: Some("{}".to_owned()) });
+            claim.try_begin_sending();
+            claim.complete(Answer { status: 200, content_type: None, body: Some("{}".to_owned()) });
         } else {
             part.refused += usize::from(counts);
             Timer::after(Duration::from_millis(10)).await;
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -170,7 +170,7 @@
     let streams = shared.ledgers().into_iter().flat_map(|ledgers| ledgers.iter());
     let status = streams.map(|ledger| LedgerStatus {
         ready: ledger.is_ready(),
-        keys: ledger.keys(),
+        keys: ledger.key_count(),
         next: ledger.next_offset(),
     });
     status.collect()
--- a/crates/daemon/src/admin/publish.rs
+++ b/crates/daemon/src/admin/publish.rs
@@ -118,7 +118,7 @@
             Verdict::Accepted(version) => PublishAnswer::Accepted(version),
             Verdict::Rejected(lines) => PublishAnswer::Rejected(lines),
             Verdict::Conflict(version) => {
-                let since = publications.look(|fold| fold.since(base).cloned().collect());
+                let since = publications.look(|fold| fold.accepted_since(base).cloned().collect());
                 PublishAnswer::Conflict { version, since: since.unwrap_or_default() }
             }
             Verdict::Noted => {
--- a/crates/daemon/src/controller/configuration.rs
+++ b/crates/daemon/src/controller/configuration.rs
@@ -24,7 +24,7 @@
 };
 
 use crate::{
-    checkpoint::{self, Schedule, Source},
+    checkpoint::{self, CheckpointSource, Schedule},
     clock::Clock,
     endpoint::lock,
     shared::Shared,
@@ -171,9 +171,9 @@
     }
 }
 
-impl<L> Source for Publications<L> {
-    fn covered(&self) -> Option<Offset> {
-        lock(&self.state).replay.last_checkpoint().map(|stamp| stamp.offset)
+impl<L> CheckpointSource for Publications<L> {
+    fn covered_offset(&self) -> Option<Offset> {
+        lock(&self.state).replay.last_checkpoint().map(|position| position.offset)
     }
 
     fn is_urgent(&self) -> bool {
--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -155,5 +155,5 @@
 /// Held by an instance that is proved to be gone, see [`policy::membership::owners`].
 fn is_gone(shared: &Shared, holder: &Owner) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
-    mesh.owner(&holder.instance, holder.incarnation) == OwnerStatus::Gone
+    mesh.owner(&holder.instance, holder.incarnation) == OwnerStatus::Dead
 }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -102,23 +102,23 @@
     match result {
         // Such an answer is no proof that nothing ran, and none that it did.
         Ok(Answer::Whole(whole)) if whole.status == 429 || whole.status >= 500 => {
-            claim.unknown();
+            claim.mark_unknown();
             Ok(Answer::Whole(whole))
         }
         Ok(Answer::Whole(whole)) => {
-            claim.done(kept(&whole));
+            claim.complete(kept(&whole));
             Ok(Answer::Whole(whole))
         }
         Ok(stream) => {
-            claim.unknown();
+            claim.mark_unknown();
             Ok(stream)
         }
         Err(e) if e.ran == RunStatus::No => {
-            let ran = claim.not_run();
+            let ran = claim.abandon();
             Err(CallError { ran, ..e })
         }
         Err(e) => {
-            claim.unknown();
+            claim.mark_unknown();
             Err(CallError { ran: RunStatus::Unknown, ..e })
         }
     }
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -120,7 +120,7 @@
         let before = std::mem::replace(&mut self.sent, true);
         self.attempts += 1;
         let claim = self.admitted.claim.as_deref();
-        let may_send = || claim.is_none_or(RunClaim::begin_sending);
+        let may_send = || claim.is_none_or(RunClaim::try_begin_sending);
         match HttpService::new(endpoint.place.address).call_if(call, may_send).await {
             Ok(answer) => {
                 let leaving = answer.leaving;
@@ -148,7 +148,10 @@
         };
         let mut headers = target.headers.clone();
         if let Some(claim) = &self.admitted.claim {
-            headers.push(Header { name: FENCING.to_owned(), value: claim.fencing().to_string() });
+            headers.push(Header {
+                name: FENCING.to_owned(),
+                value: claim.fencing_number().to_string(),
+            });
         }
         ServiceCall {
             method: target.method,
--- a/crates/daemon/src/ledger/claim.rs
+++ b/crates/daemon/src/ledger/claim.rs
@@ -8,11 +8,11 @@
 };
 use protocols::log::Log;
 
-use super::{Ledger, wake};
+use super::{Ledger, wake_all};
 use crate::endpoint::lock;
 
-/// The right to run one call. It ends by [`RunClaim::done`], [`RunClaim::unknown`] or
-/// [`RunClaim::not_run`]; dropping it tells the others what can still be told truthfully.
+/// The right to run one call. It ends by [`RunClaim::complete`], [`RunClaim::mark_unknown`] or
+/// [`RunClaim::abandon`]; dropping it tells the others what can still be told truthfully.
 pub struct RunClaim<L: Log> {
     ledger: Option<Ledger<L>>,
     key: CallKey,
@@ -30,31 +30,31 @@
     }
 
     /// The claim's place in the stream, for endpoints that check fencing numbers.
-    pub fn fencing(&self) -> Offset {
+    pub fn fencing_number(&self) -> Offset {
         let ledger = self.ledger.as_ref();
-        ledger.map_or(Offset(0), |ledger| lock(&ledger.core.state).fencing(&self.key))
+        ledger.map_or(Offset(0), |ledger| lock(&ledger.core.state).fencing_number(&self.key))
     }
 
     /// Asks for the right to send the first byte, right before it is sent. It is
     /// asked for once a connection stands, because a refused one proves that nothing was sent.
-    pub fn begin_sending(&self) -> bool {
+    pub fn try_begin_sending(&self) -> bool {
         let Some(ledger) = &self.ledger else { return false };
         let now = ledger.core.clock.now();
-        lock(&ledger.core.state).begin_sending(&self.key, now)
+        lock(&ledger.core.state).try_begin_sending(&self.key, now)
     }
 
     /// The call ran and was answered.
-    pub fn done(mut self, answer: Answer) {
-        self.end(|key, claim| Entry::Done { key, claim, answer });
+    pub fn complete(mut self, answer: Answer) {
+        self.finish(|key, claim| Entry::Done { key, claim, answer });
     }
 
     /// Something was sent and no whole answer came.
-    pub fn unknown(mut self) {
-        self.end(|key, claim| Entry::Unknown { key, claim });
+    pub fn mark_unknown(mut self) {
+        self.finish(|key, claim| Entry::Unknown { key, claim });
     }
 
     /// Gives the call up. What the caller may be told of it.
-    pub fn not_run(mut self) -> RunStatus {
+    pub fn abandon(mut self) -> RunStatus {
         match self.give_up() {
             Some(AbandonOutcome::NotRun) => RunStatus::No,
             _ => RunStatus::Unknown,
@@ -62,7 +62,7 @@
     }
 
     /// The claim has ended without this handle.
-    pub(super) fn forget(mut self) {
+    pub(super) fn disarm(mut self) {
         self.ledger = None;
     }
 
@@ -70,15 +70,15 @@
         let ledger = self.ledger.take()?;
         let now = ledger.core.clock.now();
         let (given_up, waiters) = lock(&ledger.core.state).give_up(&self.key, now);
-        wake(&waiters);
-        ledger.core.wake.try_send(()).ok();
+        wake_all(&waiters);
+        ledger.core.wake_tx.try_send(()).ok();
         Some(given_up)
     }
 
-    fn end(&mut self, entry: impl FnOnce(CallKey, policy::ledger::ClaimId) -> Entry) {
+    fn finish(&mut self, entry: impl FnOnce(CallKey, policy::ledger::ClaimId) -> Entry) {
         let Some(ledger) = self.ledger.take() else { return };
-        lock(&ledger.core.state).end(&self.key, entry);
-        ledger.core.wake.try_send(()).ok();
+        lock(&ledger.core.state).finish(&self.key, entry);
+        ledger.core.wake_tx.try_send(()).ok();
     }
 }
 
--- a/crates/daemon/src/ledger/decide.rs
+++ b/crates/daemon/src/ledger/decide.rs
@@ -6,8 +6,8 @@
 use super::{ClaimOutcome, ClaimRequest};
 
 /// What a call does next.
-pub(super) enum Next {
-    Ended(Ended),
+pub(super) enum NextStep {
+    Finish(OutcomeWithoutRun),
     /// Another call with its key is under way.
     Wait(Receiver<()>),
     /// The stream hasn't been read to its end yet.
@@ -17,7 +17,7 @@
 }
 
 /// How a call ends without running.
-pub(super) enum Ended {
+pub(super) enum OutcomeWithoutRun {
     Answer(Answer),
     Unknown,
     BodyDiffers,
@@ -29,50 +29,54 @@
     KeyFromTheFuture,
 }
 
-impl<L: protocols::log::Log> From<Ended> for ClaimOutcome<L> {
-    fn from(ended: Ended) -> Self {
+impl<L: protocols::log::Log> From<OutcomeWithoutRun> for ClaimOutcome<L> {
+    fn from(ended: OutcomeWithoutRun) -> Self {
         match ended {
-            Ended::Answer(answer) => ClaimOutcome::Answer(answer),
-            Ended::Unknown => ClaimOutcome::Unknown,
-            Ended::BodyDiffers => ClaimOutcome::BodyDiffers,
-            Ended::NotRun => ClaimOutcome::NotRun,
-            Ended::LogDown => ClaimOutcome::LogDown,
-            Ended::Behind => ClaimOutcome::Behind,
-            Ended::Full => ClaimOutcome::Full,
-            Ended::KeyTooOld => ClaimOutcome::KeyTooOld,
-            Ended::KeyFromTheFuture => ClaimOutcome::KeyFromTheFuture,
+            OutcomeWithoutRun::Answer(answer) => ClaimOutcome::Answer(answer),
+            OutcomeWithoutRun::Unknown => ClaimOutcome::Unknown,
+            OutcomeWithoutRun::BodyDiffers => ClaimOutcome::BodyDiffers,
+            OutcomeWithoutRun::NotRun => ClaimOutcome::NotRun,
+            OutcomeWithoutRun::LogDown => ClaimOutcome::LogDown,
+            OutcomeWithoutRun::Behind => ClaimOutcome::Behind,
+            OutcomeWithoutRun::Full => ClaimOutcome::Full,
+            OutcomeWithoutRun::KeyTooOld => ClaimOutcome::KeyTooOld,
+            OutcomeWithoutRun::KeyFromTheFuture => ClaimOutcome::KeyFromTheFuture,
         }
     }
 }
 
 /// What a known key means for a call.
-pub(super) enum Judged {
+pub(super) enum KeyDecision {
     Claim(u32),
     Wait,
-    Ended(Ended),
+    Finish(OutcomeWithoutRun),
 }
 
 /// Judges a call by what its key's stream says.
-pub(super) fn judge(
+pub(super) fn decide_by_key_state(
     key_state: &KeyState,
     ledger: &Ledger,
     req: &ClaimRequest,
     waited: bool,
-) -> Judged {
+) -> KeyDecision {
     if key_state.fingerprint != req.fingerprint {
-        return Judged::Ended(Ended::BodyDiffers);
+        return KeyDecision::Finish(OutcomeWithoutRun::BodyDiffers);
     }
     if let Phase::Done(answer) = &key_state.phase {
-        return Judged::Ended(Ended::Answer(answer.clone()));
+        return KeyDecision::Finish(OutcomeWithoutRun::Answer(answer.clone()));
     }
     if let Some(attempt) = key_state.next_attempt(req.deduplicates, ledger.now_ms()) {
         // A caller of this key has heard "not run", and only a call that came after that may make
         // it untrue.
         let spent = waited && key_state.phase == Phase::NotRun;
-        return if spent { Judged::Ended(Ended::NotRun) } else { Judged::Claim(attempt) };
+        return if spent {
+            KeyDecision::Finish(OutcomeWithoutRun::NotRun)
+        } else {
+            KeyDecision::Claim(attempt)
+        };
     }
     match key_state.phase {
-        Phase::Unknown => Judged::Ended(Ended::Unknown),
-        _ => Judged::Wait,
+        Phase::Unknown => KeyDecision::Finish(OutcomeWithoutRun::Unknown),
+        _ => KeyDecision::Wait,
     }
 }
--- a/crates/daemon/src/ledger/mod.rs
+++ b/crates/daemon/src/ledger/mod.rs
@@ -4,10 +4,11 @@
 //! for. One append carries every claim that came while the last append was under way, because the
 //! log takes a few hundred appends a second. `docs/decisions/ledger.md` has the measurements.
 
+mod append_rate;
 mod claim;
 mod decide;
 mod outbox;
-mod pace;
+
 mod reader;
 mod state;
 mod writer;
@@ -29,7 +30,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 pub use claim::RunClaim;
-use decide::Next;
+use decide::NextStep;
 use state::State;
 
 use crate::{clock::Clock, endpoint::lock};
@@ -95,8 +96,8 @@
     clock: Clock,
     state: Mutex<State>,
     /// Tells the writer that there is something to append.
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_tx: Sender<()>,
+    wake_rx: Receiver<()>,
 }
 
 /// A call that wants to run.
@@ -158,9 +159,9 @@
 impl<L: Log + 'static> Ledger<L> {
     /// A ledger that has read nothing yet. [`Ledger::run`] has to be polled for it to do anything.
     pub fn new(log: L, cfg: LedgerConfig, writer: Writer, clock: Clock) -> Self {
-        let (wake, woken) = bounded(1);
+        let (wake_tx, wake_rx) = bounded(1);
         let state = Mutex::new(State::new(writer, cfg.window));
-        Ledger { core: Arc::new(Core { log, cfg, clock, state, wake, woken }) }
+        Ledger { core: Arc::new(Core { log, cfg, clock, state, wake_tx, wake_rx }) }
     }
 
     /// Reads, appends and writes checkpoints for as long as it is polled.
@@ -178,8 +179,8 @@
     }
 
     /// How many calls wait for the log or for another call with their key.
-    pub fn waiting(&self) -> usize {
-        lock(&self.core.state).waiting()
+    pub fn waiting_calls(&self) -> usize {
+        lock(&self.core.state).waiting_calls()
     }
 
     /// Whether the log has taken all that this instance had to say.
@@ -199,8 +200,8 @@
     }
 
     /// How many keys are remembered.
-    pub fn keys(&self) -> usize {
-        lock(&self.core.state).keys()
+    pub fn key_count(&self) -> usize {
+        lock(&self.core.state).key_count()
     }
 
     /// Claims the right to run a call, or finds out what became of it. Ends by the deadline.
@@ -208,36 +209,36 @@
         let mut waited = false;
         loop {
             let now = self.core.clock.now();
-            let next = lock(&self.core.state).next(&req, waited, now);
+            let next = lock(&self.core.state).next_step(&req, waited, now);
             let changed = match next {
-                Next::Ended(outcome) => return outcome.into(),
-                Next::Read(changed) => {
-                    if !self.until(req.deadline, changed.recv()).await {
+                NextStep::Finish(outcome) => return outcome.into(),
+                NextStep::Read(changed) => {
+                    if !self.completes_by(req.deadline, changed.recv()).await {
                         return ClaimOutcome::Unknown;
                     }
                     continue;
                 }
-                Next::Wait(changed) => {
-                    if !self.until(req.deadline, changed.recv()).await {
+                NextStep::Wait(changed) => {
+                    if !self.completes_by(req.deadline, changed.recv()).await {
                         return ClaimOutcome::Unknown;
                     }
                     waited = true;
                     continue;
                 }
-                Next::Claim(changed) => changed,
+                NextStep::Claim(changed) => changed,
             };
-            self.core.wake.try_send(()).ok();
+            self.core.wake_tx.try_send(()).ok();
             // Dropped with this future when the caller hangs up, which gives the claim up.
             let claim = RunClaim::new(self.clone(), req.key.clone());
-            match self.wait_for_own(&req, &changed).await {
-                Own::Won => return ClaimOutcome::Run(claim),
-                Own::Lost => claim.forget(),
-                Own::AbandonOutcome => {
-                    claim.forget();
+            match self.wait_for_claim(&req, &changed).await {
+                ClaimResult::Won => return ClaimOutcome::Run(claim),
+                ClaimResult::Lost => claim.disarm(),
+                ClaimResult::Abandoned => {
+                    claim.disarm();
                     return ClaimOutcome::Unknown;
                 }
-                Own::NotAppended => {
-                    claim.forget();
+                ClaimResult::NotAppended => {
+                    claim.disarm();
                     return ClaimOutcome::LogDown;
                 }
             }
@@ -245,12 +246,12 @@
         }
     }
 
-    async fn wait_for_own(&self, req: &ClaimRequest, changed: &Receiver<()>) -> Own {
+    async fn wait_for_claim(&self, req: &ClaimRequest, changed: &Receiver<()>) -> ClaimResult {
         loop {
-            let in_time = self.until(req.deadline, changed.recv()).await;
+            let in_time = self.completes_by(req.deadline, changed.recv()).await;
             let now = self.core.clock.now();
-            let step = lock(&self.core.state).own_step(&req.key, in_time, now);
-            self.core.wake.try_send(()).ok();
+            let step = lock(&self.core.state).own_claim_result(&req.key, in_time, now);
+            self.core.wake_tx.try_send(()).ok();
             if let Some(own) = step {
                 return own;
             }
@@ -258,7 +259,7 @@
     }
 
     /// Waits for `event`; whether it came by `deadline`.
-    async fn until<T>(&self, deadline: Time, event: impl Future<Output = T>) -> bool {
+    async fn completes_by<T>(&self, deadline: Time, event: impl Future<Output = T>) -> bool {
         let event = async {
             event.await;
             true
@@ -271,7 +272,7 @@
     }
 }
 
-fn wake(waiters: &[Sender<()>]) {
+fn wake_all(waiters: &[Sender<()>]) {
     for waiter in waiters {
         // A waiter that was woken already needs no second call.
         waiter.try_send(()).ok();
@@ -279,11 +280,11 @@
 }
 
 /// What became of an own claim.
-enum Own {
+enum ClaimResult {
     Won,
     Lost,
     /// Given up while it may stand in the log.
-    AbandonOutcome,
+    Abandoned,
     /// The log took no appends, and this one certainly not.
     NotAppended,
 }
--- a/crates/daemon/src/ledger/outbox.rs
+++ b/crates/daemon/src/ledger/outbox.rs
@@ -11,7 +11,7 @@
 use super::state::{State, is_claim_of};
 
 /// The most entries of one append. A claim takes about 300 bytes.
-const MAX_BATCH: usize = 1_000;
+const MAX_BATCH_ENTRIES: usize = 1_000;
 
 /// How an append failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,14 +21,14 @@
     /// Nothing was appended.
     Refused,
     /// It may have been appended.
-    Doubtful,
+    Ambiguous,
 }
 
 /// A batch whose append is under way.
 pub(super) struct InFlight {
     pub(super) batch: Batch,
     /// Whether one of its appends got no answer, so that it may stand in the log.
-    doubtful: bool,
+    maybe_appended: bool,
 }
 
 impl State {
@@ -38,22 +38,22 @@
         if let Some(in_flight) = &self.in_flight {
             return Some(in_flight.batch.clone());
         }
-        let failing = self.failing_since.is_some() || self.busy_since.is_some();
+        let failing = self.appends_failing_since.is_some() || self.busy_since.is_some();
         if self.queue.is_empty() && !failing {
             return None;
         }
-        let rest = self.queue.split_off(self.queue.len().min(MAX_BATCH));
+        let rest = self.queue.split_off(self.queue.len().min(MAX_BATCH_ENTRIES));
         let entries = mem::replace(&mut self.queue, rest);
         self.sequence += 1;
         for (index, entry) in (0..).zip(&entries) {
             if let Entry::Claim(claim) = entry
-                && let Some(call) = self.own.get_mut(&claim.key)
+                && let Some(call) = self.own_calls.get_mut(&claim.key)
             {
                 call.id = Some(ClaimId { sequence: self.sequence, index });
             }
         }
         let batch = Batch { writer: self.writer.clone(), sequence: self.sequence, entries };
-        self.in_flight = Some(InFlight { batch: batch.clone(), doubtful: false });
+        self.in_flight = Some(InFlight { batch: batch.clone(), maybe_appended: false });
         Some(batch)
     }
 
@@ -68,7 +68,7 @@
             self.in_flight = None;
         }
         self.record_stream_end(Offset(offset.0 + 1));
-        (self.failing_since, self.busy_since) = (None, None);
+        (self.appends_failing_since, self.busy_since) = (None, None);
     }
 
     /// An append failed. Gives those whose calls are refused because the log has failed for too
@@ -76,22 +76,22 @@
     pub(super) fn append_failed(&mut self, failure: AppendFailure, now: Time) -> Vec<Sender<()>> {
         match failure {
             AppendFailure::Busy => self.busy_since.get_or_insert(now),
-            _ => self.failing_since.get_or_insert(now),
+            _ => self.appends_failing_since.get_or_insert(now),
         };
         if let Some(in_flight) = &mut self.in_flight {
-            in_flight.doubtful |= failure == AppendFailure::Doubtful;
+            in_flight.maybe_appended |= failure == AppendFailure::Ambiguous;
         }
         if !self.is_down(now) {
             return Vec::new();
         }
-        self.dissolve();
-        self.refuse_waiting(now)
+        self.withdraw_batch();
+        self.refuse_waiting_claims(now)
     }
 
     /// Takes back a batch that certainly isn't in the log. Its number isn't used again: a mark that
     /// names a claim of it would otherwise name another one.
-    fn dissolve(&mut self) {
-        let Some(in_flight) = self.in_flight.take_if(|in_flight| !in_flight.doubtful) else {
+    fn withdraw_batch(&mut self) {
+        let Some(in_flight) = self.in_flight.take_if(|in_flight| !in_flight.maybe_appended) else {
             return;
         };
         let sequence = in_flight.batch.sequence;
@@ -99,27 +99,27 @@
         for (index, entry) in (0..).zip(in_flight.batch.entries) {
             let id = ClaimId { sequence, index };
             if let Entry::Claim(claim) = &entry {
-                let own = self.own.get_mut(&claim.key).filter(|call| call.id == Some(id));
+                let call = self.own_calls.get_mut(&claim.key).filter(|call| call.id == Some(id));
                 // A call that was given up in the meantime must not be claimed after all.
-                let Some(call) = own else { continue };
+                let Some(call) = call else { continue };
                 call.id = None;
             }
             entries.push(entry);
         }
         // Nobody has seen the claims, so nobody needs to hear that they were given up.
-        self.queue.retain(|entry| !names_batch(entry, sequence));
+        self.queue.retain(|entry| !refers_to_batch(entry, sequence));
         entries.append(&mut self.queue);
         self.queue = entries;
     }
 
     /// Lets go of the claims that wait for a log that is down. What is being appended just now is
     /// left to the append's own end.
-    pub(super) fn refuse_waiting(&mut self, now: Time) -> Vec<Sender<()>> {
-        let appending = self.in_flight.as_ref().filter(|in_flight| !in_flight.doubtful);
+    pub(super) fn refuse_waiting_claims(&mut self, now: Time) -> Vec<Sender<()>> {
+        let appending = self.in_flight.as_ref().filter(|in_flight| !in_flight.maybe_appended);
         let appending = appending.map(|in_flight| in_flight.batch.sequence);
-        let waiting = self.own.iter().filter(|(_, call)| {
+        let waiting = self.own_calls.iter().filter(|(_, call)| {
             let sequence = call.id.map(|id| id.sequence);
-            call.claimant.step() == ClaimantState::Waiting
+            call.claimant.state() == ClaimantState::Waiting
                 && (sequence.is_none() || sequence != appending)
         });
         let keys: Vec<_> = waiting.map(|(key, call)| (key.clone(), call.id.is_some())).collect();
@@ -131,7 +131,7 @@
                 continue;
             }
             self.queue.retain(|entry| !is_claim_of(entry, &key));
-            if let Some(call) = self.own.get_mut(&key) {
+            if let Some(call) = self.own_calls.get_mut(&key) {
                 call.refused = true;
             }
             waiters.extend(self.waiters.remove(&key).unwrap_or_default());
@@ -141,7 +141,7 @@
 }
 
 /// Whether an entry is the mark of a claim in the batch `sequence`.
-fn names_batch(entry: &Entry, sequence: u64) -> bool {
+fn refers_to_batch(entry: &Entry, sequence: u64) -> bool {
     match entry {
         Entry::Claim(_) => false,
         Entry::NotRun { claim, .. } | Entry::Done { claim, .. } | Entry::Unknown { claim, .. } => {
--- a/crates/daemon/src/ledger/reader.rs
+++ b/crates/daemon/src/ledger/reader.rs
@@ -5,16 +5,16 @@
 use protocols::log::Log;
 use smol::Timer;
 
-use super::{Core, wake};
+use super::{Core, wake_all};
 use crate::endpoint::lock;
 
 /// Records in one read. A page of large answers stays below the client's limit of 16 MB.
-const PAGE: usize = 200;
+const MAX_PAGE_RECORDS: usize = 200;
 /// How long a read waits for a record. A connection that went silent is noticed a second after,
 /// which has to be well within a caller's deadline.
-const WAIT: Duration = Duration::from_millis(500);
+const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
 /// Time between reads while the log can't be read.
-const RETRY: Duration = Duration::from_millis(100);
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn run<L: Log>(core: &Core<L>) {
     loop {
@@ -23,17 +23,17 @@
             (state.next_offset(), state.reached_end())
         };
         // At the start it has to be known at once where the stream ends.
-        let wait = if at_end { WAIT } else { Duration::ZERO };
-        match core.log.read(&core.cfg.stream, from, PAGE, wait).await {
+        let wait = if at_end { LONG_POLL_WAIT } else { Duration::ZERO };
+        match core.log.read(&core.cfg.stream, from, MAX_PAGE_RECORDS, wait).await {
             Ok(page) => {
-                let waiters = lock(&core.state).accept(&page);
-                wake(&waiters);
+                let waiters = lock(&core.state).apply_page(&page);
+                wake_all(&waiters);
             }
             Err(e) => {
                 let waiters = lock(&core.state).read_failed(core.clock.now());
-                wake(&waiters);
+                wake_all(&waiters);
                 log::debug!(stream = core.cfg.stream.as_str(), error:% = e; "ledger_read_failed");
-                Timer::after(RETRY).await;
+                Timer::after(READ_RETRY_INTERVAL).await;
             }
         }
     }
--- a/crates/daemon/src/ledger/state.rs
+++ b/crates/daemon/src/ledger/state.rs
@@ -14,24 +14,24 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use super::{
-    ClaimRequest, Own,
-    decide::{Ended, Judged, Next, judge},
+    ClaimRequest, ClaimResult,
+    decide::{KeyDecision, NextStep, OutcomeWithoutRun, decide_by_key_state},
     outbox::InFlight,
 };
 use crate::clock;
 
 /// The most claims that wait for an append. At 20 appends a second, the slowest pace, a hundred
 /// thousand would wait for longer than any caller does.
-const MAX_WAITING: usize = 10_000;
+const MAX_WAITING_CLAIMS: usize = 10_000;
 /// The most keys of one stream. A key takes about 400 bytes besides its answer; a caller that makes
 /// up keys without end would otherwise fill the memory of every instance for a whole window.
 const MAX_KEYS: usize = 1_000_000;
 /// How long appends may fail before new claims are refused at once. Long enough for a single lost
 /// connection, short enough that callers hear of an outage at once.
-const PATIENCE: Duration = Duration::from_millis(400);
+const FAILURE_GRACE_PERIOD: Duration = Duration::from_millis(400);
 /// How long the log may be busy before new claims are refused. Its limit is over a second, so that
 /// a full one passes within that, and the paces settle within the next.
-const BUSY_PATIENCE: Duration = Duration::from_millis(2_500);
+const BUSY_GRACE_PERIOD: Duration = Duration::from_millis(2_500);
 
 /// One own call between its claim and its end.
 pub(super) struct OwnCall {
@@ -50,10 +50,10 @@
     pub(super) reached_end: bool,
     /// One past the last record that any witness knows of.
     pub(super) known_end: Offset,
-    pub(super) failing_since: Option<Time>,
+    pub(super) appends_failing_since: Option<Time>,
     pub(super) busy_since: Option<Time>,
-    pub(super) unread_since: Option<Time>,
-    pub(super) own: HashMap<CallKey, OwnCall>,
+    pub(super) reads_failing_since: Option<Time>,
+    pub(super) own_calls: HashMap<CallKey, OwnCall>,
     /// Answers of own calls that don't stand in the log yet.
     pub(super) answers: HashMap<CallKey, (Fingerprint, Answer)>,
     pub(super) queue: Vec<Entry>,
@@ -70,10 +70,10 @@
             replay: Replay::new(RetentionWindow(window)),
             reached_end: false,
             known_end: Offset(0),
-            failing_since: None,
+            appends_failing_since: None,
             busy_since: None,
-            unread_since: None,
-            own: HashMap::new(),
+            reads_failing_since: None,
+            own_calls: HashMap::new(),
             answers: HashMap::new(),
             queue: Vec::new(),
             sequence: 0,
@@ -90,11 +90,11 @@
         self.known_end = self.known_end.max(next);
     }
 
-    pub(super) fn keys(&self) -> usize {
+    pub(super) fn key_count(&self) -> usize {
         self.replay.state().map_or(0, Ledger::len)
     }
 
-    pub(super) fn waiting(&self) -> usize {
+    pub(super) fn waiting_calls(&self) -> usize {
         let open = |waiters: &Vec<Sender<()>>| waiters.iter().filter(|tx| !tx.is_closed()).count();
         self.waiters.values().map(open).sum()
     }
@@ -112,55 +112,55 @@
     /// Whether appends or reads have failed for longer than a refusal by rate takes. Without
     /// reads no claim can be known as won.
     pub(super) fn is_down(&self, now: Time) -> bool {
-        let failing = [self.failing_since, self.unread_since];
-        let busy = self.busy_since.is_some_and(|since| now.since(since) > BUSY_PATIENCE);
-        busy || failing.into_iter().flatten().any(|since| now.since(since) > PATIENCE)
+        let failing = [self.appends_failing_since, self.reads_failing_since];
+        let busy = self.busy_since.is_some_and(|since| now.since(since) > BUSY_GRACE_PERIOD);
+        busy || failing.into_iter().flatten().any(|since| now.since(since) > FAILURE_GRACE_PERIOD)
     }
 
     /// Decides what a call does next. `waited` says that it came before what it finds now.
-    pub(super) fn next(&mut self, req: &ClaimRequest, waited: bool, now: Time) -> Next {
-        match req.key.time(self.window, clock::wall_ms()) {
-            KeyAge::TooOld => return Next::Ended(Ended::KeyTooOld),
-            KeyAge::FromTheFuture => return Next::Ended(Ended::KeyFromTheFuture),
+    pub(super) fn next_step(&mut self, req: &ClaimRequest, waited: bool, now: Time) -> NextStep {
+        match req.key.check_age(self.window, clock::wall_ms()) {
+            KeyAge::TooOld => return NextStep::Finish(OutcomeWithoutRun::KeyTooOld),
+            KeyAge::FromTheFuture => return NextStep::Finish(OutcomeWithoutRun::KeyFromTheFuture),
             KeyAge::Usable => {}
         }
         if let Some((fingerprint, answer)) = self.answers.get(&req.key) {
-            return Next::Ended(match *fingerprint == req.fingerprint {
-                true => Ended::Answer(answer.clone()),
-                false => Ended::BodyDiffers,
+            return NextStep::Finish(match *fingerprint == req.fingerprint {
+                true => OutcomeWithoutRun::Answer(answer.clone()),
+                false => OutcomeWithoutRun::BodyDiffers,
             });
         }
         let Some(ledger) = self.replay.state().filter(|_| self.reached_end) else {
             return match self.is_down(now) {
-                true => Next::Ended(Ended::Behind),
-                false => Next::Read(self.wait(&req.key)),
+                true => NextStep::Finish(OutcomeWithoutRun::Behind),
+                false => NextStep::Read(self.add_waiter(&req.key)),
             };
         };
         let attempt = match ledger.key_state(&req.key) {
             None => 1,
-            Some(key_state) => match judge(key_state, ledger, req, waited) {
-                Judged::Claim(attempt) => attempt,
-                Judged::Wait => return Next::Wait(self.wait(&req.key)),
-                Judged::Ended(ended) => return Next::Ended(ended),
+            Some(key_state) => match decide_by_key_state(key_state, ledger, req, waited) {
+                KeyDecision::Claim(attempt) => attempt,
+                KeyDecision::Wait => return NextStep::Wait(self.add_waiter(&req.key)),
+                KeyDecision::Finish(outcome) => return NextStep::Finish(outcome),
             },
         };
-        if let Some(own) = self.own.get(&req.key) {
-            if own.claim.fingerprint != req.fingerprint {
-                return Next::Ended(Ended::BodyDiffers);
+        if let Some(call) = self.own_calls.get(&req.key) {
+            if call.claim.fingerprint != req.fingerprint {
+                return NextStep::Finish(OutcomeWithoutRun::BodyDiffers);
             }
-            return match own.refused {
-                true => Next::Ended(self.refusal()),
-                false => Next::Wait(self.wait(&req.key)),
+            return match call.refused {
+                true => NextStep::Finish(self.unavailable_outcome()),
+                false => NextStep::Wait(self.add_waiter(&req.key)),
             };
         }
         if self.is_down(now) {
-            return Next::Ended(self.refusal());
+            return NextStep::Finish(self.unavailable_outcome());
         }
-        if self.own.len() >= MAX_WAITING || self.keys() >= MAX_KEYS {
-            return Next::Ended(Ended::Full);
+        if self.own_calls.len() >= MAX_WAITING_CLAIMS || self.key_count() >= MAX_KEYS {
+            return NextStep::Finish(OutcomeWithoutRun::Full);
         }
-        self.put(req, attempt, now);
-        Next::Claim(self.wait(&req.key))
+        self.enqueue_claim(req, attempt, now);
+        NextStep::Claim(self.add_waiter(&req.key))
     }
 
     /// What a call hears that can't be claimed while the log is down.
@@ -168,14 +168,14 @@
     /// Guards against a false "not run" for a call that was sent before to another instance, which
     /// claimed it and ran it: where any witness knows of records that aren't folded here, nothing
     /// is said about an unknown key.
-    fn refusal(&self) -> Ended {
+    fn unavailable_outcome(&self) -> OutcomeWithoutRun {
         match self.known_end > self.replay.next() {
-            true => Ended::Behind,
-            false => Ended::LogDown,
+            true => OutcomeWithoutRun::Behind,
+            false => OutcomeWithoutRun::LogDown,
         }
     }
 
-    fn put(&mut self, req: &ClaimRequest, attempt: u32, now: Time) {
+    fn enqueue_claim(&mut self, req: &ClaimRequest, attempt: u32, now: Time) {
         let patience = req.deadline.since(now);
         let claim = Claim {
             key: req.key.clone(),
@@ -186,10 +186,11 @@
         };
         self.queue.push(Entry::Claim(claim.clone()));
         let claimant = Claimant::new(req.deadline, req.deduplicates);
-        self.own.insert(req.key.clone(), OwnCall { claim, id: None, claimant, refused: false });
+        self.own_calls
+            .insert(req.key.clone(), OwnCall { claim, id: None, claimant, refused: false });
     }
 
-    fn wait(&mut self, key: &CallKey) -> Receiver<()> {
+    fn add_waiter(&mut self, key: &CallKey) -> Receiver<()> {
         let (tx, rx) = bounded(1);
         let waiters = self.waiters.entry(key.clone()).or_default();
         waiters.retain(|waiter| !waiter.is_closed());
@@ -198,36 +199,41 @@
     }
 
     /// What became of an own claim; none while it waits. Past its time it is given up.
-    pub(super) fn own_step(&mut self, key: &CallKey, in_time: bool, now: Time) -> Option<Own> {
-        let Some(call) = self.own.get(key) else { return Some(Own::AbandonOutcome) };
+    pub(super) fn own_claim_result(
+        &mut self,
+        key: &CallKey,
+        in_time: bool,
+        now: Time,
+    ) -> Option<ClaimResult> {
+        let Some(call) = self.own_calls.get(key) else { return Some(ClaimResult::Abandoned) };
         let refused = call.refused;
-        match call.claimant.step() {
-            ClaimantState::Won => Some(Own::Won),
+        match call.claimant.state() {
+            ClaimantState::Won => Some(ClaimResult::Won),
             ClaimantState::Lost => {
-                self.own.remove(key);
-                Some(Own::Lost)
+                self.own_calls.remove(key);
+                Some(ClaimResult::Lost)
             }
             ClaimantState::Waiting if refused => {
-                self.own.remove(key);
-                match self.refusal() {
-                    Ended::LogDown => Some(Own::NotAppended),
-                    _ => Some(Own::AbandonOutcome),
+                self.own_calls.remove(key);
+                match self.unavailable_outcome() {
+                    OutcomeWithoutRun::LogDown => Some(ClaimResult::NotAppended),
+                    _ => Some(ClaimResult::Abandoned),
                 }
             }
             ClaimantState::Waiting if in_time => None,
             _ => {
                 let _ = self.give_up(key, now);
-                Some(Own::AbandonOutcome)
+                Some(ClaimResult::Abandoned)
             }
         }
     }
 
-    pub(super) fn fencing(&self, key: &CallKey) -> Offset {
-        self.own.get(key).map_or(Offset(0), |call| call.claimant.fencing())
+    pub(super) fn fencing_number(&self, key: &CallKey) -> Offset {
+        self.own_calls.get(key).map_or(Offset(0), |call| call.claimant.fencing_number())
     }
 
-    pub(super) fn begin_sending(&mut self, key: &CallKey, now: Time) -> bool {
-        self.own.get_mut(key).is_some_and(|call| call.claimant.begin_sending(now))
+    pub(super) fn try_begin_sending(&mut self, key: &CallKey, now: Time) -> bool {
+        self.own_calls.get_mut(key).is_some_and(|call| call.claimant.try_begin_sending(now))
     }
 
     /// Gives an own call up, and tells the others what is true of it.
@@ -236,7 +242,7 @@
         key: &CallKey,
         now: Time,
     ) -> (AbandonOutcome, Vec<Sender<()>>) {
-        let Some(mut call) = self.own.remove(key) else {
+        let Some(mut call) = self.own_calls.remove(key) else {
             return (AbandonOutcome::Unknown, Vec::new());
         };
         let given_up = call.claimant.abandon(now);
@@ -252,8 +258,8 @@
         (given_up, self.waiters.remove(&key).unwrap_or_default())
     }
 
-    pub(super) fn end(&mut self, key: &CallKey, entry: impl FnOnce(CallKey, ClaimId) -> Entry) {
-        let Some(call) = self.own.remove(key) else { return };
+    pub(super) fn finish(&mut self, key: &CallKey, entry: impl FnOnce(CallKey, ClaimId) -> Entry) {
+        let Some(call) = self.own_calls.remove(key) else { return };
         let Some(id) = call.id else { return };
         let entry = entry(key.clone(), id);
         if let Entry::Done { answer, .. } = &entry {
@@ -263,8 +269,8 @@
     }
 
     /// Folds a page. Gives those that wait for what it changed.
-    pub(super) fn accept(&mut self, page: &Page) -> Vec<Sender<()>> {
-        self.unread_since = None;
+    pub(super) fn apply_page(&mut self, page: &Page) -> Vec<Sender<()>> {
+        self.reads_failing_since = None;
         let records = page.records.iter().map(|record| LogRecord {
             offset: record.offset,
             time_ms: record.time_ms,
@@ -279,10 +285,14 @@
             }
         }
         self.forget_stored_answers(&changed);
-        self.observe_own(&mut changed);
-        if self.in_flight.as_ref().is_some_and(|known| known.batch.sequence <= self.folded()) {
+        self.update_own_claims(&mut changed);
+        if self
+            .in_flight
+            .as_ref()
+            .is_some_and(|known| known.batch.sequence <= self.last_folded_sequence())
+        {
             self.in_flight = None;
-            (self.failing_since, self.busy_since) = (None, None);
+            (self.appends_failing_since, self.busy_since) = (None, None);
         }
         changed.iter().flat_map(|key| self.waiters.remove(key).unwrap_or_default()).collect()
     }
@@ -297,30 +307,30 @@
         }
     }
 
-    fn observe_own(&mut self, changed: &mut Vec<CallKey>) {
+    fn update_own_claims(&mut self, changed: &mut Vec<CallKey>) {
         let Some(ledger) = self.replay.state() else { return };
-        for (key, call) in &mut self.own {
+        for (key, call) in &mut self.own_calls {
             let Some(id) = call.id else { continue };
-            if call.claimant.step() == ClaimantState::Waiting {
+            if call.claimant.state() == ClaimantState::Waiting {
                 call.claimant.observe(ledger, &self.writer, &call.claim, id);
-                if call.claimant.step() != ClaimantState::Waiting {
+                if call.claimant.state() != ClaimantState::Waiting {
                     changed.push(key.clone());
                 }
             }
         }
     }
 
-    fn folded(&self) -> u64 {
+    fn last_folded_sequence(&self) -> u64 {
         self.replay.state().map_or(0, |ledger| ledger.sequence(&self.writer))
     }
 
     /// A read failed. Gives those whose calls are refused because of it.
     pub(super) fn read_failed(&mut self, now: Time) -> Vec<Sender<()>> {
-        self.unread_since.get_or_insert(now);
+        self.reads_failing_since.get_or_insert(now);
         if !self.is_down(now) {
             return Vec::new();
         }
-        let mut waiters = self.refuse_waiting(now);
+        let mut waiters = self.refuse_waiting_claims(now);
         if !self.is_complete() {
             // These wait for the first reading, which may not come for minutes.
             waiters.extend(self.waiters.drain().flat_map(|(_, waiters)| waiters));
@@ -340,7 +350,7 @@
 
     /// Up to where the last checkpoint seen in the stream goes.
     pub(super) fn last_checkpoint(&self) -> Option<Offset> {
-        self.replay.last_checkpoint().map(|stamp| stamp.offset)
+        self.replay.last_checkpoint().map(|position| position.offset)
     }
 
     pub(super) fn writer(&self) -> &Writer {
--- a/crates/daemon/src/ledger/writer.rs
+++ b/crates/daemon/src/ledger/writer.rs
@@ -7,52 +7,52 @@
 use protocols::log::{Log, LogError};
 use smol::Timer;
 
-use super::{Core, outbox::AppendFailure, pace::Pace, wake};
+use super::{Core, append_rate::AppendRate, outbox::AppendFailure, wake_all};
 use crate::{
-    checkpoint::{self, Schedule, Source},
+    checkpoint::{self, CheckpointSource, Schedule},
     endpoint::lock,
 };
 
 /// Time between probes of a log that is down.
-const PROBE: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a writer sleeps at most before it looks again whether there is something to append.
-const IDLE: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Appends what waits, one batch at a time.
 pub(super) async fn run<L: Log>(core: &Core<L>) {
-    let mut pace = Pace::new();
+    let mut append_rate = AppendRate::new();
     loop {
         let batch = lock(&core.state).batch();
         let Some(batch) = batch else {
-            let woken = async { core.woken.recv().await.unwrap_or_default() };
-            woken.or(sleep(IDLE)).await;
+            let woken = async { core.wake_rx.recv().await.unwrap_or_default() };
+            woken.or(sleep(IDLE_CHECK_INTERVAL)).await;
             continue;
         };
-        append(core, &batch, &mut pace).await;
+        append(core, &batch, &mut append_rate).await;
         let down = lock(&core.state).is_down(core.clock.now());
-        sleep(if down { PROBE } else { pace.gap() }).await;
+        sleep(if down { PROBE_INTERVAL } else { append_rate.interval() }).await;
     }
 }
 
-async fn append<L: Log>(core: &Core<L>, batch: &Batch, pace: &mut Pace) {
+async fn append<L: Log>(core: &Core<L>, batch: &Batch, append_rate: &mut AppendRate) {
     let Ok(data) = encode::<policy::ledger::Ledger>(batch) else { return };
     let result = core.log.append(&core.cfg.stream, data.into()).await;
     let now = core.clock.now();
     let failure = match result {
         Ok(offset) => {
-            pace.taken();
+            append_rate.record_accepted();
             lock(&core.state).appended(batch.sequence, offset);
             return;
         }
         Err(LogError::Busy) => {
-            pace.refused(now);
+            append_rate.record_refused(now);
             AppendFailure::Busy
         }
         Err(LogError::Refused | LogError::NotSent) => AppendFailure::Refused,
-        Err(LogError::Unknown | LogError::BadAnswer) => AppendFailure::Doubtful,
+        Err(LogError::Unknown | LogError::BadAnswer) => AppendFailure::Ambiguous,
     };
     let waiters = lock(&core.state).append_failed(failure, now);
-    wake(&waiters);
+    wake_all(&waiters);
 }
 
 /// Writes checkpoints.
@@ -63,8 +63,8 @@
     checkpoint::run(&core.log, core.clock, schedule, core).await;
 }
 
-impl<L> Source for Core<L> {
-    fn covered(&self) -> Option<Offset> {
+impl<L> CheckpointSource for Core<L> {
+    fn covered_offset(&self) -> Option<Offset> {
         lock(&self.state).last_checkpoint()
     }
 
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -107,8 +107,8 @@
 
 fn run(node: &Node, key: &str, text: &str) {
     let claim = won(node.claim(key));
-    assert!(claim.begin_sending());
-    claim.done(answer(text));
+    assert!(claim.try_begin_sending());
+    claim.complete(answer(text));
 }
 
 /// A clerk's answer is lost, the clerk sends again, and the balancer picks another instance.
@@ -133,8 +133,8 @@
             let nodes = nodes.clone();
             thread::spawn(move || match nodes[i].claim(&format!("k{round}")) {
                 ClaimOutcome::Run(claim) => {
-                    assert!(claim.begin_sending());
-                    claim.done(answer("x"));
+                    assert!(claim.try_begin_sending());
+                    claim.complete(answer("x"));
                     "run".to_owned()
                 }
                 other => name(&other),
@@ -177,7 +177,7 @@
     let log = LogService::start(LogConfig::default()).unwrap();
     let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
     let claim = won(a.claim("k"));
-    assert!(claim.begin_sending());
+    assert!(claim.try_begin_sending());
     std::mem::forget(claim);
     drop(a);
     let a = node(&log, "a", 2);
@@ -192,11 +192,11 @@
 fn a_call_given_up_before_it_was_sent_may_run_later() {
     let log = LogService::start(LogConfig::default()).unwrap();
     let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    assert_eq!(won(a.claim("k")).not_run(), RunStatus::No);
+    assert_eq!(won(a.claim("k")).abandon(), RunStatus::No);
     until(|| match b.claim_for("k", 1, PATIENCE) {
         ClaimOutcome::Run(claim) => {
-            assert!(claim.begin_sending());
-            claim.done(answer("x"));
+            assert!(claim.try_begin_sending());
+            claim.complete(answer("x"));
             true
         }
         // It had come before the first caller's "not run" stood in the log.
@@ -214,12 +214,12 @@
     let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
     let claim = won(a.claim("k"));
     // The second one knows of the first before it comes.
-    until(|| b.ledger.keys() == 1);
+    until(|| b.ledger.key_count() == 1);
     let b = Arc::new(b);
     let second = b.clone();
     let waiting = thread::spawn(move || name(&second.claim("k")));
-    until(|| b.ledger.waiting() == 1);
-    assert_eq!(claim.not_run(), RunStatus::No);
+    until(|| b.ledger.waiting_calls() == 1);
+    assert_eq!(claim.abandon(), RunStatus::No);
     assert_eq!(waiting.join().unwrap(), "not run");
     run(&b, "k", "x");
 }
@@ -232,7 +232,7 @@
     a.wait_ready();
     let claim = won(a.claim_for("k", 1, Duration::from_millis(500)));
     thread::sleep(Duration::from_millis(600));
-    assert!(!claim.begin_sending());
+    assert!(!claim.try_begin_sending());
 }
 
 /// The log is down: calls are refused at once and truthfully, answers already known are given, and
--- a/crates/policy/src/ledger/claimant.rs
+++ b/crates/policy/src/ledger/claimant.rs
@@ -22,8 +22,8 @@
 /// a task that is about to send can't both have their way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Claimant {
-    step: ClaimantState,
-    offset: Offset,
+    state: ClaimantState,
+    fencing_number: Offset,
     deadline: Time,
     deduplicates: bool,
     maybe_ran: bool,
@@ -43,18 +43,18 @@
 impl Claimant {
     /// A claim that waits; nothing is sent after `deadline`. `deduplicates` as in [`Claim`].
     pub fn new(deadline: Time, deduplicates: bool) -> Self {
-        let (step, offset) = (ClaimantState::Waiting, Offset(0));
-        Claimant { step, offset, deadline, deduplicates, maybe_ran: false }
+        let (state, fencing_number) = (ClaimantState::Waiting, Offset(0));
+        Claimant { state, fencing_number, deadline, deduplicates, maybe_ran: false }
     }
 
     /// How far it has come.
-    pub fn step(&self) -> ClaimantState {
-        self.step
+    pub fn state(&self) -> ClaimantState {
+        self.state
     }
 
     /// The claim's place in the stream once it is won; the fencing number of the call.
-    pub fn fencing(&self) -> Offset {
-        self.offset
+    pub fn fencing_number(&self) -> Offset {
+        self.fencing_number
     }
 
     /// The latest moment at which the first byte may be sent.
@@ -64,18 +64,18 @@
 
     /// Takes note of a ledger that holds the claim's batch, or of a later one.
     pub fn observe(&mut self, ledger: &Ledger, writer: &Writer, claim: &Claim, id: ClaimId) {
-        if self.step != ClaimantState::Waiting || ledger.sequence(writer) < id.sequence {
+        if self.state != ClaimantState::Waiting || ledger.sequence(writer) < id.sequence {
             return;
         }
         match ledger.key_state(&claim.key) {
-            Some(key_state) if holds(key_state, writer, id) => {
-                self.step = ClaimantState::Won;
-                self.offset = key_state.offset;
+            Some(key_state) if is_valid_claim(key_state, writer, id) => {
+                self.state = ClaimantState::Won;
+                self.fencing_number = key_state.offset;
                 self.maybe_ran = key_state.maybe_ran;
             }
             // The batch counts and the claim isn't the valid one, and never will be: a claim is
             // valid from its place in the stream on, or not at all.
-            _ => self.step = ClaimantState::Lost,
+            _ => self.state = ClaimantState::Lost,
         }
     }
 
@@ -87,13 +87,13 @@
     /// past the deadline another instance may have taken over.
     pub fn abandon(&mut self, now: Time) -> AbandonOutcome {
         let taken_over = self.deduplicates && now >= self.deadline;
-        match self.step {
+        match self.state {
             ClaimantState::Sending => return AbandonOutcome::Sending,
             ClaimantState::Won if !self.maybe_ran && !taken_over => {
-                self.step = ClaimantState::Abandoned;
+                self.state = ClaimantState::Abandoned;
                 return AbandonOutcome::NotRun;
             }
-            ClaimantState::Waiting | ClaimantState::Won => self.step = ClaimantState::Abandoned,
+            ClaimantState::Waiting | ClaimantState::Won => self.state = ClaimantState::Abandoned,
             ClaimantState::Lost | ClaimantState::Abandoned => {}
         }
         AbandonOutcome::Unknown
@@ -104,15 +104,15 @@
     /// Guards against a claimant that was paused after it had won: when it wakes, its caller has
     /// long gone, and only the clock read here, after the pause, shows it. A later pause does no
     /// harm, because nobody else can win the claim.
-    pub fn begin_sending(&mut self, now: Time) -> bool {
-        if self.step != ClaimantState::Won || now >= self.deadline {
+    pub fn try_begin_sending(&mut self, now: Time) -> bool {
+        if self.state != ClaimantState::Won || now >= self.deadline {
             return false;
         }
-        self.step = ClaimantState::Sending;
+        self.state = ClaimantState::Sending;
         true
     }
 }
 
-fn holds(key_state: &KeyState, writer: &Writer, id: ClaimId) -> bool {
+fn is_valid_claim(key_state: &KeyState, writer: &Writer, id: ClaimId) -> bool {
     key_state.is_held_by(writer, id) && key_state.phase == Phase::Claimed
 }
--- a/crates/policy/src/ledger/fold.rs
+++ b/crates/policy/src/ledger/fold.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Answer, Batch, CallKey, Claim, ClaimId, Entry, KeyAge, LedgerPart, Writer,
-    key::{CLOCK_SKEW, millis},
+    key::{MAX_CLOCK_SKEW, millis},
     record::hex,
 };
 use crate::{
@@ -18,15 +18,15 @@
 };
 
 /// Keys in one part of a checkpoint. With answers of a few hundred bytes a part is about 100 KB.
-const KEYS_PER_PART: usize = 200;
+const MAX_KEYS_PER_PART: usize = 200;
 /// Answers' bytes in one part of a checkpoint, so that large answers don't make a part too large.
-const BYTES_PER_PART: usize = 256 << 10;
+const MAX_BODY_BYTES_PER_PART: usize = 256 << 10;
 /// How much longer than its own patience a claimant of a call that the endpoint deduplicates is
 /// left alone. It covers the clocks of two machines running apart within one call.
 const TAKEOVER_MARGIN_MS: u64 = 5_000;
 
 /// How often writers that are gone are dropped from memory, in milliseconds of the log's clock.
-const SWEEP_MS: u64 = 60_000;
+const WRITER_SWEEP_INTERVAL_MS: u64 = 60_000;
 
 /// The bytes of answers that are kept in all. Small instances have a few gigabytes; beyond this
 /// the oldest answers' bodies are dropped, and callers that send again hear only that the call ran.
@@ -99,8 +99,8 @@
             // The endpoint itself makes sure that the call takes effect once.
             Phase::Unknown => self.deduplicates && deduplicates,
             Phase::Claimed => {
-                let over = now_ms > self.ends_ms.saturating_add(TAKEOVER_MARGIN_MS);
-                self.deduplicates && deduplicates && over
+                let is_overdue = now_ms > self.ends_ms.saturating_add(TAKEOVER_MARGIN_MS);
+                self.deduplicates && deduplicates && is_overdue
             }
         };
         claimable.then(|| self.attempt.saturating_add(1))
@@ -116,11 +116,11 @@
     expiry: BTreeSet<(u64, CallKey)>,
     /// Keys whose answer has a body, by when they are forgotten.
     bodies: BTreeSet<(u64, CallKey)>,
-    kept_bytes: usize,
+    retained_body_bytes: usize,
     /// Each writer's last batch, and when it came.
     writers: HashMap<Writer, (u64, u64)>,
     now_ms: u64,
-    swept_ms: u64,
+    swept_at_ms: u64,
 }
 
 impl Ledger {
@@ -147,37 +147,37 @@
     /// The last batch of `writer` that counts.
     ///
     /// A writer that was silent for longer than the window counts as new. This is decided here
-    /// and not by when [`Ledger::forget`] last swept, so that all readers decide alike.
+    /// and not by when [`Ledger::expire`] last swept, so that all readers decide alike.
     pub fn sequence(&self, writer: &Writer) -> u64 {
-        let oldest = self.oldest_writer_ms();
+        let oldest = self.writer_expiry_ms();
         let known = self.writers.get(writer).filter(|(_, seen_ms)| *seen_ms >= oldest);
         known.map_or(0, |(sequence, _)| *sequence)
     }
 
-    fn oldest_writer_ms(&self) -> u64 {
-        let kept = millis(self.window.0).saturating_add(millis(CLOCK_SKEW));
+    fn writer_expiry_ms(&self) -> u64 {
+        let kept = millis(self.window.0).saturating_add(millis(MAX_CLOCK_SKEW));
         self.now_ms.saturating_sub(kept)
     }
 
-    fn take(
+    fn apply_entry(
         &mut self,
         entry: Entry,
         writer: &Writer,
         id: ClaimId,
-        stamp: LogPosition,
+        position: LogPosition,
     ) -> Option<CallKey> {
         match entry {
-            Entry::Claim(claim) => self.claim(claim, writer, id, stamp),
+            Entry::Claim(claim) => self.apply_claim(claim, writer, id, position),
             // This attempt didn't run, which says nothing of an earlier one.
             Entry::NotRun { key, claim } => {
-                self.advance(key, writer, claim, |key_state| match key_state.phase {
+                self.transition(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed if key_state.maybe_ran => Some(Phase::Unknown),
                     Phase::Claimed => Some(Phase::NotRun),
                     _ => None,
                 })
             }
             Entry::Unknown { key, claim } => {
-                self.advance(key, writer, claim, |key_state| match key_state.phase {
+                self.transition(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed => Some(Phase::Unknown),
                     _ => None,
                 })
@@ -185,7 +185,7 @@
             // An answer may still come after the claimant has told its caller that the outcome is
             // unknown; it is the first one, and every later caller gets it.
             Entry::Done { key, claim, answer } => {
-                self.advance(key, writer, claim, |key_state| match key_state.phase {
+                self.transition(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed | Phase::Unknown => Some(Phase::Done(answer)),
                     Phase::NotRun | Phase::Done(_) => None,
                 })
@@ -193,21 +193,21 @@
         }
     }
 
-    fn claim(
+    fn apply_claim(
         &mut self,
         claim: Claim,
         writer: &Writer,
         id: ClaimId,
-        stamp: LogPosition,
+        position: LogPosition,
     ) -> Option<CallKey> {
         // A claim that surfaces after its key was forgotten would be taken for the first.
-        if claim.key.time(self.window.0, stamp.time_ms) != KeyAge::Usable {
+        if claim.key.check_age(self.window.0, position.time_ms) != KeyAge::Usable {
             return None;
         }
         let mut maybe_ran = false;
         if let Some(key_state) = self.keys.get(&claim.key) {
             maybe_ran = key_state.maybe_ran || key_state.phase != Phase::NotRun;
-            let next = key_state.next_attempt(claim.deduplicates, stamp.time_ms);
+            let next = key_state.next_attempt(claim.deduplicates, position.time_ms);
             if next != Some(claim.attempt) || key_state.fingerprint != claim.fingerprint {
                 return None;
             }
@@ -216,16 +216,16 @@
             return None;
         }
         let created_at_ms = claim.key.created_at_ms().unwrap_or(0);
-        let expires_ms = created_at_ms.max(stamp.time_ms).saturating_add(millis(self.window.0));
+        let expires_ms = created_at_ms.max(position.time_ms).saturating_add(millis(self.window.0));
         let key_state = KeyState {
             attempt: claim.attempt,
             writer: writer.clone(),
             claim: id,
-            offset: stamp.offset,
+            offset: position.offset,
             fingerprint: claim.fingerprint,
             deduplicates: claim.deduplicates,
             maybe_ran,
-            ends_ms: stamp.time_ms.saturating_add(claim.patience_ms),
+            ends_ms: position.time_ms.saturating_add(claim.patience_ms),
             expires_ms,
             phase: Phase::Claimed,
         };
@@ -235,55 +235,56 @@
     }
 
     /// Moves a key on, which only its present claimant may do.
-    fn advance(
+    fn transition(
         &mut self,
         key: CallKey,
         writer: &Writer,
         claim: ClaimId,
-        step: impl FnOnce(&KeyState) -> Option<Phase>,
+        next_phase: impl FnOnce(&KeyState) -> Option<Phase>,
     ) -> Option<CallKey> {
         let key_state = self.keys.get_mut(&key)?;
         if !key_state.is_held_by(writer, claim) {
             return None;
         }
-        key_state.phase = step(key_state)?;
+        key_state.phase = next_phase(key_state)?;
         let (expires_ms, bytes) = (key_state.expires_ms, key_state.body_bytes());
-        self.keep_body(expires_ms, &key, bytes);
+        self.retain_body(expires_ms, &key, bytes);
         Some(key)
     }
 
     /// Counts a body, and drops the oldest ones where there are too many. All readers drop the
     /// same, because the order follows from the stream.
-    fn keep_body(&mut self, expires_ms: u64, key: &CallKey, bytes: usize) {
+    fn retain_body(&mut self, expires_ms: u64, key: &CallKey, bytes: usize) {
         if bytes == 0 {
             return;
         }
         self.bodies.insert((expires_ms, key.clone()));
-        self.kept_bytes += bytes;
-        while self.kept_bytes > MAX_RETAINED_BODY_BYTES
+        self.retained_body_bytes += bytes;
+        while self.retained_body_bytes > MAX_RETAINED_BODY_BYTES
             && let Some((_, oldest)) = self.bodies.pop_first()
         {
             let Some(key_state) = self.keys.get_mut(&oldest) else { continue };
-            self.kept_bytes = self.kept_bytes.saturating_sub(key_state.body_bytes());
+            self.retained_body_bytes =
+                self.retained_body_bytes.saturating_sub(key_state.body_bytes());
             if let Phase::Done(answer) = &mut key_state.phase {
                 answer.body = None;
             }
         }
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn expire(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
         while let Some((expires_ms, _)) = self.expiry.first()
             && *expires_ms < now_ms
             && let Some(expired) = self.expiry.pop_first()
         {
             let bytes = self.keys.remove(&expired.1).map_or(0, |key_state| key_state.body_bytes());
-            self.kept_bytes = self.kept_bytes.saturating_sub(bytes);
+            self.retained_body_bytes = self.retained_body_bytes.saturating_sub(bytes);
             self.bodies.remove(&expired);
         }
-        if now_ms >= self.swept_ms.saturating_add(SWEEP_MS) {
-            self.swept_ms = now_ms;
-            let oldest = self.oldest_writer_ms();
+        if now_ms >= self.swept_at_ms.saturating_add(WRITER_SWEEP_INTERVAL_MS) {
+            self.swept_at_ms = now_ms;
+            let oldest = self.writer_expiry_ms();
             self.writers.retain(|_, (_, seen_ms)| *seen_ms >= oldest);
         }
     }
@@ -301,10 +302,10 @@
             keys: HashMap::new(),
             expiry: BTreeSet::new(),
             bodies: BTreeSet::new(),
-            kept_bytes: 0,
+            retained_body_bytes: 0,
             writers: HashMap::new(),
             now_ms: 0,
-            swept_ms: 0,
+            swept_at_ms: 0,
         }
     }
 
@@ -318,7 +319,7 @@
                 let (expires_ms, bytes) = (key_state.expires_ms, key_state.body_bytes());
                 ledger.expiry.insert((expires_ms, key.clone()));
                 ledger.keys.insert(key.clone(), key_state);
-                ledger.keep_body(expires_ms, &key, bytes);
+                ledger.retain_body(expires_ms, &key, bytes);
             }
         }
         ledger
@@ -335,7 +336,7 @@
         for (_, key) in &self.expiry {
             let Some(key_state) = self.keys.get(key) else { continue };
             if let Some(last) = parts.last()
-                && (last.keys.len() == KEYS_PER_PART || bytes > BYTES_PER_PART)
+                && (last.keys.len() == MAX_KEYS_PER_PART || bytes > MAX_BODY_BYTES_PER_PART)
             {
                 parts.push(LedgerPart { keys: Vec::new(), writers: Vec::new() });
                 bytes = 0;
@@ -348,18 +349,18 @@
         parts
     }
 
-    fn apply(&mut self, batch: Batch, stamp: LogPosition) -> Vec<CallKey> {
-        self.forget(stamp.time_ms);
+    fn apply(&mut self, batch: Batch, position: LogPosition) -> Vec<CallKey> {
+        self.expire(position.time_ms);
         // Guards against an append that was repeated because its answer was lost, and against one
         // that surfaces after its writer has gone on: both carry a number that is not new.
         if batch.sequence <= self.sequence(&batch.writer) {
             return Vec::new();
         }
-        self.writers.insert(batch.writer.clone(), (batch.sequence, stamp.time_ms));
+        self.writers.insert(batch.writer.clone(), (batch.sequence, position.time_ms));
         let mut changed = Vec::new();
         for (index, entry) in (0..).zip(batch.entries) {
             let id = ClaimId { sequence: batch.sequence, index };
-            changed.extend(self.take(entry, &batch.writer, id, stamp));
+            changed.extend(self.apply_entry(entry, &batch.writer, id, position));
         }
         changed
     }
--- a/crates/policy/src/ledger/key.rs
+++ b/crates/policy/src/ledger/key.rs
@@ -80,13 +80,13 @@
     }
 
     /// Whether the key may still be claimed at `now_ms`, by its own time.
-    pub fn time(&self, window: Duration, now_ms: u64) -> KeyAge {
+    pub fn check_age(&self, window: Duration, now_ms: u64) -> KeyAge {
         let Some(made) = self.created_at_ms() else { return KeyAge::Usable };
         let window = millis(window);
         if made.saturating_add(window) < now_ms {
             return KeyAge::TooOld;
         }
-        if made > now_ms.saturating_add(millis(CLOCK_SKEW)) {
+        if made > now_ms.saturating_add(millis(MAX_CLOCK_SKEW)) {
             return KeyAge::FromTheFuture;
         }
         KeyAge::Usable
@@ -101,7 +101,7 @@
 
 /// How far a caller's clock may run ahead. A key from further ahead would outlive what is
 /// remembered of it, and could then be claimed a second time.
-pub(super) const CLOCK_SKEW: Duration = Duration::from_secs(300);
+pub(super) const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 
 /// Whether a key fits the window in which keys are remembered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/policy/src/membership/member.rs
+++ b/crates/policy/src/membership/member.rs
@@ -9,47 +9,47 @@
 pub(super) struct Member {
     pub(super) incarnation: Incarnation,
     /// When this life was first heard of.
-    pub(super) first_heard: Time,
+    pub(super) first_seen_at: Time,
     /// The last direct sign of life; the first mention, where there was none.
-    pub(super) last_sign: Time,
+    pub(super) last_seen_at: Time,
     /// When a newer life took over the name, for owners of memory.
-    pub(super) replaced: Option<Time>,
+    pub(super) replaced_at: Option<Time>,
     /// Whether the member was ever heard of directly.
-    pub(super) heard: bool,
+    pub(super) seen_directly: bool,
     pub(super) stopped: bool,
     /// When the last read list had it; none where it didn't.
-    pub(super) listed: Option<Time>,
+    pub(super) listed_at: Option<Time>,
     leaving: bool,
     operator_leaving: bool,
     /// When a list without incarnations last had the member as leaving.
-    listed_leaving: Option<Time>,
+    listed_leaving_at: Option<Time>,
 }
 
 impl Member {
     pub(super) fn new(incarnation: Incarnation, now: Time) -> Member {
         Member {
             incarnation,
-            first_heard: now,
-            last_sign: now,
-            replaced: None,
-            heard: false,
+            first_seen_at: now,
+            last_seen_at: now,
+            replaced_at: None,
+            seen_directly: false,
             stopped: false,
-            listed: None,
+            listed_at: None,
             leaving: false,
             operator_leaving: false,
-            listed_leaving: None,
+            listed_leaving_at: None,
         }
     }
 
     /// A newer life voids everything but the operator's mark, which is about the name. Where only
     /// the list was known so far, this is the life that it means.
-    pub(super) fn begin_life(&mut self, incarnation: Incarnation, now: Time) {
+    pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation, now: Time) {
         let known = self.incarnation > Incarnation(0);
         *self = Member {
-            replaced: if known { Some(now) } else { self.replaced },
+            replaced_at: if known { Some(now) } else { self.replaced_at },
             operator_leaving: self.operator_leaving,
-            listed: self.listed,
-            listed_leaving: if known { None } else { self.listed_leaving },
+            listed_at: self.listed_at,
+            listed_leaving_at: if known { None } else { self.listed_leaving_at },
             ..Member::new(incarnation, now)
         };
     }
@@ -57,8 +57,8 @@
     pub(super) fn observe(&mut self, evidence: MemberObservation, now: Time) {
         match evidence {
             MemberObservation::Alive => {
-                self.last_sign = self.last_sign.max(now);
-                self.heard = true;
+                self.last_seen_at = self.last_seen_at.max(now);
+                self.seen_directly = true;
             }
             MemberObservation::Leaving => self.leaving = true,
             MemberObservation::Stopped => self.stopped = true,
@@ -67,37 +67,39 @@
     }
 
     pub(super) fn observe_listed(&mut self, incarnation: Incarnation, leaving: bool, now: Time) {
-        self.listed = Some(now);
+        self.listed_at = Some(now);
         if incarnation > Incarnation(0) {
             self.leaving |= leaving;
             return;
         }
         // Such a line may still mean the life before this one; taken at its word, an endpoint that
         // has just restarted would be shut out.
-        let may_mean_the_last = self.replaced.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
-        if leaving && !may_mean_the_last {
-            self.listed_leaving = Some(now);
-        } else if !leaving && self.listed_leaving.is_some_and(|at| now.since(at) >= MAX_LIST_LAG) {
+        let may_mean_previous = self.replaced_at.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
+        if leaving && !may_mean_previous {
+            self.listed_leaving_at = Some(now);
+        } else if !leaving && self.listed_leaving_at.is_some_and(|at| now.since(at) >= MAX_LIST_LAG)
+        {
             // A list that says *live* sooner may be an older copy than the one that said
             // *leaving*.
-            self.listed_leaving = None;
+            self.listed_leaving_at = None;
         }
     }
 
-    pub(super) fn state(&self, apply_list: Option<Time>, now: Time) -> MemberState {
+    pub(super) fn state(&self, list_read_at: Option<Time>, now: Time) -> MemberState {
         if self.stopped {
             return MemberState::Dead;
         }
-        let silent = now.since(self.last_sign);
+        let silent = now.since(self.last_seen_at);
         // One that was never heard of directly is in service on the word of a list that has it.
-        let on_the_list = !self.heard && self.listed.is_some() && self.listed == apply_list;
-        if silent >= DEAD_TIMEOUT && !on_the_list {
+        let is_listed =
+            !self.seen_directly && self.listed_at.is_some() && self.listed_at == list_read_at;
+        if silent >= DEAD_TIMEOUT && !is_listed {
             return MemberState::Dead;
         }
-        if self.leaving || self.operator_leaving || self.listed_leaving.is_some() {
+        if self.leaving || self.operator_leaving || self.listed_leaving_at.is_some() {
             return MemberState::Leaving;
         }
-        if silent >= SUSPECT_TIMEOUT && !on_the_list {
+        if silent >= SUSPECT_TIMEOUT && !is_listed {
             return MemberState::Suspect;
         }
         MemberState::Live
--- a/crates/policy/src/membership/mod.rs
+++ b/crates/policy/src/membership/mod.rs
@@ -96,14 +96,14 @@
 #[derive(Debug)]
 pub struct Membership<K> {
     members: IndexMap<K, Member>,
-    apply_list: Option<Time>,
-    started: Time,
+    list_read_at: Option<Time>,
+    started_at: Time,
 }
 
 impl<K: Clone + Eq + Hash> Membership<K> {
     /// Knows of nobody.
     pub fn new(now: Time) -> Membership<K> {
-        Membership { members: IndexMap::new(), apply_list: None, started: now }
+        Membership { members: IndexMap::new(), list_read_at: None, started_at: now }
     }
 
     /// Takes note of evidence about one incarnation of a member.
@@ -122,8 +122,8 @@
     /// Takes note of a whole list. Members that it lacks lose its support; that alone makes nobody
     /// dead who is heard of directly.
     pub fn apply_list(&mut self, lines: &[ListEntry<K>], now: Time) {
-        self.apply_list = Some(now);
-        self.members.values_mut().for_each(|member| member.listed = None);
+        self.list_read_at = Some(now);
+        self.members.values_mut().for_each(|member| member.listed_at = None);
         for line in lines {
             if let Some(member) = self.member(&line.member, line.incarnation, now) {
                 member.observe_listed(line.incarnation, line.leaving, now);
@@ -134,7 +134,9 @@
 
     /// The member's state.
     pub fn state(&self, key: &K, now: Time) -> MemberState {
-        self.members.get(key).map_or(MemberState::Dead, |member| member.state(self.apply_list, now))
+        self.members
+            .get(key)
+            .map_or(MemberState::Dead, |member| member.state(self.list_read_at, now))
     }
 
     /// The member's newest known incarnation.
@@ -145,7 +147,7 @@
     /// All members that aren't dead.
     pub fn members(&self, now: Time) -> impl Iterator<Item = MemberStatus<'_, K>> {
         self.members.iter().filter_map(move |(key, member)| {
-            let state = member.state(self.apply_list, now);
+            let state = member.state(self.list_read_at, now);
             let incarnation = member.incarnation;
             (state != MemberState::Dead).then_some(MemberStatus { key, incarnation, state })
         })
@@ -154,7 +156,7 @@
     /// Whether enough is known to call anyone absent: the list was read once, or heartbeats had
     /// their time.
     pub fn is_settled(&self, now: Time) -> bool {
-        self.apply_list.is_some() || now.since(self.started) >= DEAD_TIMEOUT
+        self.list_read_at.is_some() || now.since(self.started_at) >= DEAD_TIMEOUT
     }
 
     /// The record that evidence about `incarnation` belongs to; none where that life is over.
@@ -170,7 +172,7 @@
         }
         let member = self.members.get_mut(key)?;
         if incarnation > member.incarnation {
-            member.begin_life(incarnation, now);
+            member.begin_incarnation(incarnation, now);
         }
         // Zero stands for a witness that doesn't know incarnations, as the list may.
         let current = incarnation == member.incarnation || incarnation == Incarnation(0);
@@ -178,16 +180,16 @@
     }
 
     fn forget_long_dead(&mut self, now: Time) {
-        let apply_list = self.apply_list;
+        let list_read_at = self.list_read_at;
         self.members.retain(|_, member| {
-            member.state(apply_list, now) != MemberState::Dead
-                || now.since(member.last_sign) < DEAD_MEMBER_RETENTION
+            member.state(list_read_at, now) != MemberState::Dead
+                || now.since(member.last_seen_at) < DEAD_MEMBER_RETENTION
         });
     }
 
     fn forget_dead(&mut self, now: Time) {
-        let apply_list = self.apply_list;
-        self.members.retain(|_, member| member.state(apply_list, now) != MemberState::Dead);
+        let list_read_at = self.list_read_at;
+        self.members.retain(|_, member| member.state(list_read_at, now) != MemberState::Dead);
     }
 }
 
--- a/crates/policy/src/membership/owners.rs
+++ b/crates/policy/src/membership/owners.rs
@@ -27,47 +27,47 @@
     /// Nobody can tell; leave its memory to the lease.
     Unknown,
     /// It is gone; its memory may be released.
-    Gone,
+    Dead,
 }
 
 impl<K: Clone + Eq + Hash> Membership<K> {
     /// Whether this life of the owner still counts.
     pub fn owner(&self, key: &K, incarnation: Incarnation, now: Time) -> OwnerStatus {
         let Some(member) = self.members.get(key) else {
-            return self.unheard_owner(now);
+            return self.unknown_owner(now);
         };
         if incarnation > member.incarnation {
             return OwnerStatus::Unknown;
         }
         if incarnation < member.incarnation {
-            let replaced = member.replaced.unwrap_or(member.first_heard);
-            return gone_after(replaced + OWNER_GRACE_PERIOD, now);
+            let replaced_at = member.replaced_at.unwrap_or(member.first_seen_at);
+            return dead_from(replaced_at + OWNER_GRACE_PERIOD, now);
         }
-        if member.state(self.apply_list, now) != MemberState::Dead {
+        if member.state(self.list_read_at, now) != MemberState::Dead {
             return OwnerStatus::Alive;
         }
         if member.stopped {
-            return gone_after(member.last_sign + OWNER_GRACE_PERIOD, now);
+            return dead_from(member.last_seen_at + OWNER_GRACE_PERIOD, now);
         }
-        let proved = member.last_sign + DEAD_TIMEOUT + MAX_LIST_LAG;
-        match self.apply_list {
-            Some(read) if read >= proved && member.listed.is_none() => {
-                gone_after(proved + OWNER_GRACE_PERIOD, now)
+        let proved_at = member.last_seen_at + DEAD_TIMEOUT + MAX_LIST_LAG;
+        match self.list_read_at {
+            Some(read) if read >= proved_at && member.listed_at.is_none() => {
+                dead_from(proved_at + OWNER_GRACE_PERIOD, now)
             }
             _ => OwnerStatus::Unknown,
         }
     }
 
     /// An owner never heard of: perhaps it is one from before this instance's start.
-    fn unheard_owner(&self, now: Time) -> OwnerStatus {
-        let proved = self.started + DEAD_TIMEOUT + MAX_LIST_LAG;
-        match self.apply_list {
-            Some(read) if read >= proved => gone_after(proved + OWNER_GRACE_PERIOD, now),
+    fn unknown_owner(&self, now: Time) -> OwnerStatus {
+        let proved_at = self.started_at + DEAD_TIMEOUT + MAX_LIST_LAG;
+        match self.list_read_at {
+            Some(read) if read >= proved_at => dead_from(proved_at + OWNER_GRACE_PERIOD, now),
             _ => OwnerStatus::Unknown,
         }
     }
 }
 
-fn gone_after(point: Time, now: Time) -> OwnerStatus {
-    if now >= point { OwnerStatus::Gone } else { OwnerStatus::Unknown }
+fn dead_from(point: Time, now: Time) -> OwnerStatus {
+    if now >= point { OwnerStatus::Dead } else { OwnerStatus::Unknown }
 }
--- a/crates/policy/src/publication/diff.rs
+++ b/crates/policy/src/publication/diff.rs
@@ -11,7 +11,7 @@
 
 /// The most changes that are listed. A larger difference means that a folder was mixed up with
 /// another site's, and the first hundreds show it.
-const MAX_CHANGES: usize = 400;
+const MAX_LISTED_CHANGES: usize = 400;
 
 /// One member that differs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -28,14 +28,14 @@
 
 /// The longest value, in bytes, that an entry of the audit trail keeps. The trail stands in every
 /// checkpoint, which has to fit into one record.
-const KEPT_VALUE: usize = 300;
+const MAX_AUDITED_VALUE_BYTES: usize = 300;
 
 impl FieldChange {
     /// Replaces long values by their size.
     pub fn shorten(&mut self) {
         for value in [&mut self.before, &mut self.after].into_iter().flatten() {
             let len = value.to_string().len();
-            if len > KEPT_VALUE {
+            if len > MAX_AUDITED_VALUE_BYTES {
                 *value = format!("({len} bytes)").into();
             }
         }
@@ -60,12 +60,12 @@
     let after = merge(after, &mut findings);
     let mut changes = Vec::new();
     compare(before.as_ref(), after.as_ref(), "", &mut changes);
-    changes.truncate(MAX_CHANGES);
+    changes.truncate(MAX_LISTED_CHANGES);
     changes
 }
 
 fn compare(before: Option<&Node>, after: Option<&Node>, path: &str, out: &mut Vec<FieldChange>) {
-    if out.len() > MAX_CHANGES {
+    if out.len() > MAX_LISTED_CHANGES {
         return;
     }
     let is_object = |node: &&Node| matches!(node.value, Value::Object(_));
--- a/crates/policy/src/publication/fold.rs
+++ b/crates/policy/src/publication/fold.rs
@@ -13,11 +13,11 @@
 
 /// Entries of the audit trail that instances keep at hand. Operators publish a few times a day;
 /// the stream itself holds whatever the log's retention allows.
-const KEPT_ENTRIES: usize = 500;
+const MAX_AUDIT_ENTRIES: usize = 500;
 /// The most differing members that an entry of the audit trail keeps.
-const KEPT_CHANGES: usize = 40;
+const MAX_CHANGES_PER_AUDIT_ENTRY: usize = 40;
 /// The longest name of who changed something, in bytes.
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 /// A change to the configuration, as an operator publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -132,18 +132,18 @@
     }
 
     /// The accepted changes after version `base`, for the author of a change made from it.
-    pub fn since(&self, base: Version) -> impl Iterator<Item = &AuditEntry> {
+    pub fn accepted_since(&self, base: Version) -> impl Iterator<Item = &AuditEntry> {
         self.audit.iter().filter(
             move |entry| matches!(entry.verdict, Verdict::Accepted(version) if version > base),
         )
     }
 
-    fn change(&mut self, change: Change, stamp: LogPosition) -> AuditEntry {
+    fn apply_change(&mut self, change: Change, position: LogPosition) -> AuditEntry {
         let mut entry = AuditEntry {
-            offset: stamp.offset,
-            time_ms: stamp.time_ms,
+            offset: position.offset,
+            time_ms: position.time_ms,
             id: change.id,
-            by: shortened(change.by),
+            by: truncate_name(change.by),
             base: change.base,
             verdict: Verdict::Conflict(self.version),
             action: "publish".to_owned(),
@@ -156,7 +156,7 @@
             Ok(config) => {
                 entry.changes = difference(&self.files, &change.files);
                 entry.action = format!("publish: {} members changed", entry.changes.len());
-                entry.changes.truncate(KEPT_CHANGES);
+                entry.changes.truncate(MAX_CHANGES_PER_AUDIT_ENTRY);
                 entry.changes.iter_mut().for_each(FieldChange::shorten);
                 self.version = Version(self.version.0 + 1);
                 self.files = Arc::new(change.files);
@@ -164,15 +164,16 @@
                 entry.verdict = Verdict::Accepted(self.version);
             }
             Err(findings) => {
-                let lines = findings.iter().take(KEPT_CHANGES).map(ToString::to_string);
+                let lines =
+                    findings.iter().take(MAX_CHANGES_PER_AUDIT_ENTRY).map(ToString::to_string);
                 entry.verdict = Verdict::Rejected(lines.collect());
             }
         }
         entry
     }
 
-    fn keep(&mut self, entry: AuditEntry) {
-        if self.audit.len() == KEPT_ENTRIES {
+    fn push_audit_entry(&mut self, entry: AuditEntry) {
+        if self.audit.len() == MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
         self.audit.push_back(entry);
@@ -208,8 +209,8 @@
     findings.into_result(loaded.config)
 }
 
-fn shortened(mut name: String) -> String {
-    let end = (0..=MAX_NAME).rev().find(|at| name.is_char_boundary(*at)).unwrap_or(0);
+fn truncate_name(mut name: String) -> String {
+    let end = (0..=MAX_NAME_BYTES).rev().find(|at| name.is_char_boundary(*at)).unwrap_or(0);
     name.truncate(end);
     name
 }
@@ -248,12 +249,12 @@
         }]
     }
 
-    fn apply(&mut self, entry: PublicationEntry, stamp: LogPosition) -> Vec<AuditEntry> {
+    fn apply(&mut self, entry: PublicationEntry, position: LogPosition) -> Vec<AuditEntry> {
         let id = match &entry {
             PublicationEntry::Change(change) => &change.id,
             PublicationEntry::Note(note) => &note.id,
         };
-        if id.is_empty() || id.len() > MAX_NAME {
+        if id.is_empty() || id.len() > MAX_NAME_BYTES {
             return Vec::new();
         }
         // An append that was repeated because its answer was lost. The first one stands.
@@ -261,19 +262,19 @@
             return Vec::new();
         }
         let entry = match entry {
-            PublicationEntry::Change(change) => self.change(change, stamp),
+            PublicationEntry::Change(change) => self.apply_change(change, position),
             PublicationEntry::Note(note) => AuditEntry {
-                offset: stamp.offset,
-                time_ms: stamp.time_ms,
+                offset: position.offset,
+                time_ms: position.time_ms,
                 id: note.id,
-                by: shortened(note.by),
+                by: truncate_name(note.by),
                 base: self.version,
                 verdict: Verdict::Noted,
-                action: shortened(note.action),
+                action: truncate_name(note.action),
                 changes: Vec::new(),
             },
         };
-        self.keep(entry.clone());
+        self.push_audit_entry(entry.clone());
         vec![entry]
     }
 }
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -73,7 +73,7 @@
     fn parts(&self) -> Vec<Self::Part>;
 
     /// Takes one entry into account.
-    fn apply(&mut self, entry: Self::Entry, stamp: LogPosition) -> Vec<Self::Change>;
+    fn apply(&mut self, entry: Self::Entry, position: LogPosition) -> Vec<Self::Change>;
 }
 
 /// What a record holds.
@@ -115,9 +115,9 @@
     next: Offset,
     time_ms: u64,
     state: State<F>,
-    checkpointed: Option<LogPosition>,
-    first: Offset,
-    unreadable: u64,
+    last_checkpoint: Option<LogPosition>,
+    first_kept: Offset,
+    unreadable_records: u64,
 }
 
 enum State<F: Fold> {
@@ -128,7 +128,7 @@
 /// A reader that missed records and waits for a checkpoint.
 struct Rebuild<F: Fold> {
     /// The first record that was still kept.
-    from: Offset,
+    first_kept: Offset,
     entries: Vec<(F::Entry, LogPosition)>,
     checkpoints: HashMap<String, Vec<Option<CheckpointPart<F::Part>>>>,
 }
@@ -137,8 +137,16 @@
     /// A reader of a stream from its beginning.
     pub fn new(setup: F::Params) -> Self {
         let state = State::Complete(F::empty(&setup));
-        let (next, first) = (Offset(0), Offset(0));
-        Replay { setup, next, time_ms: 0, state, checkpointed: None, first, unreadable: 0 }
+        let (next, first_kept) = (Offset(0), Offset(0));
+        Replay {
+            setup,
+            next,
+            time_ms: 0,
+            state,
+            last_checkpoint: None,
+            first_kept,
+            unreadable_records: 0,
+        }
     }
 
     /// The offset to read from next.
@@ -156,13 +164,13 @@
 
     /// When and up to where the last whole checkpoint was seen.
     pub fn last_checkpoint(&self) -> Option<LogPosition> {
-        self.checkpointed
+        self.last_checkpoint
     }
 
     /// Whether the log has dropped records that no checkpoint covers: whoever starts reading now
     /// never gets whole.
     pub fn needs_checkpoint(&self) -> bool {
-        self.first > self.checkpointed.map_or(Offset(0), |stamp| stamp.offset)
+        self.first_kept > self.last_checkpoint.map_or(Offset(0), |position| position.offset)
     }
 
     /// The log's clock as of the last record.
@@ -171,8 +179,8 @@
     }
 
     /// How many records couldn't be read.
-    pub fn unreadable(&self) -> u64 {
-        self.unreadable
+    pub fn unreadable_records(&self) -> u64 {
+        self.unreadable_records
     }
 
     /// Takes a page of the stream: `first` is the first offset that the log still keeps. It alone
@@ -182,9 +190,9 @@
         first: Offset,
         records: impl IntoIterator<Item = LogRecord<'a>>,
     ) -> Vec<F::Change> {
-        self.first = first;
+        self.first_kept = first;
         if first > self.next {
-            self.start_over(first);
+            self.begin_rebuild(first);
         }
         let mut changes = Vec::new();
         for record in records {
@@ -193,7 +201,7 @@
                 continue;
             }
             self.next = Offset(record.offset.0 + 1);
-            self.take(record, &mut changes);
+            self.apply_record(record, &mut changes);
         }
         changes
     }
@@ -216,46 +224,50 @@
         records.collect()
     }
 
-    fn start_over(&mut self, first: Offset) {
+    fn begin_rebuild(&mut self, first: Offset) {
         self.next = first;
         self.state = State::Rebuilding(Rebuild {
-            from: first,
+            first_kept: first,
             entries: Vec::new(),
             checkpoints: HashMap::new(),
         });
     }
 
-    fn take(&mut self, record: LogRecord<'_>, changes: &mut Vec<F::Change>) {
+    fn apply_record(&mut self, record: LogRecord<'_>, changes: &mut Vec<F::Change>) {
         self.time_ms = self.time_ms.max(record.time_ms);
-        let stamp = LogPosition { offset: record.offset, time_ms: self.time_ms };
+        let position = LogPosition { offset: record.offset, time_ms: self.time_ms };
         match serde_json::from_slice::<Content<F::Entry, F::Part>>(record.data) {
             Ok(Content::Entry(entry)) => match &mut self.state {
-                State::Complete(fold) => changes.extend(fold.apply(entry, stamp)),
-                State::Rebuilding(rebuild) => rebuild.entries.push((entry, stamp)),
+                State::Complete(fold) => changes.extend(fold.apply(entry, position)),
+                State::Rebuilding(rebuild) => rebuild.entries.push((entry, position)),
             },
-            Ok(Content::Checkpoint(part)) => self.take_part(part, changes),
+            Ok(Content::Checkpoint(part)) => self.apply_checkpoint_part(part, changes),
             // Whoever wrote it, all readers skip it alike.
-            Err(_) => self.unreadable += 1,
+            Err(_) => self.unreadable_records += 1,
         }
     }
 
-    fn take_part(&mut self, part: CheckpointPart<F::Part>, changes: &mut Vec<F::Change>) {
+    fn apply_checkpoint_part(
+        &mut self,
+        part: CheckpointPart<F::Part>,
+        changes: &mut Vec<F::Change>,
+    ) {
         let covers = part.covers;
         if part.part + 1 == part.parts && covers <= self.next {
-            self.checkpointed = Some(LogPosition { offset: covers, time_ms: self.time_ms });
+            self.last_checkpoint = Some(LogPosition { offset: covers, time_ms: self.time_ms });
         }
         let State::Rebuilding(rebuild) = &mut self.state else { return };
-        if covers < rebuild.from || covers > self.next {
+        if covers < rebuild.first_kept || covers > self.next {
             return;
         }
-        let Some((time_ms, parts)) = rebuild.collect(part) else { return };
+        let Some((time_ms, parts)) = rebuild.add_part(part) else { return };
         let entries = std::mem::take(&mut rebuild.entries);
         self.time_ms = self.time_ms.max(time_ms);
         let mut fold = F::restore(&self.setup, parts);
-        for (entry, stamp) in entries {
-            if stamp.offset >= covers {
-                let stamp = LogPosition { time_ms: stamp.time_ms.max(time_ms), ..stamp };
-                changes.extend(fold.apply(entry, stamp));
+        for (entry, position) in entries {
+            if position.offset >= covers {
+                let position = LogPosition { time_ms: position.time_ms.max(time_ms), ..position };
+                changes.extend(fold.apply(entry, position));
             }
         }
         self.state = State::Complete(fold);
@@ -264,7 +276,7 @@
 
 impl<F: Fold> Rebuild<F> {
     /// Adds a part; gives all parts and the covered time once they are there.
-    fn collect(&mut self, part: CheckpointPart<F::Part>) -> Option<(u64, Vec<F::Part>)> {
+    fn add_part(&mut self, part: CheckpointPart<F::Part>) -> Option<(u64, Vec<F::Part>)> {
         if part.parts == 0 || part.parts > MAX_PARTS || part.part >= part.parts {
             return None;
         }
--- a/crates/policy/tests/ledger_model/world.rs
+++ b/crates/policy/tests/ledger_model/world.rs
@@ -129,10 +129,10 @@
             }
             return;
         };
-        match call.claimant.step() {
+        match call.claimant.state() {
             ClaimantState::Waiting | ClaimantState::Won => {
                 push(out, state, i, "the call is given up", |state| self.give_up(state, i));
-                if call.claimant.step() == ClaimantState::Won {
+                if call.claimant.state() == ClaimantState::Won {
                     push(out, state, i, "the call is sent", |state| self.send(state, i));
                 }
             }
@@ -241,7 +241,7 @@
         {
             let claim = self.claim(call.attempt);
             call.claimant.observe(&ledger, &writer, &claim, id);
-            if call.claimant.step() == ClaimantState::Lost {
+            if call.claimant.state() == ClaimantState::Lost {
                 instance.call = None;
             }
         }
@@ -306,7 +306,7 @@
     fn send(&self, state: &mut State, i: usize) {
         let heard = state.not_run_heard_by;
         let Some(call) = &mut state.instances[i].call else { return };
-        assert!(call.claimant.begin_sending(IN_TIME));
+        assert!(call.claimant.try_begin_sending(IN_TIME));
         let number = call.number;
         state.sends += 1;
         state.wire.push(number);
@@ -339,7 +339,7 @@
         instance.sequence += 1;
         let claimed = queue.iter().position(|entry| self.is_claim(*entry));
         if let (Some(index), Some(call)) = (claimed, &mut instance.call)
-            && call.claimant.step() == ClaimantState::Waiting
+            && call.claimant.state() == ClaimantState::Waiting
         {
             call.id = Some(ClaimId { sequence, index: index as u32 });
         }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -129,9 +129,9 @@
     a_silent_owner_while_the_list_is_down: [], at 10_000 => OwnerStatus::Unknown;
     a_silent_owner_that_the_list_has: [Listed(LATE, 5, false)], at LATE => OwnerStatus::Unknown;
     a_silent_owner_whom_an_early_list_lacks: [Unlisted(PROVED - 1)], at 10_000 => OwnerStatus::Unknown;
-    a_silent_owner_whom_a_late_list_lacks: [Unlisted(PROVED)], at LATE => OwnerStatus::Gone;
+    a_silent_owner_whom_a_late_list_lacks: [Unlisted(PROVED)], at LATE => OwnerStatus::Dead;
     within_the_grace_period: [Unlisted(PROVED)], at LATE - 1 => OwnerStatus::Unknown;
-    a_restarted_owner: [Says(3, 6, Alive)], at 3 + OWNER_GRACE_PERIOD.as_secs() => OwnerStatus::Gone;
+    a_restarted_owner: [Says(3, 6, Alive)], at 3 + OWNER_GRACE_PERIOD.as_secs() => OwnerStatus::Dead;
     a_restarted_owner_within_grace: [Says(3, 6, Alive)], at 4 => OwnerStatus::Unknown;
 }
 
@@ -141,7 +141,7 @@
     members.apply_list(&[], at(5));
     assert_eq!(members.owner(&id(), Incarnation(1), at(9_000)), OwnerStatus::Unknown);
     members.apply_list(&[], at(PROVED));
-    assert_eq!(members.owner(&id(), Incarnation(1), at(9_000)), OwnerStatus::Gone);
+    assert_eq!(members.owner(&id(), Incarnation(1), at(9_000)), OwnerStatus::Dead);
 }
 
 #[test]
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -150,9 +150,9 @@
 fn a_uuidv7_key_can_not_be_claimed_after_its_window() {
     let made = Uuid::new_v7(Timestamp::from_unix(NoContext, 500, 0)).to_string();
     assert_eq!(key(&made).created_at_ms(), Some(500_000));
-    assert_eq!(key(&made).time(WINDOW, 100_000), KeyAge::FromTheFuture);
-    assert_eq!(key(&made).time(WINDOW, 1_500_000), KeyAge::Usable);
-    assert_eq!(key(&made).time(WINDOW, 1_500_001), KeyAge::TooOld);
+    assert_eq!(key(&made).check_age(WINDOW, 100_000), KeyAge::FromTheFuture);
+    assert_eq!(key(&made).check_age(WINDOW, 1_500_000), KeyAge::Usable);
+    assert_eq!(key(&made).check_age(WINDOW, 1_500_001), KeyAge::TooOld);
     let (mut log, mut replay) = (Log::default(), ledger());
     log.append(1_500_001, batch("a", 1, vec![claim(&made, 1)]));
     log.feed(&mut replay, 0);
