--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -6,7 +6,7 @@
 use http_types::StatusCode;
 use policy::{
     Outcome, Refusal, RefusalReason, RunStatus,
-    ledger::{Answer as KeptAnswer, CallKey, MAX_KEPT_BODY},
+    ledger::{Answer as KeptAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
 };
 use protocols::log::http::HttpLog;
 use smol::channel::bounded;
@@ -58,7 +58,7 @@
             deduplicates: work.rules.as_ref().is_some_and(|rules| rules.deduplicates),
             deadline: admitted.timed.deadline,
         };
-        let outcome = ledgers.of(&key).claim(req).await;
+        let outcome = ledgers.ledger_for(&key).claim(req).await;
         let deployment = &admitted.ticket.deployment.name;
         self.shared.metrics.once_call(deployment, outcome.name());
         match outcome {
@@ -102,23 +102,23 @@
     match result {
         // Such an answer is no proof that nothing ran, and none that it did.
         Ok(Answer::Whole(whole)) if whole.status == 429 || whole.status >= 500 => {
-            claim.unknown();
+            claim.mark_unknown();
             Ok(Answer::Whole(whole))
         }
         Ok(Answer::Whole(whole)) => {
-            claim.done(kept(&whole));
+            claim.complete(kept(&whole));
             Ok(Answer::Whole(whole))
         }
         Ok(stream) => {
-            claim.unknown();
+            claim.mark_unknown();
             Ok(stream)
         }
         Err(e) if e.ran == RunStatus::No => {
-            let ran = claim.not_run();
+            let ran = claim.abandon();
             Err(CallError { ran, ..e })
         }
         Err(e) => {
-            claim.unknown();
+            claim.mark_unknown();
             Err(CallError { ran: RunStatus::Unknown, ..e })
         }
     }
@@ -129,7 +129,7 @@
     KeptAnswer {
         status: whole.status,
         content_type: whole.content_type.clone(),
-        body: body.filter(|body| body.len() <= MAX_KEPT_BODY).map(str::to_owned),
+        body: body.filter(|body| body.len() <= MAX_ANSWER_BODY_BYTES).map(str::to_owned),
     }
 }
 
--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -71,9 +71,9 @@
     /// The bounds as times.
     pub fn bounds(&self) -> Bounds {
         Bounds {
-            revoke: Duration::from_millis(self.revoke_ms),
-            leave: Duration::from_millis(self.leave_ms),
-            stop: Duration::from_millis(self.stop_ms),
+            revoke_within: Duration::from_millis(self.revoke_ms),
+            leave_within: Duration::from_millis(self.leave_ms),
+            stop_within: Duration::from_millis(self.stop_ms),
             retry_share: self.retry_share,
             retry_window: Duration::from_millis(self.retry_window_ms),
             retry_slack: self.retry_slack,
@@ -84,7 +84,7 @@
 fn read_placement(fields: &mut Fields<'_>, findings: &mut Findings) -> PlacementRules {
     let read: Option<PlacementRules> = fields.optional("placement", "rules of placement", findings);
     let rules = read.unwrap_or_default();
-    if let Some(name) = rules.wrong() {
+    if let Some(name) = rules.invalid_field() {
         let path = fields.path(&format!("placement.{name}"));
         findings.push(fields.place_of("placement"), &path, "expected a larger number");
     }
--- a/crates/policy/src/adaptive/admit.rs
+++ b/crates/policy/src/adaptive/admit.rs
@@ -1,30 +1,33 @@
-//! Who is admitted.
+//! Admission control.
 //!
-//! **Load pattern.** Twice as much comes as the engines can do, for minutes.
+//! **Load pattern.** For minutes, twice as much work arrives as the engines can do.
 //!
-//! **Without it.** Every queue grows until what is served has missed its bound: the engines work at
-//! full speed and nobody is helped. Callers learn of it at their deadline.
+//! **Without it.** All queues grow until every request misses its deadline while it waits. The
+//! engines run at full speed, but no answer is useful, and callers learn of it only at their
+//! deadline.
 //!
-//! **Rule.** A request is refused at once if its predicted first token, times the learned margin,
-//! is past its bound. The prediction adds three waits to its own prefill: for what stands on the
-//! engines in its band and below, for what waits in lower bands here and on the peers, and for its
-//! own workspace's turns, which come at its share of the lane or at what the others leave. The refusal says when the prediction would fit. A full waiting room
-//! gives up the latest request of the workspace furthest over its share, or refuses the newcomer
-//! if that is the one. Before any engine's speed is measured nothing is refused by a prediction:
-//! one request at a time tries, the others wait, and as soon as there is a measure those that can't
-//! make their bound hear it.
+//! **Rule.** A request is refused at once if its predicted time to first token, multiplied by the
+//! learned margin, exceeds its first-token deadline. The prediction adds three waits to the
+//! request's own prefill: for the prefill on the engines in its band and below, for the prompts of
+//! lower bands queued here and on the peers, and for its own workspace's queue, which is served at
+//! the workspace's share or at the capacity that the other workspaces leave, whichever is more. The
+//! refusal says when to retry. If the queues are full, the latest request of the workspace furthest
+//! over its share is dropped, or the new request if that workspace sent it. Until the speed of any
+//! engine has been measured, no request is refused by a prediction: one request at a time is tried,
+//! the others wait, and once there is a measurement, those that can't meet their deadline fail at
+//! once.
 //!
-//! **Grounds.** A refusal that costs microseconds and comes at once lets the caller go elsewhere
-//! or come back when told; an admission that fails later costs it the whole wait. Weighing
-//! predictions against measured first tokens ([`super::learn::Margin`]) makes the rule right for
-//! effects that no term names, such as memory held by long answers. Once in [`TRIAL_EVERY`] an
-//! idle deployment runs a request against the prediction: a speed learned wrongly as too low
-//! would otherwise refuse everything for good, and nothing would correct it. At a cold start, after
-//! all engines were replaced or after a restart there is no measure at all. [`FIRST_GUESS`] is too
-//! low for most engines, and a prompt refused by it could have been served; one trial at a time
-//! keeps all long prompts of that moment from going to the engines together.
+//! **Grounds.** A refusal costs microseconds and lets the caller go elsewhere or return at the
+//! stated time, whereas an admission that fails later costs the caller the whole wait. Comparing
+//! predictions with measured first tokens ([`super::learn::PredictionMargin`]) accounts for effects
+//! that the model leaves out, such as memory held by long answers. Once per [`TRIAL_INTERVAL_S`],
+//! an idle deployment runs a request against the prediction: otherwise a learned speed that is too
+//! low would refuse all requests forever and never be corrected. After a cold start, a restart or
+//! the replacement of all engines, there is no measurement at all. [`INITIAL_PREFILL_RATE`] is too
+//! low for most engines, so it would refuse prompts that could be served; trying one request at a
+//! time keeps all long prompts of that moment from being sent to the engines together.
 //!
-//! [`FIRST_GUESS`]: super::learn::FIRST_GUESS
+//! [`INITIAL_PREFILL_RATE`]: super::learn::INITIAL_PREFILL_RATE
 
 use std::{sync::Arc, time::Duration};
 
@@ -36,44 +39,46 @@
 use super::{
     AdaptiveScheduler,
     queue::WorkspaceIndex,
-    request::{Basis, Due, Entry, State},
+    request::{AdmissionBasis, RequestEntry, RequestState, RequestTimer},
     seconds, span,
-    workspaces::{HALF_LIFE, SPREAD},
+    workspaces::{MULTI_ENGINE_QUEUE, TRAFFIC_HALF_LIFE_S},
 };
 
-/// Prefill tokens that one decoded token counts as. Decoding runs in batches, but holds a step of
-/// the whole engine; four is between the two.
-const DECODE_WEIGHT: f64 = 4.0;
-/// The least and the most that a caller is told to stay away.
-const RETRY_AFTER: std::ops::RangeInclusive<f64> = 0.1..=60.0;
-/// Random addition to the time told, so that callers refused together don't come back together.
-const RETRY_SPREAD: f64 = 0.25;
-/// Seconds between two trials against the prediction.
-const TRIAL_EVERY: f64 = 1.0;
-/// The most of an engine that short prompts are taken to use in predictions for long ones. Beyond
-/// it long ones are soon overdue, and `pace` holds short ones back.
-const MOST_SHORT_LOAD: f64 = 0.75;
+/// Cost of one decoded token in prefill tokens. Decoding is batched, but each step occupies the
+/// whole engine; four lies between these extremes.
+const PREFILL_TOKENS_PER_DECODED_TOKEN: f64 = 4.0;
+/// Range of the retry delay that a refused caller is given, in seconds.
+const RETRY_AFTER_RANGE_S: std::ops::RangeInclusive<f64> = 0.1..=60.0;
+/// Random addition to the retry delay, as a share of it, so that callers refused together don't
+/// return together.
+const RETRY_JITTER_SHARE: f64 = 0.25;
+/// Minimum seconds between two trials that run a request against the prediction.
+const TRIAL_INTERVAL_S: f64 = 1.0;
+/// Maximum share of the engines' speed that short prompts are assumed to use in predictions for
+/// long ones. Above it, long prompts are soon overdue and [`super::short_rate_limit`] limits the
+/// short ones.
+const MAX_SHORT_LOAD: f64 = 0.75;
 
-/// Seconds until a first token.
+/// Predicted time to first token, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Prediction {
-    /// The wait for others.
+    /// Wait for other requests.
     others: f64,
     /// The request's own prefill.
     own: f64,
-    /// The wait for its own workspace's turn.
-    own_wait: f64,
+    /// Wait in the queue of the request's own workspace.
+    workspace_wait: f64,
 }
 
 impl Prediction {
     pub(super) fn seconds(self) -> f64 {
-        self.others + self.own + self.own_wait
+        self.others + self.own + self.workspace_wait
     }
 }
 
 impl AdaptiveScheduler {
     pub(super) fn admit(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
-        match self.check(&req, now) {
+        match self.check_admission(&req, now) {
             Ok(entry) => {
                 self.insert(entry, now);
                 Admission::Admitted
@@ -82,239 +87,264 @@
         }
     }
 
-    fn check(&mut self, req: &Arc<RequestSpec>, now: Time) -> Result<Entry, Refusal> {
+    fn check_admission(
+        &mut self,
+        req: &Arc<RequestSpec>,
+        now: Time,
+    ) -> Result<RequestEntry, Refusal> {
         let workspace = self.workspaces.index(&req.workspace);
         let instances = self.peers.instances();
         let state = self.workspaces.get_mut(workspace);
-        if let Some(over) = state.over_limit(instances, seconds(now)) {
+        if let Some(over) = state.seconds_over_limit(instances, seconds(now)) {
             return Err(self.refusal(RefusalReason::OverLimit, over));
         }
-        if let QuarantineState::Refused(left) = self.quarantine.standing(req.fingerprint, now) {
+        if let QuarantineState::Refused(left) = self.quarantine.state(req.fingerprint, now) {
             return Err(Refusal::new(RefusalReason::Quarantined, left));
         }
         if self.fleet.usable == 0 {
             return Err(self.refusal(RefusalReason::NoEndpoint, 1.0));
         }
         if req.footprint().0 as f64 > self.fleet.total_memory {
-            return Err(self.refusal(RefusalReason::TooLarge, *RETRY_AFTER.end()));
+            return Err(self.refusal(RefusalReason::TooLarge, *RETRY_AFTER_RANGE_S.end()));
         }
-        let mut entry = self.entry(req.clone(), workspace);
+        let mut entry = self.new_entry(req.clone(), workspace);
         let prediction = self.predict(&entry, now);
         entry.predicted = prediction.seconds();
-        entry.own_wait = prediction.own_wait;
-        let turn_margin = self.workspaces.get(workspace).lines[entry.lane].margin.factor();
+        entry.workspace_wait = prediction.workspace_wait;
+        let workspace_wait_margin =
+            self.workspaces.get(workspace).queues[entry.queue_index].margin.factor();
         let promised = (prediction.others + prediction.own)
-            * self.margins[entry.lane].factor(seconds(now))
-            + prediction.own_wait * turn_margin;
-        let allowed = entry.bound.since(now).as_secs_f64();
+            * self.margins[entry.queue_index].factor(seconds(now))
+            + prediction.workspace_wait * workspace_wait_margin;
+        let allowed = entry.first_token_by.since(now).as_secs_f64();
         if promised > allowed {
-            if !self.fleet.learned {
-                entry.basis = Basis::Assumption;
-            } else if self.may_try(now) {
-                entry.basis = Basis::Trial;
-                entry.bound = req.deadline;
+            if !self.fleet.has_measured_speed {
+                entry.basis = AdmissionBasis::Unmeasured;
+            } else if self.may_start_trial(now) {
+                entry.basis = AdmissionBasis::Trial;
+                entry.first_token_by = req.deadline;
             } else {
                 let forecast = self.forecast(&entry, prediction, now);
                 let refusal = self.refusal(RefusalReason::TooLate, promised - allowed);
                 return Err(Refusal { forecast: Some(forecast), ..refusal });
             }
         }
-        self.make_room(workspace, &entry, now)?;
+        self.ensure_queue_room(workspace, &entry, now)?;
         Ok(entry)
     }
 
-    fn entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> Entry {
+    fn new_entry(&self, req: Arc<RequestSpec>, workspace: WorkspaceIndex) -> RequestEntry {
         let prompt = req.prompt.0 as f64;
-        let band = self.bands.of(prompt, self.fleet.typical_rate);
+        let band = self.band_limits.of(prompt, self.fleet.typical_rate);
         let cached = self.cached_at_holder(&req.prefix);
-        let spreads = req.footprint().0 as f64 > self.fleet.largest_memory;
+        let needs_several = req.footprint().0 as f64 > self.fleet.largest_memory;
         let output = self.decode.expected(req.max_output.0 as f64);
-        let bound = self.bound(&req);
-        Entry {
+        let first_token_by = self.first_token_by(&req);
+        RequestEntry {
             workspace,
             band,
-            lane: if spreads { SPREAD } else { band.index() },
+            queue_index: if needs_several { MULTI_ENGINE_QUEUE } else { band.index() },
             uncached: (prompt - cached).max(1.0),
-            cost: prompt + DECODE_WEIGHT * output,
-            bound,
-            due: bound,
-            state: State::Waiting,
+            cost: prompt + PREFILL_TOKENS_PER_DECODED_TOKEN * output,
+            first_token_by,
+            expires_at: first_token_by,
+            state: RequestState::Waiting,
             attempts: 0,
             failures: 0,
-            tried: Vec::new(),
-            silent: Vec::new(),
+            excluded: Vec::new(),
+            silent_once: Vec::new(),
             may_have_run: false,
             passed_on: Tokens::ZERO,
             predicted: 0.0,
-            own_wait: 0.0,
-            basis: Basis::Prediction,
+            workspace_wait: 0.0,
+            basis: AdmissionBasis::Prediction,
             req,
         }
     }
 
-    /// What the last engine that had a prompt with this beginning is expected to have cached of it.
-    /// It is on the request's short list, so that the request can go there.
+    /// Tokens of the prefix that are expected in the cache of the engine that last received a
+    /// prompt with the same first block. That engine is always on the shortlist, so the request can
+    /// be sent there.
     fn cached_at_holder(&self, prefix: &[u64]) -> f64 {
-        let holder = prefix.first().and_then(|first| self.holders.get(*first));
-        holder.map_or(0.0, |holder| self.cache.expected(holder, prefix).0 as f64)
+        let holder = prefix.first().and_then(|first| self.prefix_holders.get(*first));
+        holder.map_or(0.0, |holder| self.cache.expected_cached(holder, prefix).0 as f64)
     }
 
-    /// By when the first token has to be out.
-    fn bound(&self, req: &RequestSpec) -> Time {
-        if let Some(bound) = req.first_token_by {
-            return bound.min(req.deadline);
+    /// The deadline of the first token.
+    fn first_token_by(&self, req: &RequestSpec) -> Time {
+        if let Some(first_token_by) = req.first_token_by {
+            return first_token_by.min(req.deadline);
         }
         let whole = req.deadline.since(req.arrived);
         let decode = span(self.decode.seconds(req.max_output.0 as f64));
-        // Callers rarely state a sensible most output; half of the time is left in any case.
+        // Callers rarely set `max_output` to a realistic value, so at least half of the time is
+        // left for the first token.
         req.arrived + whole.saturating_sub(decode).max(whole / 2)
     }
 
-    /// What a prediction rests on.
-    fn forecast(&self, entry: &Entry, prediction: Prediction, now: Time) -> Forecast {
+    /// Collects the inputs of a prediction for the refusal.
+    fn forecast(&self, entry: &RequestEntry, prediction: Prediction, now: Time) -> Forecast {
         let bands = || 0..=entry.band.index();
-        let here: f64 = bands().map(|band| self.lanes[band].tokens()).sum();
+        let here: f64 = bands().map(|band| self.queues[band].tokens()).sum();
         let peers: f64 = bands().map(|band| self.peers.queued[band]).sum();
         Forecast {
-            own_s: prediction.own,
-            others_s: prediction.others,
-            turn_s: prediction.own_wait,
-            margin: self.margins[entry.lane].factor(seconds(now)),
-            allowed_s: entry.bound.since(now).as_secs_f64(),
+            prefill_s: prediction.own,
+            prefill_ahead_s: prediction.others,
+            fair_share_wait_s: prediction.workspace_wait,
+            margin: self.margins[entry.queue_index].factor(seconds(now)),
+            budget_s: entry.first_token_by.since(now).as_secs_f64(),
             rate: TokenRate(self.fleet.typical_rate),
-            is_measured: self.fleet.learned,
-            in_flight: Tokens(self.inflight[entry.band.index()] as u64),
+            is_measured: self.fleet.has_measured_speed,
+            in_flight: Tokens(self.total_prefill_ahead[entry.band.index()] as u64),
             queued: Tokens((here + peers) as u64),
-            under_way: self.requests.len(),
-            heard: self.peers.age(now),
+            in_flight_requests: self.requests.len(),
+            max_peer_age: self.peers.age(now),
         }
     }
 
-    fn insert(&mut self, entry: Entry, now: Time) {
+    fn insert(&mut self, entry: RequestEntry, now: Time) {
         let at = seconds(now);
-        self.bands.observe(entry.prompt());
-        self.demand[entry.band.index()].add(entry.prompt(), at, super::DEMAND_HALF_LIFE);
+        self.band_limits.observe(entry.prompt());
+        self.demand[entry.band.index()].add(entry.prompt(), at, super::DEMAND_HALF_LIFE_S);
         let state = self.workspaces.get_mut(entry.workspace);
         state.admitted(entry.cost, at);
-        state.lines[entry.lane].demand.add(entry.prompt(), at, HALF_LIFE);
+        state.queues[entry.queue_index].demand.add(entry.prompt(), at, TRAFFIC_HALF_LIFE_S);
         let request = entry.req.id;
-        if entry.basis == Basis::Assumption {
-            self.assumed.insert(request);
+        if entry.basis == AdmissionBasis::Unmeasured {
+            self.unmeasured_requests.insert(request);
         }
         self.requests.insert(request, entry);
         self.enqueue(request);
     }
 
-    /// Puts a request into its lane.
+    /// Puts a request into its queue.
     pub(super) fn enqueue(&mut self, request: crate::RequestId) {
-        self.set_due(request);
+        self.set_expiry(request);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        entry.state = State::Waiting;
-        let share = self.workspaces.share(entry.workspace);
-        let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-        self.lanes[entry.lane].push(share, line, entry.waiting(), entry.prompt());
+        entry.state = RequestState::Waiting;
+        let weight = self.workspaces.weight_of(entry.workspace);
+        let workspace_queue =
+            &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+        self.queues[entry.queue_index].push(
+            weight,
+            workspace_queue,
+            entry.waiting(),
+            entry.prompt(),
+        );
         self.waiting += 1;
     }
 
-    /// Notes from when on a waiting request could not make its bound even on an idle engine.
-    fn set_due(&mut self, request: crate::RequestId) {
-        let (fastest, is_measured) = (self.fleet.fastest_rate, self.fleet.learned);
+    /// Sets the time after which a waiting request would miss its first-token deadline even on an
+    /// idle engine.
+    fn set_expiry(&mut self, request: crate::RequestId) {
+        let (fastest, is_measured) = (self.fleet.fastest_rate, self.fleet.has_measured_speed);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        self.due.remove(&Due { at: entry.due, request });
-        let goes_anyway = entry.basis.goes_anyway(is_measured);
-        let own = if goes_anyway { 0.0 } else { entry.uncached / fastest };
-        let latest = Time(entry.bound.0.saturating_sub((own * 1e6) as u64));
-        entry.due = latest.min(entry.req.deadline);
-        self.due.insert(Due { at: entry.due, request });
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        let overrides_prediction = entry.basis.overrides_prediction(is_measured);
+        let own = if overrides_prediction { 0.0 } else { entry.uncached / fastest };
+        let latest = Time(entry.first_token_by.0.saturating_sub((own * 1e6) as u64));
+        entry.expires_at = latest.min(entry.req.deadline);
+        self.expiries.insert(RequestTimer { at: entry.expires_at, request });
     }
 
-    /// Looks again at the waiting requests that were admitted on an assumption, once speeds are
-    /// measured. Those that can't make their bound hear it at once.
-    pub(super) fn confirm_assumed(&mut self, now: Time) {
-        if !self.fleet.learned || self.assumed.is_empty() {
+    /// Once an engine's speed is measured, rechecks the waiting requests that were admitted without
+    /// a measurement and fails those that can't meet their first-token deadline.
+    pub(super) fn recheck_unmeasured(&mut self, now: Time) {
+        if !self.fleet.has_measured_speed || self.unmeasured_requests.is_empty() {
             return;
         }
-        for request in std::mem::take(&mut self.assumed) {
+        for request in std::mem::take(&mut self.unmeasured_requests) {
             let Some(entry) = self.requests.get(&request) else { continue };
-            if !matches!(entry.state, State::Waiting) {
+            if !matches!(entry.state, RequestState::Waiting) {
                 continue;
             }
-            self.set_due(request);
-            if self.requests.get(&request).is_some_and(|entry| entry.due <= now) {
+            self.set_expiry(request);
+            if self.requests.get(&request).is_some_and(|entry| entry.expires_at <= now) {
                 self.fail(request, FailCause::TooLate, now);
             }
         }
     }
 
-    /// Whether a request admitted on an assumption has to wait: another one is trying the engines.
-    pub(super) fn must_wait_for_trial(&self, entry: &Entry) -> bool {
-        if entry.basis != Basis::Assumption || self.fleet.learned {
+    /// Whether a request admitted without a measurement has to wait because another one is being
+    /// tried.
+    pub(super) fn must_wait_for_trial(&self, entry: &RequestEntry) -> bool {
+        if entry.basis != AdmissionBasis::Unmeasured || self.fleet.has_measured_speed {
             return false;
         }
-        let tried = self.trying.and_then(|request| self.requests.get(&request));
-        tried.and_then(Entry::attempt).is_some_and(|attempt| attempt.first_token.is_none())
+        let trial = self.unmeasured_trial.and_then(|request| self.requests.get(&request));
+        trial
+            .and_then(RequestEntry::attempt)
+            .is_some_and(|attempt| attempt.first_token_at.is_none())
     }
 
-    /// Seconds until the first token of `entry`, if it is admitted now.
-    pub(super) fn predict(&self, entry: &Entry, now: Time) -> Prediction {
+    /// Predicts the time to first token of `entry` if it is admitted now.
+    pub(super) fn predict(&self, entry: &RequestEntry, now: Time) -> Prediction {
         let band = entry.band.index();
-        let slowed = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
-        let own = entry.uncached / (self.fleet.typical_rate * slowed);
-        let capacity = if entry.band.is_long() { self.long_rate * slowed } else { self.short_rate };
+        let speed_left = if entry.band.is_long() { 1.0 - self.short_load() } else { 1.0 };
+        let own = entry.uncached / (self.fleet.typical_rate * speed_left);
+        let capacity =
+            if entry.band.is_long() { self.long_rate * speed_left } else { self.short_rate };
         let capacity = capacity.max(1.0);
-        let lower: f64 = (0..band).map(|b| self.lanes[b].tokens() + self.peers.queued[b]).sum();
-        let queued = lower + self.lanes[entry.lane].tokens() + self.peers.queued[band];
-        let wait = (self.inflight[band] + lower) / capacity;
+        let lower: f64 = (0..band).map(|b| self.queues[b].tokens() + self.peers.queued[b]).sum();
+        let queued = lower + self.queues[entry.queue_index].tokens() + self.peers.queued[band];
+        let wait = (self.total_prefill_ahead[band] + lower) / capacity;
         if queued > 0.0 || entry.needs_several() {
-            let own_wait = self.wait_for_share(entry, capacity, now);
-            return Prediction { others: wait, own, own_wait };
+            let workspace_wait = self.workspace_wait(entry, capacity, now);
+            return Prediction { others: wait, own, workspace_wait };
+        }
+        // No request is queued, so this one goes to the engine that is free first.
+        Prediction {
+            others: wait.min(self.shortest_wait[band] / speed_left),
+            own,
+            workspace_wait: 0.0,
         }
-        // Nobody waits: it goes to the engine that is free first.
-        Prediction { others: wait.min(self.least_wait[band] / slowed), own, own_wait: 0.0 }
     }
 
-    /// Seconds until its workspace's turn comes in the lane. The workspace can count on its share
-    /// of the lane, and on what the others of late left of it if that is more.
-    fn wait_for_share(&self, entry: &Entry, capacity: f64, now: Time) -> f64 {
-        let lane = &self.lanes[entry.lane];
+    /// Seconds until the queue of the request's workspace is served up to this request. The
+    /// workspace gets its share of the capacity, or what the other workspaces have recently left
+    /// unused if that is more.
+    fn workspace_wait(&self, entry: &RequestEntry, capacity: f64, now: Time) -> f64 {
+        let queue = &self.queues[entry.queue_index];
         let state = self.workspaces.get(entry.workspace);
-        let line = &state.lines[entry.lane];
+        let workspace_queue = &state.queues[entry.queue_index];
         let peers = state.peers_waiting.min(self.peers.queued[entry.band.index()]);
-        let mine = line.tokens() + peers;
-        let newcomer = if line.tokens() > 0.0 { 0.0 } else { state.weight };
-        let share = capacity * state.weight / (lane.weights() + newcomer);
-        let own = line.demand.rate(seconds(now), HALF_LIFE) + state.peers_served;
+        let mine = workspace_queue.tokens() + peers;
+        let newcomer = if workspace_queue.tokens() > 0.0 { 0.0 } else { state.weight };
+        let share = capacity * state.weight / (queue.weights() + newcomer);
+        let own =
+            workspace_queue.demand.rate(seconds(now), TRAFFIC_HALF_LIFE_S) + state.peers_served;
         let others = (self.total_demand[entry.band.index()] - own).max(0.0);
         mine / share.max(capacity - others).min(capacity)
     }
 
-    /// The part of the engines' speed that short prompts use.
+    /// Share of the engines' total speed that short prompts use.
     pub(super) fn short_load(&self) -> f64 {
-        (self.total_demand[0] / self.fleet.total_rate.max(1.0)).min(MOST_SHORT_LOAD)
+        (self.total_demand[0] / self.fleet.total_rate.max(1.0)).min(MAX_SHORT_LOAD)
     }
 
-    /// Whether a request may be run against the prediction: nothing is under way that it could
-    /// delay, and the last such trial is a while ago.
-    fn may_try(&mut self, now: Time) -> bool {
+    /// Whether a request may be run against the prediction: no request is in flight that it could
+    /// delay, and the last trial is at least [`TRIAL_INTERVAL_S`] ago.
+    fn may_start_trial(&mut self, now: Time) -> bool {
         let idle = self.requests.is_empty();
-        let due = seconds(now) - self.last_trial >= TRIAL_EVERY;
+        let due = seconds(now) - self.last_trial_at >= TRIAL_INTERVAL_S;
         if idle && due {
-            self.last_trial = seconds(now);
+            self.last_trial_at = seconds(now);
         }
         idle && due
     }
 
-    fn make_room(
+    fn ensure_queue_room(
         &mut self,
         workspace: WorkspaceIndex,
-        entry: &Entry,
+        entry: &RequestEntry,
         now: Time,
     ) -> Result<(), Refusal> {
-        // Failed attempts come back whatever the room, so more than one may have to go.
+        // Requests whose attempt failed are queued again even if the queues are full, so more than
+        // one may have to be dropped.
         while self.waiting >= self.rules.limits.waiting {
-            let over = self.workspaces.furthest_over(entry.prompt(), workspace);
-            let lines = &self.workspaces.get(over).lines;
-            let last = lines.iter().filter_map(|line| line.last()).max();
+            let over = self.workspaces.most_over_share(entry.prompt(), workspace);
+            let queues = &self.workspaces.get(over).queues;
+            let last = queues.iter().filter_map(|workspace_queue| workspace_queue.last()).max();
             match last.filter(|_| over != workspace) {
                 Some(last) => self.fail(last.request, FailCause::Shed, now),
                 None => return Err(self.refusal(RefusalReason::OverShare, entry.predicted)),
@@ -327,18 +357,18 @@
         Refusal::new(reason, self.retry_after(seconds))
     }
 
-    /// What a caller is told for a wait of about `seconds`.
+    /// The retry delay to report for a wait of about `seconds`.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
-        let seconds = seconds.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end());
-        span(seconds * (1.0 + RETRY_SPREAD * self.rng.f64()))
+        let seconds = seconds.clamp(*RETRY_AFTER_RANGE_S.start(), *RETRY_AFTER_RANGE_S.end());
+        span(seconds * (1.0 + RETRY_JITTER_SHARE * self.rng.f64()))
     }
 
-    /// What may be said of a request's run when it is given up now.
-    pub(super) fn ran(entry: &Entry) -> RunStatus {
+    /// Whether a request that is given up now has run on an endpoint.
+    pub(super) fn run_status(entry: &RequestEntry) -> RunStatus {
         match &entry.state {
             _ if entry.passed_on.0 > 0 => RunStatus::Yes,
-            State::Running(attempt) if attempt.first_token.is_some() => RunStatus::Yes,
-            State::Running(_) => RunStatus::Unknown,
+            RequestState::Running(attempt) if attempt.first_token_at.is_some() => RunStatus::Yes,
+            RequestState::Running(_) => RunStatus::Unknown,
             _ if entry.may_have_run => RunStatus::Unknown,
             _ => RunStatus::No,
         }
--- a/crates/policy/src/adaptive/answers.rs
+++ b/crates/policy/src/adaptive/answers.rs
@@ -1,28 +1,28 @@
-//! What answers teach.
+//! Learning from answers.
 //!
 //! **Load pattern.** Engines change under load, and no report says how.
 //!
-//! **Without it.** Predictions stay as wrong as they were on the first day.
+//! **Without it.** Predictions never become better than the initial assumptions.
 //!
-//! **Rule.** An attempt's first token gives one sample of the engine's speed, of the error of the
-//! prediction made on admission and of the engine's health; a whole answer gives one of decoding and
-//! pays into the retry budgets. Word of an attempt that is over teaches nothing.
+//! **Rule.** An attempt's first token gives a sample of the engine's speed, of the error of the
+//! admission's prediction, and of the engine's health. A complete answer gives a sample of the
+//! decode speed and adds to the retry budgets. Events of ended attempts are ignored.
 //!
-//! **Grounds.** A first token after a retry says more of the failure than of the engine, so only
-//! first attempts count for the margin; a prompt over several engines says nothing of the speed of
-//! one.
+//! **Grounds.** A first token after a retry depends more on the failure than on the engine, so only
+//! first attempts count for the margin. A prompt over several engines says nothing about the speed
+//! of a single one.
 
 use crate::{Outcome, RequestId, Time, Tokens};
 
 use super::{
     AdaptiveScheduler,
-    request::{Attempt, Basis, Entry, State},
+    request::{AdmissionBasis, Attempt, RequestEntry, RequestState},
     seconds, span,
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 impl AdaptiveScheduler {
-    /// Takes note of an attempt's first token; `cached` as the engine counted it.
+    /// Handles an attempt's first token; `cached` is the engine's own count.
     pub(super) fn first_token(
         &mut self,
         request: RequestId,
@@ -36,21 +36,21 @@
         self.end_prefill(request, cached, now);
     }
 
-    /// Takes note of generated tokens: the endpoint is alive.
+    /// Handles generated tokens, which show that the endpoint is alive.
     pub(super) fn progressed(&mut self, request: RequestId, attempt: u32, now: Time) {
         if !self.is_running(request, attempt) {
             return;
         }
-        let shard = self.requests.get(&request).and_then(Entry::runs_on);
-        if let Some(endpoint) = shard.and_then(|shard| self.fleet.of(shard)) {
-            endpoint.progressed(now);
+        let shard = self.requests.get(&request).and_then(RequestEntry::runs_on);
+        if let Some(endpoint) = shard.and_then(|shard| self.fleet.for_shard(shard)) {
+            endpoint.record_progress(now);
         }
     }
 
-    /// Takes note of a request's end and forgets it.
+    /// Handles a request's end and removes the request.
     pub(super) fn ended(&mut self, request: RequestId, outcome: &Outcome, now: Time) {
         if let Outcome::Finished { output, .. } = outcome {
-            // A plain service's answer comes whole, so it has no first token of its own.
+            // A plain service's answer arrives as a whole, without a first token of its own.
             self.end_prefill(request, None, now);
             self.finished(request, *output, now);
         }
@@ -59,12 +59,12 @@
 
     fn finished(&mut self, request: RequestId, output: Tokens, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let State::Running(attempt) = &entry.state else { return };
-        self.quarantine.completed(entry.req.fingerprint);
+        let RequestState::Running(attempt) = &entry.state else { return };
+        self.quarantine.record_completion(entry.req.fingerprint);
         if let Some(shard) = attempt.shards.first() {
-            self.budgets.succeeded(&entry.req.workspace, &shard.endpoint, now);
+            self.budgets.record_success(&entry.req.workspace, &shard.endpoint, now);
         }
-        if let Some(first) = attempt.first_token {
+        if let Some(first) = attempt.first_token_at {
             let generated = (output - entry.passed_on).0 as f64;
             let allowed = entry.req.max_output.0 as f64;
             self.decode.observe(generated, allowed, now.since(first).as_secs_f64());
@@ -73,73 +73,74 @@
 
     fn end_prefill(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        let State::Running(attempt) = &mut entry.state else { return };
-        if attempt.first_token.is_some() {
+        let RequestState::Running(attempt) = &mut entry.state else { return };
+        if attempt.first_token_at.is_some() {
             return;
         }
-        attempt.first_token = Some(now);
+        attempt.first_token_at = Some(now);
         self.long_prefills.swap_remove(&request);
         let is_long = entry.band.is_long();
-        self.learn_of_endpoint(request, cached, now);
+        self.learn_from_first_token(request, cached, now);
         let Some(entry) = self.requests.get(&request) else { return };
-        if entry.attempts == 1 && entry.basis == Basis::Prediction {
+        if entry.attempts == 1 && entry.basis == AdmissionBasis::Prediction {
             let actual = seconds(now) - seconds(entry.req.arrived);
             self.learn_margin(request, actual, now);
         }
         if is_long {
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         }
     }
 
-    /// Takes note of what became of the prediction made on admission. One that consisted mostly of
-    /// the wait for its own workspace's turn says something of that workspace alone.
+    /// Compares the admission's prediction with the actual time. If the prediction consisted mostly
+    /// of the wait in the workspace's own queue, it only affects the margin of that queue.
     pub(super) fn learn_margin(&mut self, request: RequestId, actual: f64, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let base = entry.predicted - entry.own_wait;
-        if entry.own_wait > base {
-            let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-            line.margin.observe((actual - base) / entry.own_wait);
+        let base = entry.predicted - entry.workspace_wait;
+        if entry.workspace_wait > base {
+            let workspace_queue =
+                &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+            workspace_queue.margin.observe((actual - base) / entry.workspace_wait);
         } else {
-            self.margins[entry.lane].observe(entry.predicted, actual, seconds(now));
+            self.margins[entry.queue_index].observe(entry.predicted, actual, seconds(now));
         }
     }
 
-    fn learn_of_endpoint(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
+    fn learn_from_first_token(&mut self, request: RequestId, cached: Option<Tokens>, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let State::Running(attempt) = &entry.state else { return };
+        let RequestState::Running(attempt) = &entry.state else { return };
         let Some(shard) = attempt.shards.first() else { return };
         let typical = self.fleet.typical_rate;
-        let Some(endpoint) = self.fleet.of(shard) else { return };
-        endpoint.prefilled(entry.band, attempt.prefill);
-        endpoint.progressed(now);
-        endpoint.note_moment(now);
+        let Some(endpoint) = self.fleet.for_shard(shard) else { return };
+        endpoint.finish_prefill(entry.band, attempt.prefill);
+        endpoint.record_progress(now);
+        endpoint.record_load(now);
         let done = prefilled(entry, attempt, cached);
-        let overtaken = endpoint.short_done - attempt.short_done;
+        let overtaken = endpoint.short_prefilled - attempt.short_prefilled;
         let is_long = entry.band.is_long();
         let work = attempt.ahead + done + if is_long { overtaken } else { 0.0 };
         if !is_long {
-            endpoint.short_done += done;
+            endpoint.short_prefilled += done;
         }
-        endpoint.count_done(done, seconds(now));
-        let taken = now.since(attempt.sent);
-        if entry.lane != SPREAD {
+        endpoint.record_prefilled(done, seconds(now));
+        let taken = now.since(attempt.sent_at);
+        if entry.queue_index != MULTI_ENGINE_QUEUE {
             let mut elapsed = taken.as_secs_f64() - 2.0 * endpoint.distance;
-            if attempt.beside_longs {
+            if attempt.shares_with_long_prefill {
                 let rate = endpoint.speed.rate().unwrap_or(typical);
-                self.beside_longs.observe(work / rate, elapsed);
-                elapsed -= self.beside_longs.seconds().min(elapsed / 2.0);
+                self.long_prefill_delay.observe(work / rate, elapsed);
+                elapsed -= self.long_prefill_delay.seconds().min(elapsed / 2.0);
             }
             endpoint.speed.observe(work, elapsed, seconds(now));
-            self.health.answered(&shard.endpoint, taken, span(attempt.predicted));
+            self.health.record_answer(&shard.endpoint, taken, span(attempt.predicted));
         }
         if let Some(cached) = cached {
-            self.cache.found(&shard.endpoint, attempt.cached, cached);
+            self.cache.record_cached(&shard.endpoint, attempt.cached, cached);
         }
     }
 }
 
 /// The prompt tokens that the engine had to prefill.
-fn prefilled(entry: &Entry, attempt: &Attempt, cached: Option<Tokens>) -> f64 {
+fn prefilled(entry: &RequestEntry, attempt: &Attempt, cached: Option<Tokens>) -> f64 {
     let cached = cached.unwrap_or(attempt.cached);
     (entry.req.prompt + entry.passed_on - cached).0.max(1) as f64
 }
--- a/crates/policy/src/adaptive/dispatch.rs
+++ b/crates/policy/src/adaptive/dispatch.rs
@@ -1,26 +1,26 @@
-//! What goes to the engines, and when.
+//! Dispatch: when a request is sent, and to which engine.
 //!
-//! **Load pattern.** More waits than the engines do at once; what comes next may be more urgent
-//! than what came before.
+//! **Load pattern.** More requests wait than the engines can serve at once, and a later request may
+//! be more urgent than an earlier one.
 //!
-//! **Without it.** A request that stands in an engine's queue can't be overtaken, moved or taken
-//! back: the order is fixed when it is sent, by whoever sent most.
+//! **Without it.** A request in an engine's queue can't be reordered, moved or withdrawn. The order
+//! is fixed when requests are sent, in favour of whoever sends most.
 //!
-//! **Rule.** An engine gets only so much prefill ahead that it doesn't run dry before it can get
-//! more: a budget in predicted seconds for each band (see [`super::class`]), not a number of
-//! requests. All else waits here. Which engine it is, [`crate::selection`] chooses among those with
-//! room. Short prompts have the higher engine priority, so their budget counts
-//! short ones only. The cost of an engine is the prompt's own predicted first token, weighted by
-//! its class, and the delay of those that it would overtake there, weighted by theirs; so short
-//! ones avoid engines with long prompts until that costs them as much as they spare.
+//! **Rule.** An engine only gets as much prefill in advance as it needs to stay busy until it can
+//! get more: a budget in predicted seconds for each band (see [`super::band`]), not a number of
+//! requests. All other requests wait here. [`crate::selection`] chooses among the engines that have
+//! room. Short prompts have the higher engine priority, so only short prompts count towards their
+//! budget. The cost of an engine is the predicted time to the prompt's own first token, weighted by
+//! its class, plus the delay of the prompts that it would overtake there, weighted by theirs. Short
+//! prompts therefore avoid engines with long prompts until that costs them as much as it saves.
 //!
-//! Each instance goes first to its own part of the endpoints: on the others' it expects the work
-//! that they have likely sent since they were last heard.
+//! Each instance prefers its own share of the endpoints. On the others it adds the unreported work:
+//! what the other instances have probably sent there since their last digest.
 //!
-//! **Grounds.** A tenth of the longest short prefill is several round trips within a region and
-//! several chunks of prefill; what it adds to a short prompt's wait is below what its caller
-//! notices. For longer bands the budget is a few percent of their own prefill time. Going to one's
-//! own part first is measured in `docs/decisions/scheduling.md`.
+//! **Grounds.** A tenth of the longest short prefill covers several round trips within a region and
+//! several chunks of prefill, and callers don't notice what it adds to a short prompt's wait. For
+//! longer bands, the budget is a few percent of their own prefill time. The effect of preferring a
+//! share of the endpoints was measured in `docs/decisions/scheduling.md`.
 
 use std::time::Duration;
 
@@ -31,35 +31,35 @@
 
 use super::{
     AdaptiveScheduler,
-    class::Band,
+    band::Band,
     endpoint::Endpoint,
-    request::{Attempt, Basis, Due, Entry, State},
+    request::{AdmissionBasis, Attempt, RequestEntry, RequestState, RequestTimer},
     seconds,
     shortlist::Shortlist,
     span,
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
-/// Workspaces whose first request is looked at before a lane counts as blocked. The first may be
-/// barred from the only engine with room, because it failed there or needs more memory.
-const LOOKAHEAD: usize = 4;
-/// An endpoint at this share of the typical speed or above isn't a slow one.
-const ORDINARY: f64 = 0.5;
+/// Number of workspaces whose first request is tried before a queue counts as blocked. The first
+/// request may be excluded from the only engine with room because it failed there or needs more
+/// memory.
+const LOOKAHEAD_WORKSPACES: usize = 4;
+/// Minimum speed, as a share of the typical one, of an endpoint that doesn't count as slow.
+const MIN_ORDINARY_SPEED_SHARE: f64 = 0.5;
 
-/// Where a waiting request can go.
-enum Place {
-    /// Here, now.
-    At(Chosen),
-    /// Nowhere yet.
-    Later,
-    /// Nowhere in time.
+/// What to do with a waiting request.
+enum DispatchChoice {
+    /// Start it now on this endpoint.
+    Start(ChosenEndpoint),
+    /// Leave it in the queue: no endpoint has room.
+    Wait,
+    /// Give it up: no endpoint can meet its first-token deadline.
     TooLate,
-    /// On several engines only: it is larger than any engine's memory.
-    Spread,
+    /// Place it on several engines: it needs more memory than any engine has.
+    NeedsSeveral,
 }
 
-/// The endpoint chosen for a request.
-struct Chosen {
+struct ChosenEndpoint {
     endpoint: EndpointId,
     cached: Tokens,
     /// Seconds until the first token.
@@ -67,7 +67,7 @@
 }
 
 impl AdaptiveScheduler {
-    /// Starts what can be started, shortest band first.
+    /// Starts as many waiting requests as fit, shortest band first.
     pub(super) fn dispatch(&mut self, now: Time) {
         if self.waiting == 0 {
             return;
@@ -77,107 +77,111 @@
         }
     }
 
-    /// Starts or gives up one request of a lane; false where the lane is empty or blocked.
-    fn start_next(&mut self, lane: usize, now: Time) -> bool {
-        let is_short = lane == Band::SHORT.index();
-        if is_short && !self.pace.allows(seconds(now)) {
+    /// Starts, moves or gives up one request of a queue. Returns false if the queue is empty or
+    /// blocked.
+    fn start_next(&mut self, queue_index: usize, now: Time) -> bool {
+        let is_short = queue_index == Band::SHORT.index();
+        if is_short && !self.short_limiter.allows(seconds(now)) {
             return false;
         }
-        let turns: Vec<_> = self.lanes[lane].turns().take(LOOKAHEAD).collect();
-        for workspace in turns {
-            let Some(first) = self.workspaces.get(workspace).lines[lane].first() else { continue };
-            match self.place(first.request, now) {
-                Place::At(chosen) => {
+        let workspaces_in_order: Vec<_> =
+            self.queues[queue_index].workspaces_in_order().take(LOOKAHEAD_WORKSPACES).collect();
+        for workspace in workspaces_in_order {
+            let Some(first) = self.workspaces.get(workspace).queues[queue_index].first() else {
+                continue;
+            };
+            match self.choose_endpoint(first.request, now) {
+                DispatchChoice::Start(chosen) => {
                     self.start_on_one(first.request, &chosen, now);
                     return true;
                 }
-                Place::TooLate => {
+                DispatchChoice::TooLate => {
                     self.fail(first.request, FailCause::Deadline, now);
                     return true;
                 }
-                Place::Spread => {
-                    self.spread(first.request);
+                DispatchChoice::NeedsSeveral => {
+                    self.move_to_multi_engine_queue(first.request);
                     return true;
                 }
-                Place::Later => {}
+                DispatchChoice::Wait => {}
             }
         }
         false
     }
 
-    /// Moves a request to the lane of prompts that need several engines.
+    /// Moves a request to the queue of prompts that need several engines.
     ///
-    /// It was admitted before the engines had told their memory, or engines with more have left
-    /// since. In the lane of its band it would fit nowhere, and would hold up its workspace's
-    /// other requests until its deadline.
-    fn spread(&mut self, request: RequestId) {
-        self.leave_lane(request, false);
+    /// This happens if the request was admitted before the engines reported their memory, or if
+    /// larger engines have been removed since. In the queue of its band it would fit on no engine,
+    /// and would block its workspace's other requests until its deadline.
+    fn move_to_multi_engine_queue(&mut self, request: RequestId) {
+        self.dequeue(request, false);
         if let Some(entry) = self.requests.get_mut(&request) {
-            entry.lane = SPREAD;
+            entry.queue_index = MULTI_ENGINE_QUEUE;
         }
         self.enqueue(request);
     }
 
-    fn place(&mut self, request: RequestId, now: Time) -> Place {
+    fn choose_endpoint(&mut self, request: RequestId, now: Time) -> DispatchChoice {
         let shortlist = self.shortlist(request, now);
-        let Some(entry) = self.requests.get(&request) else { return Place::Later };
+        let Some(entry) = self.requests.get(&request) else { return DispatchChoice::Wait };
         if self.fleet.usable > 0 && entry.footprint() > self.fleet.largest_memory {
-            return Place::Spread;
+            return DispatchChoice::NeedsSeveral;
         }
         if self.must_wait_for_trial(entry) {
-            return Place::Later;
+            return DispatchChoice::Wait;
         }
-        let ask = self.ask(entry);
+        let selection = self.selection_request(entry);
         let listed = shortlist.indices().filter_map(|index| self.fleet.endpoints.get_index(index));
         let candidates: Vec<Candidate> =
             listed.filter_map(|(_, endpoint)| self.candidate(entry, endpoint, now)).collect();
-        let Some(index) = selection::choose(&candidates, &ask, &mut self.rng) else {
-            return Place::Later;
+        let Some(index) = selection::choose(&candidates, &selection, &mut self.rng) else {
+            return DispatchChoice::Wait;
         };
         let chosen = &candidates[index];
-        let first_token = selection::first_token(chosen, &ask);
-        let goes_anyway = entry.basis.goes_anyway(self.fleet.learned);
-        if !goes_anyway && now + first_token > entry.bound {
-            return self.too_late(entry, &candidates, &ask, now);
+        let first_token = selection::first_token(chosen, &selection);
+        let overrides_prediction = entry.basis.overrides_prediction(self.fleet.has_measured_speed);
+        if !overrides_prediction && now + first_token > entry.first_token_by {
+            return self.too_late(entry, &candidates, &selection, now);
         }
-        Place::At(Chosen {
+        DispatchChoice::Start(ChosenEndpoint {
             endpoint: chosen.endpoint.clone(),
             cached: chosen.cached.min(entry.req.prompt),
             predicted: first_token.as_secs_f64(),
         })
     }
 
-    /// What becomes of a request that can't make its bound where it would go. A slow endpoint may
-    /// be the only one with room at this moment; then the request waits for a better one.
+    /// Decides about a request that can't meet its first-token deadline on the chosen endpoint. If
+    /// only a slow endpoint has room at the moment, the request waits for a faster one.
     fn too_late(
         &self,
-        entry: &Entry,
+        entry: &RequestEntry,
         candidates: &[Candidate],
-        ask: &SelectionRequest,
+        selection: &SelectionRequest,
         now: Time,
-    ) -> Place {
-        let ordinary = self.fleet.typical_rate * ORDINARY;
+    ) -> DispatchChoice {
+        let min_rate = self.fleet.typical_rate * MIN_ORDINARY_SPEED_SHARE;
         let first_tokens = candidates
             .iter()
-            .filter(|candidate| candidate.rate.0 >= ordinary)
-            .map(|candidate| selection::first_token(candidate, ask));
+            .filter(|candidate| candidate.rate.0 >= min_rate)
+            .map(|candidate| selection::first_token(candidate, selection));
         match first_tokens.min() {
-            Some(least) if now + least > entry.bound => Place::TooLate,
-            _ => Place::Later,
+            Some(least) if now + least > entry.first_token_by => DispatchChoice::TooLate,
+            _ => DispatchChoice::Wait,
         }
     }
 
-    /// The endpoints with room for a request and the least wait, and the last one that had a
-    /// prompt with the same beginning.
+    /// The endpoints with room for a request and the shortest wait, plus the endpoint that last
+    /// received a prompt with the same first block.
     fn shortlist(&mut self, request: RequestId, now: Time) -> Shortlist {
         let mut list = Shortlist::default();
         let Some(entry) = self.requests.get(&request) else { return list };
         let (band, footprint) = (entry.band, entry.footprint());
-        let budget = self.bands.budget(band);
+        let budget = self.band_limits.budget(band);
         let typical = self.fleet.typical_rate;
         let count = self.fleet.endpoints.len().max(1);
         let start = self.rng.usize(..count);
-        let holder = entry.req.prefix.first().and_then(|first| self.holders.get(*first));
+        let holder = entry.req.prefix.first().and_then(|first| self.prefix_holders.get(*first));
         for index in (start..count).chain(0..start) {
             let Some((id, endpoint)) = self.fleet.endpoints.get_index_mut(index) else { continue };
             let rate = endpoint.speed.rate().unwrap_or(typical);
@@ -185,17 +189,20 @@
             if !endpoint.has_room(band, budget * rate, footprint, now) {
                 continue;
             }
-            let wait = endpoint.ahead(band) / rate;
-            let away = if endpoint.is_home { 0.0 } else { self.unreported_work };
-            let longs = endpoint.delayed_by(band).min(1);
-            let held = holder == Some(id);
-            let wait = wait + away + f64::from(longs) * budget + 2.0 * endpoint.distance;
-            list.offer(index, if held { f64::NEG_INFINITY } else { wait * endpoint.caution });
+            let wait = endpoint.prefill_ahead(band) / rate;
+            let unreported = if endpoint.is_preferred { 0.0 } else { self.unreported_work };
+            let delayed = endpoint.prompts_delayed_by(band).min(1);
+            let is_prefix_holder = holder == Some(id);
+            let wait = wait + unreported + f64::from(delayed) * budget + 2.0 * endpoint.distance;
+            list.offer(
+                index,
+                if is_prefix_holder { f64::NEG_INFINITY } else { wait * endpoint.penalty },
+            );
         }
         list
     }
 
-    fn ask(&self, entry: &Entry) -> SelectionRequest {
+    fn selection_request(&self, entry: &RequestEntry) -> SelectionRequest {
         SelectionRequest {
             prompt: entry.req.prompt,
             footprint: entry.req.footprint(),
@@ -206,37 +213,37 @@
         }
     }
 
-    /// An endpoint with room as a candidate for `entry`, where it may get it.
-    fn candidate(&self, entry: &Entry, endpoint: &Endpoint, now: Time) -> Option<Candidate> {
+    /// Converts an endpoint with room to a candidate, unless `entry` may not run there.
+    fn candidate(&self, entry: &RequestEntry, endpoint: &Endpoint, now: Time) -> Option<Candidate> {
         let band = entry.band;
         let rate = self.fleet.rate(endpoint);
         let free = endpoint.free(band);
-        if !entry.may_go_to(&endpoint.id, endpoint.incarnation) {
+        if !entry.may_run_on(&endpoint.id, endpoint.incarnation) {
             return None;
         }
         let fingerprint = entry.req.fingerprint;
         if !self.quarantine.may_run(fingerprint, &endpoint.id, self.fleet.usable, now) {
             return None;
         }
-        let left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
-        let wait = endpoint.ahead(band) / (rate * left)
+        let speed_left = if band.is_long() { 1.0 - self.short_load() } else { 1.0 };
+        let wait = endpoint.prefill_ahead(band) / (rate * speed_left)
             + endpoint.lateness(seconds(now), rate)
-            + if endpoint.is_home { 0.0 } else { self.unreported_work };
+            + if endpoint.is_preferred { 0.0 } else { self.unreported_work };
         Some(Candidate {
             endpoint: endpoint.id.clone(),
             wait: span(wait),
-            rate: TokenRate(rate * left),
-            cached: self.cache.expected(&endpoint.id, &entry.req.prefix),
+            rate: TokenRate(rate * speed_left),
+            cached: self.cache.expected_cached(&endpoint.id, &entry.req.prefix),
             distance: span(endpoint.distance),
             free: Tokens(free.min(1e18) as u64),
             shorts_running: 0,
-            longs_running: endpoint.delayed_by(band),
-            long_open: endpoint.open_to_longs,
-            caution: endpoint.caution,
+            longs_running: endpoint.prompts_delayed_by(band),
+            accepts_long: endpoint.open_to_long,
+            penalty: endpoint.penalty,
         })
     }
 
-    fn start_on_one(&mut self, request: RequestId, chosen: &Chosen, now: Time) {
+    fn start_on_one(&mut self, request: RequestId, chosen: &ChosenEndpoint, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
         let Some(endpoint) = self.fleet.get(&chosen.endpoint) else { return };
         let shard = Shard {
@@ -247,8 +254,8 @@
         self.start(request, vec![shard], chosen.cached, chosen.predicted, now);
     }
 
-    /// Starts a waiting request on `shards`, the first of which runs it, has `cached` of its
-    /// prompt, and is predicted to give the first token in `predicted` seconds.
+    /// Starts a waiting request on `shards`. The first shard runs it, has `cached` tokens of its
+    /// prompt in its cache, and is predicted to give the first token after `predicted` seconds.
     pub(super) fn start(
         &mut self,
         request: RequestId,
@@ -257,43 +264,43 @@
         predicted: f64,
         now: Time,
     ) {
-        self.leave_lane(request, true);
+        self.dequeue(request, true);
         let Some(entry) = self.requests.get_mut(&request) else { return };
-        self.due.remove(&Due { at: entry.due, request });
-        entry.due = entry.req.deadline;
-        self.due.insert(Due { at: entry.due, request });
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        entry.expires_at = entry.req.deadline;
+        self.expiries.insert(RequestTimer { at: entry.expires_at, request });
         entry.attempts += 1;
-        if entry.basis == Basis::Assumption {
-            self.trying = Some(request);
+        if entry.basis == AdmissionBasis::Unmeasured {
+            self.unmeasured_trial = Some(request);
         }
         let band = entry.band;
         let prefill = (entry.req.prompt + entry.passed_on - cached).0.max(1) as f64;
         for shard in &shards {
             if let Some(endpoint) = self.fleet.get_mut(&shard.endpoint) {
-                endpoint.hold(band, shard.tokens.0 as f64);
+                endpoint.reserve_memory(band, shard.tokens.0 as f64);
             }
         }
         let first = shards.first().and_then(|shard| self.fleet.get_mut(&shard.endpoint));
         let Some(endpoint) = first else { return };
         if let Some(first) = entry.req.prefix.first() {
-            self.holders.sent(*first, &endpoint.id);
+            self.prefix_holders.record_sent(*first, &endpoint.id);
         }
-        self.cache.sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
-        self.quarantine.started(entry.req.fingerprint, &endpoint.id, now);
+        self.cache.record_sent(&endpoint.id, endpoint.incarnation, &entry.req.prefix);
+        self.quarantine.record_start(entry.req.fingerprint, &endpoint.id, now);
         let attempt = Attempt {
-            sent: now,
+            sent_at: now,
             predicted,
             cached,
-            ahead: endpoint.modelled_ahead(band),
-            short_done: endpoint.short_done,
-            beside_longs: !band.is_long() && endpoint.delayed_by(band) > 0,
+            ahead: endpoint.modelled_prefill_ahead(band),
+            short_prefilled: endpoint.short_prefilled,
+            shares_with_long_prefill: !band.is_long() && endpoint.prompts_delayed_by(band) > 0,
             prefill,
-            first_token: None,
+            first_token_at: None,
             shards: shards.clone(),
         };
-        endpoint.sent(band, prefill, now);
-        endpoint.note_moment(now);
-        entry.state = State::Running(attempt);
+        endpoint.record_sent(band, prefill, now);
+        endpoint.record_load(now);
+        entry.state = RequestState::Running(attempt);
         self.decisions.push(Decision::Start(Start {
             request,
             attempt: entry.attempts,
@@ -302,52 +309,55 @@
         }));
         if band.is_long() {
             self.long_prefills.insert(request);
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         } else {
-            self.pace.started(prefill);
+            self.short_limiter.started(prefill);
         }
     }
 
-    /// Takes a request out of its lane; `served` where that is because it starts.
-    pub(super) fn leave_lane(&mut self, request: RequestId, served: bool) {
+    /// Removes a request from its queue; `served` if it starts.
+    pub(super) fn dequeue(&mut self, request: RequestId, served: bool) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let share = self.workspaces.share(entry.workspace);
-        let line = &mut self.workspaces.get_mut(entry.workspace).lines[entry.lane];
-        let lane = &mut self.lanes[entry.lane];
-        if !lane.remove(share, line, entry.waiting(), entry.prompt()) {
+        let weight = self.workspaces.weight_of(entry.workspace);
+        let workspace_queue =
+            &mut self.workspaces.get_mut(entry.workspace).queues[entry.queue_index];
+        let queue = &mut self.queues[entry.queue_index];
+        if !queue.remove(weight, workspace_queue, entry.waiting(), entry.prompt()) {
             return;
         }
         self.waiting -= 1;
-        // A further attempt of a request was paid for with the first.
+        // The workspace was charged for the first attempt; retries are free.
         if served && entry.attempts == 0 {
-            lane.charge(share, line, entry.cost);
+            queue.charge(weight, workspace_queue, entry.cost);
         }
     }
 
-    /// Ends the attempt under way, if any: its memory and prefill are free again.
-    pub(super) fn release(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
+    /// Ends the running attempt, if any, and releases its memory and prefill.
+    pub(super) fn end_attempt(&mut self, request: RequestId, now: Time) -> Option<Attempt> {
         let entry = self.requests.get_mut(&request)?;
-        if !matches!(entry.state, State::Running(_)) {
+        if !matches!(entry.state, RequestState::Running(_)) {
             return None;
         }
-        let State::Running(attempt) = std::mem::replace(&mut entry.state, State::Waiting) else {
+        let RequestState::Running(attempt) =
+            std::mem::replace(&mut entry.state, RequestState::Waiting)
+        else {
             return None;
         };
         let band = entry.band;
         self.long_prefills.swap_remove(&request);
         for (index, shard) in attempt.shards.iter().enumerate() {
-            let Some(endpoint) = self.fleet.of(shard) else { continue };
-            endpoint.release(band, shard.tokens.0 as f64);
-            if index == 0 && attempt.first_token.is_none() {
-                endpoint.prefilled(band, attempt.prefill);
+            let Some(endpoint) = self.fleet.for_shard(shard) else { continue };
+            endpoint.release_memory(band, shard.tokens.0 as f64);
+            if index == 0 && attempt.first_token_at.is_none() {
+                endpoint.finish_prefill(band, attempt.prefill);
             }
-            endpoint.note_moment(now);
+            endpoint.record_load(now);
         }
         Some(attempt)
     }
 }
 
-/// Tokens as a whole number, rounded up.
-pub(super) fn whole(tokens: f64) -> Tokens {
+/// Rounds tokens up to a whole number.
+pub(super) fn ceil_tokens(tokens: f64) -> Tokens {
     Tokens(tokens.ceil().max(0.0) as u64)
 }
--- a/crates/policy/src/adaptive/failover.rs
+++ b/crates/policy/src/adaptive/failover.rs
@@ -1,23 +1,25 @@
-//! What happens to a request whose attempt failed.
+//! Retries after failed attempts.
 //!
-//! **Load pattern.** One of four engines dies with everything on it; or an endpoint fails each
-//! call at once; or the answer to a call that must not be repeated is lost.
+//! **Load pattern.** One of four engines dies with all its requests; or an endpoint fails each call
+//! at once; or the answer to a call that must not be repeated is lost.
 //!
-//! **Without it.** Everything lost is sent again at the same moment and drowns the three engines
-//! left; calls that fail fast are repeated without end; a registration runs twice.
+//! **Without it.** All lost requests are sent again at the same moment and overload the remaining
+//! three engines. Calls that fail fast are retried endlessly. A registration runs twice.
 //!
-//! **Rule.** A request that may have begun to run is sent again only if it is repeatable, only to a
-//! life of an endpoint that it didn't run on before, at most [`MAX_FAILURES`] times, after a random
-//! backoff, and only if the retry budget pays; else its caller hears at once that it failed and
-//! whether it ran. It goes back into its workspace's queue under its old bound, so the nearest
-//! bound goes first, under the same budgets of prefill as all others: no rush. It resumes after
-//! the tokens that the caller has. What was surely not run (nothing sent, or rejected) may always
-//! be tried again until its bound.
+//! **Rule.** A request that may have started to run is retried only if it is repeatable, only on an
+//! incarnation of an endpoint that hasn't run it before, at most until it has failed
+//! [`MAX_FAILURES`] times, after a random back-off, and only if the retry budget allows it.
+//! Otherwise its caller learns at once that it failed and whether it ran. A retried request returns
+//! to its workspace's queue with its old first-token deadline, so the earliest deadline still goes
+//! first, and under the same prefill budgets as all other requests, so retries cause no burst. It
+//! resumes after the tokens that the caller already has. A request that certainly hasn't run (it
+//! wasn't sent, or was rejected) may always be retried until its deadline.
 //!
-//! **Grounds.** A retry budget bounds the load that failures add to a share of what succeeds. The
-//! first loss of an endpoint is outside it: a death takes a batch with it at once, which is no
-//! storm as it can't recur without another death. Three failures mean that the request, not the
-//! endpoints, is at fault.
+//! **Grounds.** A retry budget limits the load added by failures to a share of the successful
+//! requests. The first time a request is lost with its endpoint doesn't count against the budget: a
+//! death loses a batch of requests at once, but that is no retry storm, since it can't recur
+//! without another death. After three failures, the request is more likely to be the cause than the
+//! endpoints.
 
 use std::time::Duration;
 
@@ -29,19 +31,20 @@
 use super::{
     AdaptiveScheduler,
     endpoint::Endpoint,
-    request::{Basis, Due, Entry, State, Tried},
+    request::{AdmissionBasis, EndpointIncarnation, RequestEntry, RequestState, RequestTimer},
 };
 
 /// Failed attempts after which a request is given up.
 const MAX_FAILURES: u32 = 3;
-/// Rejections after which a request is given up: at backoffs that double up to a second, longer
-/// than most deadlines.
+/// Attempts, including rejected ones, after which a request is given up. With back-offs that double
+/// up to a second, they last longer than most deadlines.
 const MAX_ATTEMPTS: u32 = 200;
-/// How long an endpoint that refused for lack of room isn't asked again: a few decode steps.
-const FULL_FOR: Duration = Duration::from_millis(50);
-/// How long one that couldn't be reached or died isn't asked again, until something better is
-/// known of it.
-const GONE_FOR: Duration = Duration::from_millis(500);
+/// How long no requests are sent to an endpoint after it rejected one for lack of room: a few
+/// decode steps.
+const FULL_BLOCK_TIME: Duration = Duration::from_millis(50);
+/// How long no requests are sent to an endpoint after it couldn't be reached, fell silent or died;
+/// a new incarnation ends the block.
+const UNREACHABLE_BLOCK_TIME: Duration = Duration::from_millis(500);
 impl AdaptiveScheduler {
     pub(super) fn attempt_failed(
         &mut self,
@@ -55,28 +58,31 @@
             return;
         }
         if cause == FailCause::EndpointDied {
-            self.note_death(request, now);
+            self.record_death(request, now);
         }
-        let Some(ended) = self.release(request, now) else { return };
+        let Some(ended) = self.end_attempt(request, now) else { return };
         let not_run = matches!(cause, FailCause::NotSent | FailCause::Rejected);
-        self.mark_endpoints(&ended.shards, cause, now);
+        self.block_endpoints(&ended.shards, cause, now);
         if let Some(shard) = ended.shards.first() {
-            self.health.failed(&shard.endpoint, cause);
+            self.health.record_failure(&shard.endpoint, cause);
         }
         let Some(entry) = self.requests.get_mut(&request) else { return };
         entry.passed_on = entry.passed_on.max(passed_on);
         entry.may_have_run |= !not_run;
         if cause != FailCause::Rejected {
             entry.failures += u32::from(!not_run);
-            let tried = ended.shards.into_iter().take(1);
-            for shard in tried {
-                let tried = Tried { endpoint: shard.endpoint, incarnation: shard.incarnation };
-                entry.note_tried(tried, cause);
+            let first_shard = ended.shards.into_iter().take(1);
+            for shard in first_shard {
+                let incarnation = EndpointIncarnation {
+                    endpoint: shard.endpoint,
+                    incarnation: shard.incarnation,
+                };
+                entry.exclude(incarnation, cause);
             }
         }
         let fingerprint = entry.req.fingerprint;
         if cause != FailCause::EndpointDied {
-            self.quarantine.stopped(fingerprint);
+            self.quarantine.record_stop(fingerprint);
         }
         match self.give_up_cause(request, cause, now) {
             Some(cause) => self.fail(request, cause, now),
@@ -84,12 +90,15 @@
         }
     }
 
-    /// Fails an admitted request towards its caller and forgets it.
+    /// Reports the failure of an admitted request and removes the request.
     pub(super) fn fail(&mut self, request: RequestId, cause: FailCause, now: Time) {
         let Some(entry) = self.requests.get(&request) else { return };
-        let ran = Self::ran(entry);
+        let ran = Self::run_status(entry);
         let predicted = self.predict(entry, now).seconds();
-        if cause == FailCause::Deadline && entry.attempts == 0 && entry.basis == Basis::Prediction {
+        if cause == FailCause::Deadline
+            && entry.attempts == 0
+            && entry.basis == AdmissionBasis::Prediction
+        {
             let waited = now.since(entry.req.arrived).as_secs_f64();
             self.learn_margin(request, waited, now);
         }
@@ -99,39 +108,39 @@
         self.decisions.push(Decision::Fail { request, failure });
     }
 
-    /// Drops all that is known of a request.
+    /// Removes a request and all its state.
     pub(super) fn forget(&mut self, request: RequestId, now: Time) {
-        self.leave_lane(request, false);
-        if self.release(request, now).is_some()
+        self.dequeue(request, false);
+        if self.end_attempt(request, now).is_some()
             && let Some(entry) = self.requests.get(&request)
         {
-            self.quarantine.stopped(entry.req.fingerprint);
+            self.quarantine.record_stop(entry.req.fingerprint);
         }
         let Some(entry) = self.requests.swap_remove(&request) else { return };
-        self.assumed.shift_remove(&request);
-        self.due.remove(&Due { at: entry.due, request });
-        if let State::BackingOff(at) = entry.state {
-            self.later.remove(&Due { at, request });
+        self.unmeasured_requests.shift_remove(&request);
+        self.expiries.remove(&RequestTimer { at: entry.expires_at, request });
+        if let RequestState::BackingOff(at) = entry.state {
+            self.backoffs.remove(&RequestTimer { at, request });
         }
         let state = self.workspaces.get_mut(entry.workspace);
-        state.under_way = state.under_way.saturating_sub(1);
+        state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// Puts requests whose backoff is over back into their lanes.
+    /// Puts requests whose back-off has ended back into their queues.
     pub(super) fn end_backoffs(&mut self, now: Time) {
-        while let Some(due) = self.later.first().copied().filter(|due| due.at <= now) {
-            self.later.remove(&due);
-            self.enqueue(due.request);
+        while let Some(timer) = self.backoffs.first().copied().filter(|timer| timer.at <= now) {
+            self.backoffs.remove(&timer);
+            self.enqueue(timer.request);
         }
     }
 
     pub(super) fn is_running(&self, request: RequestId, attempt: u32) -> bool {
         self.requests.get(&request).is_some_and(|entry| {
-            entry.attempts == attempt && matches!(entry.state, State::Running(_))
+            entry.attempts == attempt && matches!(entry.state, RequestState::Running(_))
         })
     }
 
-    /// Why a request isn't tried again; none where it is.
+    /// The reason why a request isn't retried; none if it is.
     fn give_up_cause(
         &mut self,
         request: RequestId,
@@ -142,10 +151,8 @@
         if entry.may_have_run && !entry.req.repeatable {
             return Some(cause);
         }
-        if matches!(
-            self.quarantine.standing(entry.req.fingerprint, now),
-            QuarantineState::Refused(_)
-        ) {
+        if matches!(self.quarantine.state(entry.req.fingerprint, now), QuarantineState::Refused(_))
+        {
             return Some(FailCause::Quarantined);
         }
         if entry.failures >= MAX_FAILURES || entry.attempts >= MAX_ATTEMPTS {
@@ -162,8 +169,8 @@
         if free {
             return None;
         }
-        let endpoint = &entry.tried.last()?.endpoint;
-        let paid = self.budgets.pay(&entry.req.workspace, endpoint, now);
+        let endpoint = &entry.excluded.last()?.endpoint;
+        let paid = self.budgets.try_spend(&entry.req.workspace, endpoint, now);
         (!paid).then_some(FailCause::RetryBudget)
     }
 
@@ -173,47 +180,52 @@
         if entry.passed_on > Tokens::ZERO {
             let left = (entry.req.max_output - entry.passed_on).0 as f64;
             let needed = super::span(decode.seconds(left)).as_micros() as u64;
-            entry.bound = Time(entry.req.deadline.0.saturating_sub(needed)).max(entry.bound);
+            entry.first_token_by =
+                Time(entry.req.deadline.0.saturating_sub(needed)).max(entry.first_token_by);
         }
         let at = now + backoff(entry.attempts + 1, &mut self.rng);
-        entry.state = State::BackingOff(at);
-        self.later.insert(Due { at, request });
+        entry.state = RequestState::BackingOff(at);
+        self.backoffs.insert(RequestTimer { at, request });
     }
 
-    /// Puts all requests of this instance under suspicion that ran on the life that died, once for
-    /// each death, before the first of them is released from it.
-    fn note_death(&mut self, request: RequestId, now: Time) {
-        let Some(life) = self.requests.get(&request).and_then(Entry::runs_on).cloned() else {
+    /// Reports the requests of this instance that ran on a dead incarnation to the quarantine, as
+    /// suspects. This happens once per death, before the first of them is released.
+    fn record_death(&mut self, request: RequestId, now: Time) {
+        let Some(shard) = self.requests.get(&request).and_then(RequestEntry::runs_on).cloned()
+        else {
             return;
         };
-        let Some(endpoint) = self.fleet.of(&life) else { return };
-        if std::mem::replace(&mut endpoint.death_noted, true) {
+        let Some(endpoint) = self.fleet.for_shard(&shard) else { return };
+        if std::mem::replace(&mut endpoint.death_recorded, true) {
             return;
         }
-        let there = |entry: &&Entry| {
-            entry.runs_on().is_some_and(|shard| {
-                shard.endpoint == life.endpoint && shard.incarnation == life.incarnation
+        let ran_there = |entry: &&RequestEntry| {
+            entry.runs_on().is_some_and(|other| {
+                other.endpoint == shard.endpoint && other.incarnation == shard.incarnation
             })
         };
-        let entries = self.requests.values().filter(there);
+        let entries = self.requests.values().filter(ran_there);
         let present: Vec<Fingerprint> = entries.map(|entry| entry.req.fingerprint).collect();
-        self.quarantine.died(&life.endpoint, &present, now);
+        self.quarantine.record_death(&shard.endpoint, &present, now);
     }
 
-    fn mark_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
-        let pause = match cause {
-            FailCause::Rejected => FULL_FOR,
-            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => GONE_FOR,
+    fn block_endpoints(&mut self, shards: &[crate::Shard], cause: FailCause, now: Time) {
+        let block_time = match cause {
+            FailCause::Rejected => FULL_BLOCK_TIME,
+            FailCause::NotSent | FailCause::EndpointDied | FailCause::Silent => {
+                UNREACHABLE_BLOCK_TIME
+            }
             _ => return,
         };
-        // Which of several refused isn't known; the backoff covers that case.
+        // With several shards it isn't known which endpoint rejected the request; the back-off
+        // covers that case.
         let [shard] = shards else { return };
-        if let Some(endpoint) = self.fleet.of(shard) {
-            endpoint.full_until = endpoint.full_until.max(now + pause);
+        if let Some(endpoint) = self.fleet.for_shard(shard) {
+            endpoint.blocked_until = endpoint.blocked_until.max(now + block_time);
         }
     }
 }
 
-fn may_serve(entry: &Entry, endpoint: &Endpoint) -> bool {
-    endpoint.usable() && entry.may_go_to(&endpoint.id, endpoint.incarnation)
+fn may_serve(entry: &RequestEntry, endpoint: &Endpoint) -> bool {
+    endpoint.usable() && entry.may_run_on(&endpoint.id, endpoint.incarnation)
 }
--- a/crates/policy/src/adaptive/mod.rs
+++ b/crates/policy/src/adaptive/mod.rs
@@ -1,25 +1,26 @@
-//! The product's own scheduler.
+//! The adaptive scheduler, the default policy.
 //!
-//! Each module here answers one load pattern and says which. A request passes them in this order:
-//! [`workspaces`] and [`admit`] let it in or refuse it, [`queue`] holds it, [`dispatch`] or
-//! [`reserve`] sends it, [`failover`] sends it again, and [`learn`] makes the next prediction
-//! better. See `docs/decisions/scheduling.md` and `docs/decisions/long-beside-short.md`.
+//! Each module here handles one load pattern and describes it in its heading. A request passes
+//! through them in this order: [`workspaces`] and [`admit`] admit or refuse it, [`queue`] holds it,
+//! [`dispatch`] or [`reserve`] sends it, [`failover`] retries it after a failure, and [`learn`]
+//! uses the outcome to improve the next predictions. See `docs/decisions/scheduling.md` and
+//! `docs/decisions/long-beside-short.md`.
 
 mod admit;
 mod answers;
-mod class;
+mod band;
 mod dispatch;
 mod endpoint;
 mod failover;
 mod fleet;
+mod fleet_refresh;
 mod learn;
-mod longs;
-mod overview;
-mod pace;
+mod open_engines;
 mod peers;
 mod queue;
 mod request;
 mod reserve;
+mod short_rate_limit;
 mod shortlist;
 mod window;
 mod workspaces;
@@ -37,41 +38,42 @@
     health::Health,
     quarantine::Quarantine,
     report::WorkspaceShare,
-    retry::Budgets,
+    retry::RetryBudgets,
 };
 
-use class::Bands;
-use endpoint::ByBand;
+use band::BandLimits;
+use endpoint::PerBand;
 use fleet::Fleet;
-use learn::{BesideLongs, Decode, Margin};
-use longs::OpenEngines;
-use pace::ShortPace;
+use learn::{DecodeModel, LongPrefillDelay, PredictionMargin};
+use open_engines::OpenEngines;
 use peers::Peers;
-use queue::Lane;
-use request::{Due, Entry, State};
-use reserve::Plan;
-use shortlist::Holders;
-use window::Decayed;
-use workspaces::{HALF_LIFE, LANES, Workspaces};
+use queue::FairQueue;
+use request::{RequestEntry, RequestState, RequestTimer};
+use reserve::ReservationPlan;
+use short_rate_limit::ShortRateLimiter;
+use shortlist::PrefixHolders;
+use window::DecayedRate;
+use workspaces::{QUEUE_COUNT, TRAFFIC_HALF_LIFE_S, Workspaces};
 
-/// How often what waits is looked at even if nothing happens: modelled progress frees budget
-/// without an event, and a lost event must not strand anybody. A hundredth of a second is a tenth
-/// of the shortest budget.
-const TICK: Duration = Duration::from_millis(10);
-/// Half-life in seconds of the measured demand: a few long prompts' worth of time.
-const DEMAND_HALF_LIFE: f64 = 20.0;
-/// Weighted tokens a second below which a workspace isn't told to the other instances.
-const LEAST_TOLD: f64 = 1.0;
-/// The most workspaces told in one digest, busiest first, so that digests stay within the
-/// instances' budget for talk among themselves.
-const MOST_TOLD: usize = 64;
+/// How often the queues are polled while requests wait, even without an event. Modelled progress
+/// frees budget without an event, and a lost event must not leave requests waiting forever. Ten
+/// milliseconds are a tenth of the shortest budget.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Half-life in seconds of the measured demand: about the time that a few long prompts take.
+const DEMAND_HALF_LIFE_S: f64 = 20.0;
+/// Weighted tokens per second below which a workspace with nothing waiting is left out of digests.
+const MIN_REPORTED_TOKENS_PER_S: f64 = 1.0;
+/// Maximum number of workspaces in one digest, busiest first. It keeps digests within the bandwidth
+/// budget for traffic between instances.
+const MAX_REPORTED_WORKSPACES: usize = 64;
 
-/// What a second of a long prompt's first token weighs against a second of a short one's, where a
-/// site weighs both alike. A second more is a small part of the one and many times the other; this
-/// balance is measured in `docs/decisions/long-beside-short.md`.
-const LONG_WEIGHT: f64 = 0.4;
-/// Seconds between two judgements of the endpoints' health.
-const ASSESS_EVERY: f64 = 1.0;
+/// Weight of one second of a long prompt's time to first token relative to one second of a short
+/// prompt's, if a site weighs both alike. An extra second is a small part of a long prompt's time
+/// and a multiple of a short one's. The value was measured in
+/// `docs/decisions/long-beside-short.md`.
+const LONG_FIRST_TOKEN_FACTOR: f64 = 0.4;
+/// Seconds between two assessments of the endpoints' health.
+const HEALTH_INTERVAL_S: f64 = 1.0;
 
 #[derive(Debug, Default)]
 struct Rules {
@@ -79,7 +81,7 @@
     limits: Limits,
 }
 
-/// The product's scheduler; see the module's documentation.
+/// The adaptive scheduler; see the module's documentation.
 #[derive(Debug)]
 pub struct AdaptiveScheduler {
     instance: InstanceId,
@@ -89,73 +91,76 @@
     rules: Rules,
     fleet: Fleet,
     workspaces: Workspaces,
-    lanes: [Lane; LANES],
-    /// Requests that wait in lanes.
+    queues: [FairQueue; QUEUE_COUNT],
+    /// Number of requests waiting in `queues`.
     waiting: usize,
-    requests: IndexMap<RequestId, Entry>,
-    due: BTreeSet<Due>,
-    later: BTreeSet<Due>,
+    requests: IndexMap<RequestId, RequestEntry>,
+    expiries: BTreeSet<RequestTimer>,
+    backoffs: BTreeSet<RequestTimer>,
     decisions: Vec<Decision>,
-    plan: Option<Plan>,
+    plan: Option<ReservationPlan>,
     peers: Peers,
-    margins: [Margin; LANES],
-    decode: Decode,
-    beside_longs: BesideLongs,
-    demand: [Decayed; BANDS],
+    margins: [PredictionMargin; QUEUE_COUNT],
+    decode: DecodeModel,
+    long_prefill_delay: LongPrefillDelay,
+    demand: [DecayedRate; BANDS],
     open_engines: OpenEngines,
-    bands: Bands,
+    band_limits: BandLimits,
     health: Health,
-    assessed: f64,
-    /// Ejected endpoints whose probe is due.
+    health_assessed_at: f64,
+    /// Ejected endpoints that are due for a probe.
     probes: Vec<EndpointId>,
     cache: CacheIndex,
-    holders: Holders,
-    budgets: Budgets,
-    pace: ShortPace,
-    /// Long prompts of this instance without a first token.
+    prefix_holders: PrefixHolders,
+    budgets: RetryBudgets,
+    short_limiter: ShortRateLimiter,
+    /// Long prompts of this instance that are still being prefilled.
     long_prefills: IndexSet<RequestId>,
-    /// Prefill speed that short prompts can count on.
+    /// Prefill rate available to short prompts, in tokens per second.
     short_rate: f64,
-    /// Seconds of work that others have likely sent to an endpoint that isn't this one's home.
+    /// Estimated seconds of work that other instances have sent to an endpoint but not reported
+    /// yet, for endpoints that this instance doesn't prefer.
     unreported_work: f64,
     quarantine: Quarantine,
-    last_trial: f64,
-    /// Requests admitted before any speed was measured.
-    assumed: IndexSet<RequestId>,
-    /// The last of them that was started.
-    trying: Option<RequestId>,
-    /// Prompt tokens a second of all instances, by band.
-    total_demand: ByBand,
-    /// Prefill speed of the engines open to long prompts and with memory for them.
+    last_trial_at: f64,
+    /// Requests admitted before the speed of any engine was measured.
+    unmeasured_requests: IndexSet<RequestId>,
+    /// The request in `unmeasured_requests` that was started last.
+    unmeasured_trial: Option<RequestId>,
+    /// Demand of all instances by band, in prompt tokens per second.
+    total_demand: PerBand,
+    /// Total prefill rate of the engines that are open to long prompts and have memory for them, in
+    /// tokens per second.
     long_rate: f64,
-    /// Prefill on the engines that goes before a prompt of each band, and the least on any one in
-    /// seconds.
-    inflight: ByBand,
-    least_wait: ByBand,
+    /// Tokens on all engines that are prefilled before a new prompt of each band, and the shortest
+    /// such wait on a single engine, in seconds.
+    total_prefill_ahead: PerBand,
+    shortest_wait: PerBand,
 }
 
-/// Bytes that the scheduler keeps for one of each, without names and without what is queued.
+/// Memory per object in bytes, without names and queue entries.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
-    /// An endpoint, with its own load's history.
+    /// An endpoint, including its load history.
     pub endpoint: usize,
-    /// A workspace with nothing waiting.
+    /// A workspace without waiting requests.
     pub workspace: usize,
     /// An admitted request.
     pub request: usize,
 }
 
 impl AdaptiveScheduler {
-    /// What it keeps, for `decision_cost` and the page of capacities.
+    /// Sizes of the scheduler's objects, for the `decision_cost` example and the capacity
+    /// documentation.
     pub fn sizes() -> Sizes {
         Sizes {
             endpoint: endpoint::Endpoint::bytes(),
             workspace: size_of::<workspaces::WorkspaceState>(),
-            request: size_of::<Entry>(),
+            request: size_of::<RequestEntry>(),
         }
     }
 
-    /// A scheduler for one life of `instance`; `seed` starts its generator.
+    /// Creates a scheduler for one incarnation of `instance`; `seed` seeds its random generator.
     pub fn new(instance: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         AdaptiveScheduler {
             instance,
@@ -165,66 +170,67 @@
             rules: Rules::default(),
             fleet: Fleet::new(),
             workspaces: Workspaces::default(),
-            lanes: Default::default(),
+            queues: Default::default(),
             waiting: 0,
             requests: IndexMap::new(),
-            due: BTreeSet::new(),
-            later: BTreeSet::new(),
+            expiries: BTreeSet::new(),
+            backoffs: BTreeSet::new(),
             decisions: Vec::new(),
             plan: None,
             peers: Peers::default(),
-            margins: std::array::from_fn(|_| Margin::new()),
-            decode: Decode::new(),
-            beside_longs: BesideLongs::new(),
+            margins: std::array::from_fn(|_| PredictionMargin::new()),
+            decode: DecodeModel::new(),
+            long_prefill_delay: LongPrefillDelay::new(),
             demand: Default::default(),
             open_engines: OpenEngines::new(),
-            bands: Bands::new(),
+            band_limits: BandLimits::new(),
             health: Health::new(),
-            assessed: f64::NEG_INFINITY,
+            health_assessed_at: f64::NEG_INFINITY,
             probes: Vec::new(),
             cache: CacheIndex::new(),
-            holders: Holders::default(),
-            pace: ShortPace::default(),
+            prefix_holders: PrefixHolders::default(),
+            short_limiter: ShortRateLimiter::default(),
             long_prefills: IndexSet::new(),
             short_rate: 0.0,
             unreported_work: 0.0,
-            budgets: Budgets::new(Limits::default().retry_share),
+            budgets: RetryBudgets::new(Limits::default().retry_share),
             quarantine: Quarantine::new(),
-            last_trial: f64::NEG_INFINITY,
-            assumed: IndexSet::new(),
-            trying: None,
-            total_demand: ByBand::default(),
+            last_trial_at: f64::NEG_INFINITY,
+            unmeasured_requests: IndexSet::new(),
+            unmeasured_trial: None,
+            total_demand: PerBand::default(),
             long_rate: 0.0,
-            inflight: ByBand::default(),
-            least_wait: ByBand::default(),
+            total_prefill_ahead: PerBand::default(),
+            shortest_wait: PerBand::default(),
         }
     }
 
-    /// Fails what is past its bound or deadline.
+    /// Fails waiting requests that can no longer meet their first-token deadline, and all requests
+    /// past their final deadline.
     fn expire(&mut self, now: Time) {
-        while let Some(due) = self.due.first().copied().filter(|due| due.at <= now) {
-            self.due.remove(&due);
-            let Some(entry) = self.requests.get_mut(&due.request) else { continue };
+        while let Some(timer) = self.expiries.first().copied().filter(|timer| timer.at <= now) {
+            self.expiries.remove(&timer);
+            let Some(entry) = self.requests.get_mut(&timer.request) else { continue };
             let past_deadline = entry.req.deadline <= now;
-            if past_deadline || matches!(entry.state, State::Waiting) {
-                self.fail(due.request, FailCause::Deadline, now);
+            if past_deadline || matches!(entry.state, RequestState::Waiting) {
+                self.fail(timer.request, FailCause::Deadline, now);
                 continue;
             }
-            // It backs off; its deadline is what counts until it waits again.
-            entry.due = entry.req.deadline;
-            self.due.insert(Due { at: entry.due, ..due });
+            // While the request backs off, only its final deadline applies.
+            entry.expires_at = entry.req.deadline;
+            self.expiries.insert(RequestTimer { at: entry.expires_at, ..timer });
         }
     }
 
-    /// Takes over what another instance told.
-    fn peer_told(&mut self, digest: LoadDigest, now: Time) {
+    /// Applies a load digest from another instance.
+    fn apply_peer_digest(&mut self, digest: LoadDigest, now: Time) {
         if digest.instance == self.instance || !self.peers.is_new(&digest) {
             return;
         }
-        self.fleet.peer(&digest, now);
+        self.fleet.apply_peer_digest(&digest, now);
         self.quarantine.import(&digest.suspicions, now);
-        for endpoint in &digest.suspects_at {
-            self.quarantine.heard_running(endpoint, now);
+        for endpoint in &digest.suspect_endpoints {
+            self.quarantine.record_peer_suspect(endpoint, now);
         }
         self.peers.accept(digest, &mut self.workspaces, now);
     }
@@ -234,9 +240,9 @@
         if known.is_some_and(|known| change.incarnation > known) {
             self.health.reset(&change.endpoint);
         }
-        self.fleet.change(change, now);
+        self.fleet.apply_change(change, now);
         self.health.configure(self.fleet.endpoints.keys());
-        self.look_at_fleet(now);
+        self.refresh_fleet(now);
     }
 
     fn drop_stale_peers(&mut self, now: Time) {
@@ -246,25 +252,27 @@
     }
 
     fn peer_gone(&mut self, instance: &InstanceId, incarnation: Incarnation) {
-        if self.peers.gone(instance, incarnation, &mut self.workspaces) {
-            self.fleet.peer_gone(instance);
+        if self.peers.remove(instance, incarnation, &mut self.workspaces) {
+            self.fleet.remove_peer(instance);
         }
     }
 
-    fn told_workspaces(&self, now: Time) -> Vec<WorkspaceShare> {
+    fn workspace_shares(&self, now: Time) -> Vec<WorkspaceShare> {
         let share = |state: &workspaces::WorkspaceState| WorkspaceShare {
             workspace: state.name.clone(),
             waiting: Tokens(state.waiting() as u64),
-            served: TokenRate(state.served.rate(seconds(now), HALF_LIFE)),
+            served: TokenRate(state.served.rate(seconds(now), TRAFFIC_HALF_LIFE_S)),
         };
         let mut shares: Vec<WorkspaceShare> = self
             .workspaces
             .iter()
             .map(|(_, state)| share(state))
-            .filter(|share| share.waiting > Tokens::ZERO || share.served.0 >= LEAST_TOLD)
+            .filter(|share| {
+                share.waiting > Tokens::ZERO || share.served.0 >= MIN_REPORTED_TOKENS_PER_S
+            })
             .collect();
         shares.sort_by(|a, b| b.served.0.total_cmp(&a.served.0));
-        shares.truncate(MOST_TOLD);
+        shares.truncate(MAX_REPORTED_WORKSPACES);
         shares
     }
 }
@@ -278,44 +286,45 @@
         now: Time,
     ) {
         let weights = Weights {
-            long_first_token: rules.weights.long_first_token * LONG_WEIGHT,
+            long_first_token: rules.weights.long_first_token * LONG_FIRST_TOKEN_FACTOR,
             ..rules.weights
         };
         self.rules = Rules { weights, limits: rules.limits.clone() };
         self.workspaces.configure(workspaces, seconds(now));
-        for (lane, queue) in self.lanes.iter_mut().enumerate() {
-            let waiting = |state: &workspaces::WorkspaceState| state.lines[lane].first().is_some();
+        for (index, queue) in self.queues.iter_mut().enumerate() {
+            let waiting =
+                |state: &workspaces::WorkspaceState| state.queues[index].first().is_some();
             let all = self.workspaces.iter().filter(|(_, state)| waiting(state));
             queue.set_weights(all.map(|(_, state)| state.weight).sum());
         }
-        for gone in self.fleet.replace(endpoints, now) {
-            self.cache.forget(&gone);
+        for removed in self.fleet.replace(endpoints, now) {
+            self.cache.forget(&removed);
         }
         self.health.configure(self.fleet.endpoints.keys());
         self.budgets.configure(rules.limits.retry_share);
-        self.look_at_fleet(now);
+        self.refresh_fleet(now);
     }
 
     fn offer(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
-        if self.fleet.is_due(now) {
-            self.look_at_fleet(now);
+        if self.fleet.is_refresh_due(now) {
+            self.refresh_fleet(now);
         }
         self.admit(req, now)
     }
 
     fn poll(&mut self, now: Time) -> Vec<Decision> {
-        if self.fleet.is_due(now) {
+        if self.fleet.is_refresh_due(now) {
             self.drop_stale_peers(now);
-            self.look_at_fleet(now);
+            self.refresh_fleet(now);
         }
-        self.confirm_assumed(now);
+        self.recheck_unmeasured(now);
         self.expire(now);
         self.end_backoffs(now);
-        self.dispatch_spread(now);
-        let spread = self.lanes[workspaces::SPREAD].tokens();
+        self.dispatch_multi_engine(now);
+        let spread = self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens();
         self.dispatch(now);
-        if self.lanes[workspaces::SPREAD].tokens() > spread {
-            self.dispatch_spread(now);
+        if self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens() > spread {
+            self.dispatch_multi_engine(now);
         }
         std::mem::take(&mut self.decisions)
     }
@@ -324,10 +333,10 @@
         if !self.decisions.is_empty() {
             return Some(now);
         }
-        let tick = (self.waiting > 0).then(|| now + TICK);
-        let due = self.due.first().map(|due| due.at);
-        let later = self.later.first().map(|due| due.at);
-        [tick, due, later].into_iter().flatten().min()
+        let poll = (self.waiting > 0).then(|| now + POLL_INTERVAL);
+        let expiry = self.expiries.first().map(|timer| timer.at);
+        let backoff = self.backoffs.first().map(|timer| timer.at);
+        [poll, expiry, backoff].into_iter().flatten().min()
     }
 
     fn observe(&mut self, event: Event, now: Time) {
@@ -340,10 +349,10 @@
             Event::AttemptFailed { request, attempt, cause, passed_on } => {
                 self.attempt_failed(request, attempt, cause, passed_on, now);
             }
-            Event::Load(report) => self.fleet.report(&report, now),
+            Event::Load(report) => self.fleet.apply_report(&report, now),
             Event::Cache(events) => self.cache.apply(&events),
-            Event::Peer(digest) => self.peer_told(digest, now),
-            Event::PeerGone { instance, incarnation } => self.peer_gone(&instance, incarnation),
+            Event::Peer(digest) => self.apply_peer_digest(digest, now),
+            Event::PeerRemoved { instance, incarnation } => self.peer_gone(&instance, incarnation),
             Event::Endpoint(change) => self.endpoint_changed(&change, now),
             Event::Probe { endpoint, healthy } => self.probed(&endpoint, healthy, now),
         }
@@ -352,9 +361,9 @@
     fn digest(&mut self, now: Time) -> LoadDigest {
         self.sequence += 1;
         self.fleet.advance(now);
-        let shares = self.fleet.endpoints.values().filter(|e| e.is_told());
-        let mut queued = std::array::from_fn(|band| Tokens(self.lanes[band].tokens() as u64));
-        queued[BANDS - 1] += Tokens(self.lanes[workspaces::SPREAD].tokens() as u64);
+        let shares = self.fleet.endpoints.values().filter(|e| e.has_load_to_report());
+        let mut queued = std::array::from_fn(|band| Tokens(self.queues[band].tokens() as u64));
+        queued[BANDS - 1] += Tokens(self.queues[workspaces::MULTI_ENGINE_QUEUE].tokens() as u64);
         let mut suspicions = self.quarantine.export(now);
         suspicions.truncate(LoadDigest::MAX_ENTRIES);
         LoadDigest {
@@ -362,25 +371,30 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             endpoints: shares.map(endpoint::Endpoint::share).collect(),
-            workspaces: self.told_workspaces(now),
+            workspaces: self.workspace_shares(now),
             queued,
             demand: std::array::from_fn(|band| {
-                TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE))
+                TokenRate(self.demand[band].rate(seconds(now), DEMAND_HALF_LIFE_S))
             }),
-            wishes: self.wishes(now),
-            longs_late: self.longs_late(now),
+            pending_reservations: self.pending_reservations(now),
+            long_prompts_starved: self.has_starved_long_prompt(now),
             suspicions,
-            suspects_at: self.quarantine.running().take(LoadDigest::MAX_ENTRIES).cloned().collect(),
+            suspect_endpoints: self
+                .quarantine
+                .running()
+                .take(LoadDigest::MAX_ENTRIES)
+                .cloned()
+                .collect(),
         }
     }
 }
 
-/// A point in time in seconds since the origin.
+/// Converts a point in time to seconds since the origin.
 fn seconds(at: Time) -> f64 {
     at.0 as f64 / 1e6
 }
 
-/// A span of so many seconds; the longest where the number has no meaning as one.
+/// Converts seconds to a duration; values that a duration can't represent become the maximum.
 fn span(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX)
 }
--- a/crates/policy/src/adaptive/peers.rs
+++ b/crates/policy/src/adaptive/peers.rs
@@ -1,18 +1,18 @@
-//! What the other instances have queued and wish for.
+//! Queues and pending reservations of the other instances.
 //!
-//! **Load pattern.** Four instances stand before the same engines; the balancer spreads callers
-//! over them unevenly.
+//! **Load pattern.** Four instances send to the same engines, and the balancer distributes callers
+//! unevenly among them.
 //!
-//! **Without it.** Each instance promises the whole of the engines' speed to its own callers, and
-//! at full load three of four promises are broken.
+//! **Without it.** Each instance promises the full speed of the engines to its own callers, and at
+//! full load three of four promises are broken.
 //!
-//! **Rule.** Each instance's last digest counts until the next one or until the instance is gone.
-//! Queued tokens and demand are summed by band. A digest that is older than the one known, or of
-//! an older life, is ignored.
+//! **Rule.** An instance's last digest counts until the next one arrives or the instance is
+//! removed. Queued tokens and demand are summed up by band. A digest is ignored if it is older than
+//! the known one or of an older incarnation.
 //!
-//! **Grounds.** A digest replaces, it never adds, so that a repeated or late one can't be counted
-//! twice. [`STALE_AFTER`] bounds the harm of an instance whose loss nobody has told: its queue
-//! would otherwise be waited for until somebody does.
+//! **Grounds.** A digest replaces the one before and never adds to it, so repeated or late digests
+//! can't be counted twice. [`STALE_AFTER`] limits the harm of a lost instance whose removal hasn't
+//! been reported: until then, requests would wait for its queue.
 
 use std::time::Duration;
 
@@ -20,80 +20,86 @@
 
 use crate::{Incarnation, InstanceId, LoadDigest, PendingReservation, Time};
 
-use super::{endpoint::ByBand, workspaces::Workspaces};
+use super::{endpoint::PerBand, workspaces::Workspaces};
 
-/// The age at which a digest no longer counts: many digest intervals, and above membership's lag.
+/// Age at which a digest no longer counts: many digest intervals, and more than the delay of
+/// membership changes.
 const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// The other instances' digests.
+/// The latest digests of the other instances, and sums over them.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    views: IndexMap<InstanceId, View>,
-    pub(super) queued: ByBand,
-    pub(super) demand: ByBand,
-    /// Whether a long prompt of another instance is starved.
-    pub(super) longs_late: bool,
+    digests: IndexMap<InstanceId, ReceivedDigest>,
+    pub(super) queued: PerBand,
+    pub(super) demand: PerBand,
+    /// Whether another instance has a starved long prompt.
+    pub(super) has_starved_long_prompt: bool,
 }
 
 #[derive(Debug)]
-struct View {
-    received: Time,
+struct ReceivedDigest {
+    at: Time,
     digest: LoadDigest,
 }
 
-/// Another instance's wish for several engines.
+/// Another instance's pending reservation of several engines.
 #[derive(Debug)]
-pub(super) struct PeerWish<'a> {
+pub(super) struct PeerReservation<'a> {
     pub(super) instance: &'a InstanceId,
     pub(super) waited: Duration,
-    pub(super) wish: &'a PendingReservation,
+    pub(super) reservation: &'a PendingReservation,
 }
 
 impl Peers {
-    /// Instances in all, this one included.
+    /// Number of instances, including this one.
     pub(super) fn instances(&self) -> usize {
-        self.views.len() + 1
+        self.digests.len() + 1
     }
 
-    /// How old the oldest view of another instance is.
+    /// Age of the oldest digest among the other instances.
     pub(super) fn age(&self, now: Time) -> Duration {
-        self.views.values().map(|view| now.since(view.received)).max().unwrap_or_default()
+        self.digests.values().map(|received| now.since(received.at)).max().unwrap_or_default()
     }
 
-    /// This instance's place among all in the order of their names.
+    /// This instance's position among all instances, sorted by name.
     pub(super) fn rank(&self, own: &InstanceId) -> usize {
-        self.views.keys().filter(|instance| *instance < own).count()
+        self.digests.keys().filter(|instance| *instance < own).count()
     }
 
-    /// Whether `digest` is news.
+    /// Whether `digest` is newer than the known one.
     pub(super) fn is_new(&self, digest: &LoadDigest) -> bool {
-        self.views.get(&digest.instance).is_none_or(|view| {
-            (digest.incarnation, digest.sequence) > (view.digest.incarnation, view.digest.sequence)
+        self.digests.get(&digest.instance).is_none_or(|received| {
+            (digest.incarnation, digest.sequence)
+                > (received.digest.incarnation, received.digest.sequence)
         })
     }
 
-    /// Takes over a digest that is news.
+    /// Stores a digest that is newer than the known one.
     pub(super) fn accept(&mut self, digest: LoadDigest, workspaces: &mut Workspaces, now: Time) {
         let instance = digest.instance.clone();
-        if let Some(old) = self.views.swap_remove(&instance) {
+        if let Some(old) = self.digests.swap_remove(&instance) {
             count_workspaces(&old.digest, workspaces, -1.0);
         }
         count_workspaces(&digest, workspaces, 1.0);
-        self.views.insert(instance, View { received: now, digest });
+        self.digests.insert(instance, ReceivedDigest { at: now, digest });
         self.sum();
     }
 
-    /// Forgets an instance's life; true where it was known.
-    pub(super) fn gone(
+    /// Removes an incarnation of an instance; returns whether it was known.
+    pub(super) fn remove(
         &mut self,
         instance: &InstanceId,
         incarnation: Incarnation,
         workspaces: &mut Workspaces,
     ) -> bool {
-        if self.views.get(instance).is_none_or(|view| view.digest.incarnation > incarnation) {
+        if self
+            .digests
+            .get(instance)
+            .is_none_or(|received| received.digest.incarnation > incarnation)
+        {
             return false;
         }
-        if let Some(old) = self.views.swap_remove(instance) {
+        if let Some(old) = self.digests.swap_remove(instance) {
             count_workspaces(&old.digest, workspaces, -1.0);
         }
         self.sum();
@@ -102,38 +108,42 @@
 
     /// Instances whose digest is too old to count.
     pub(super) fn stale(&self, now: Time) -> Vec<(InstanceId, Incarnation)> {
-        self.views
+        self.digests
             .iter()
-            .filter(|(_, view)| now.since(view.received) > STALE_AFTER)
-            .map(|(instance, view)| (instance.clone(), view.digest.incarnation))
+            .filter(|(_, received)| now.since(received.at) > STALE_AFTER)
+            .map(|(instance, received)| (instance.clone(), received.digest.incarnation))
             .collect()
     }
 
-    /// The wish that each instance has put first.
-    pub(super) fn wishes(&self, now: Time) -> impl Iterator<Item = PeerWish<'_>> {
-        self.views.iter().filter_map(move |(instance, view)| {
-            let wish = view.digest.wishes.first()?;
-            let waited = wish.waited + now.since(view.received);
-            Some(PeerWish { instance, waited, wish })
+    /// The first pending reservation of each instance.
+    pub(super) fn pending_reservations(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = PeerReservation<'_>> {
+        self.digests.iter().filter_map(move |(instance, received)| {
+            let reservation = received.digest.pending_reservations.first()?;
+            let waited = reservation.waited + now.since(received.at);
+            Some(PeerReservation { instance, waited, reservation })
         })
     }
 
     fn sum(&mut self) {
-        self.queued = ByBand::default();
-        self.demand = ByBand::default();
-        self.longs_late = self.views.values().any(|view| view.digest.longs_late);
-        for view in self.views.values() {
-            for (sum, tokens) in self.queued.iter_mut().zip(view.digest.queued) {
+        self.queued = PerBand::default();
+        self.demand = PerBand::default();
+        self.has_starved_long_prompt =
+            self.digests.values().any(|received| received.digest.long_prompts_starved);
+        for received in self.digests.values() {
+            for (sum, tokens) in self.queued.iter_mut().zip(received.digest.queued) {
                 *sum += tokens.0 as f64;
             }
-            for (sum, rate) in self.demand.iter_mut().zip(view.digest.demand) {
+            for (sum, rate) in self.demand.iter_mut().zip(received.digest.demand) {
                 *sum += rate.0;
             }
         }
     }
 }
 
-/// Adds a digest's part to the workspaces, or takes it away with a `sign` of minus one.
+/// Adds a digest's values to the workspaces, or subtracts them if `sign` is -1.
 fn count_workspaces(digest: &LoadDigest, workspaces: &mut Workspaces, sign: f64) {
     for share in &digest.workspaces {
         if let Some(index) = workspaces.find(&share.workspace) {
--- a/crates/policy/src/adaptive/queue.rs
+++ b/crates/policy/src/adaptive/queue.rs
@@ -1,63 +1,66 @@
-//! Who is next among the waiting: fair shares among workspaces, earliest bound within one.
+//! Queues: fair shares among workspaces, earliest deadline first within one.
 //!
-//! **Load pattern.** One workspace sends ten times its share, in bursts; others send little and
-//! want quick answers.
+//! **Load pattern.** One workspace sends ten times its share in bursts, while others send little
+//! and expect quick answers.
 //!
-//! **Without it.** One queue in order of arrival makes everybody wait for the loudest.
+//! **Without it.** In a single first-come-first-served queue, all requests wait behind the busiest
+//! workspace.
 //!
-//! **Rule.** Start-time fair queueing, a form of deficit round robin that needs no rounds: each
-//! workspace has a tag that rises by the weighted tokens it was served, divided by its weight; the
-//! lowest tag is next. A workspace that had nothing waiting starts at the lane's present tag, so
-//! an idle share is lent to the others and given back the moment its owner returns, but can't
-//! be saved up. Each band of prompt length is a lane of its own: a caller's dossier doesn't count
-//! against its short questions. Within a workspace the earliest bound goes first.
+//! **Rule.** Start-time fair queueing, a relative of deficit round robin without rounds. Each
+//! workspace has a start tag that grows by the weighted tokens it is served, divided by its weight,
+//! and the workspace with the lowest tag is served next. A workspace that had nothing waiting
+//! starts at the queue's current virtual time. Its unused share goes to the others and returns to
+//! it as soon as it sends again, but can't be saved up. Each band of prompt lengths has a queue of
+//! its own, so a caller's long prompts don't count against its short ones. Within a workspace, the
+//! request with the earliest first-token deadline goes first.
 //!
-//! **Grounds.** Deficit round robin needs a quantum: a small one costs many rounds for a
-//! million-token prompt, a large one lets a thousand-token prompt wait for a round of large ones.
-//! Tags need neither and cost a logarithm: measured in `docs/decisions/scheduling.md`.
+//! **Grounds.** Deficit round robin needs a quantum: a small one takes many rounds for a prompt of
+//! a million tokens, and a large one makes a prompt of a thousand tokens wait for a round of large
+//! ones. Tags need neither and cost logarithmic time, as measured in
+//! `docs/decisions/scheduling.md`.
 
 use std::collections::BTreeSet;
 
 use crate::{RequestId, Time};
 
-use super::{learn::TurnMargin, window::Decayed};
+use super::{learn::QueueWaitMargin, window::DecayedRate};
 
-/// Tags count in thousandths of a weighted token, so that large weights still tell apart.
-const TAG_UNIT: f64 = 1000.0;
+/// Tags count thousandths of a weighted token, so that small costs stay distinct after division by
+/// a large weight.
+const TAG_UNITS_PER_TOKEN: f64 = 1000.0;
 
-/// A workspace by its place in the table of workspaces.
+/// Index of a workspace in the table of workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct WorkspaceIndex(pub(super) u32);
 
-/// A request that waits.
+/// Key of a waiting request, ordered by deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Waiting {
-    /// By when it wants its first token.
-    pub(super) bound: Time,
-    /// The request.
+    /// Deadline of the first token.
+    pub(super) first_token_by: Time,
     pub(super) request: RequestId,
 }
 
-/// One workspace's part of one lane.
+/// One workspace's requests in one [`FairQueue`].
 #[derive(Debug, Default)]
-pub(super) struct Line {
-    tag: u64,
-    queue: BTreeSet<Waiting>,
-    /// Prompt tokens that wait.
+pub(super) struct WorkspaceQueue {
+    start_tag: u64,
+    requests: BTreeSet<Waiting>,
+    /// Prompt tokens of the waiting requests.
     tokens: f64,
-    /// Prompt tokens admitted of late.
-    pub(super) demand: Decayed,
-    /// How far predictions of its waits are off.
-    pub(super) margin: TurnMargin,
+    /// Recently admitted prompt tokens.
+    pub(super) demand: DecayedRate,
+    /// Error of the predicted waits in this queue.
+    pub(super) margin: QueueWaitMargin,
 }
 
-impl Line {
+impl WorkspaceQueue {
     pub(super) fn first(&self) -> Option<Waiting> {
-        self.queue.first().copied()
+        self.requests.first().copied()
     }
 
     pub(super) fn last(&self) -> Option<Waiting> {
-        self.queue.last().copied()
+        self.requests.last().copied()
     }
 
     pub(super) fn tokens(&self) -> f64 {
@@ -65,79 +68,89 @@
     }
 }
 
-/// All waiting requests of one band.
+/// All waiting requests of one band, or those that need several engines.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
-    active: BTreeSet<Turn>,
-    now: u64,
+pub(super) struct FairQueue {
+    active: BTreeSet<QueuedWorkspace>,
+    virtual_time: u64,
     tokens: f64,
     weights: f64,
     len: usize,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    tag: u64,
+struct QueuedWorkspace {
+    start_tag: u64,
     workspace: WorkspaceIndex,
 }
 
-/// What a queue operation needs to know of its workspace.
+/// The workspace that a queue operation applies to, and its weight.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Share {
-    /// The workspace.
+pub(super) struct WorkspaceWeight {
     pub(super) workspace: WorkspaceIndex,
-    /// Its weight.
     pub(super) weight: f64,
 }
 
-impl Lane {
-    /// Prompt tokens that wait.
+impl FairQueue {
+    /// Prompt tokens of all waiting requests.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Sum of the weights of workspaces with something waiting.
+    /// Sum of the weights of the workspaces with waiting requests.
     pub(super) fn weights(&self) -> f64 {
         self.weights
     }
 
-    /// Takes over the sum of weights after they have changed.
+    /// Sets the sum of the weights after they have been reconfigured.
     pub(super) fn set_weights(&mut self, weights: f64) {
         self.weights = weights;
     }
 
-    /// Puts a request into its workspace's `line`.
-    pub(super) fn push(&mut self, share: Share, line: &mut Line, waiting: Waiting, tokens: f64) {
-        if line.queue.is_empty() {
-            line.tag = line.tag.max(self.now);
-            self.weights += share.weight;
-            self.active.insert(Turn { tag: line.tag, workspace: share.workspace });
+    /// Adds a request to `workspace_queue`.
+    pub(super) fn push(
+        &mut self,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
+        waiting: Waiting,
+        tokens: f64,
+    ) {
+        if workspace_queue.requests.is_empty() {
+            workspace_queue.start_tag = workspace_queue.start_tag.max(self.virtual_time);
+            self.weights += owner.weight;
+            self.active.insert(QueuedWorkspace {
+                start_tag: workspace_queue.start_tag,
+                workspace: owner.workspace,
+            });
         }
-        if line.queue.insert(waiting) {
-            line.tokens += tokens;
+        if workspace_queue.requests.insert(waiting) {
+            workspace_queue.tokens += tokens;
             self.tokens += tokens;
             self.len += 1;
         }
     }
 
-    /// Takes a request out, whether because it starts or because it is given up.
+    /// Removes a request that starts or is given up. Returns false if it wasn't queued.
     pub(super) fn remove(
         &mut self,
-        share: Share,
-        line: &mut Line,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
         waiting: Waiting,
         tokens: f64,
     ) -> bool {
-        if !line.queue.remove(&waiting) {
+        if !workspace_queue.requests.remove(&waiting) {
             return false;
         }
-        line.tokens = (line.tokens - tokens).max(0.0);
+        workspace_queue.tokens = (workspace_queue.tokens - tokens).max(0.0);
         self.tokens = (self.tokens - tokens).max(0.0);
         self.len -= 1;
-        if line.queue.is_empty() {
-            line.tokens = 0.0;
-            self.weights = (self.weights - share.weight).max(0.0);
-            self.active.remove(&Turn { tag: line.tag, workspace: share.workspace });
+        if workspace_queue.requests.is_empty() {
+            workspace_queue.tokens = 0.0;
+            self.weights = (self.weights - owner.weight).max(0.0);
+            self.active.remove(&QueuedWorkspace {
+                start_tag: workspace_queue.start_tag,
+                workspace: owner.workspace,
+            });
         }
         if self.len == 0 {
             self.tokens = 0.0;
@@ -146,19 +159,25 @@
         true
     }
 
-    /// Counts `cost` weighted tokens as served to a workspace.
-    pub(super) fn charge(&mut self, share: Share, line: &mut Line, cost: f64) {
-        let turn = Turn { tag: line.tag, workspace: share.workspace };
-        let waits = self.active.remove(&turn);
-        self.now = self.now.max(line.tag);
-        line.tag += (cost * TAG_UNIT / share.weight.max(0.001)) as u64;
+    /// Charges a workspace for `cost` weighted tokens.
+    pub(super) fn charge(
+        &mut self,
+        owner: WorkspaceWeight,
+        workspace_queue: &mut WorkspaceQueue,
+        cost: f64,
+    ) {
+        let queued =
+            QueuedWorkspace { start_tag: workspace_queue.start_tag, workspace: owner.workspace };
+        let waits = self.active.remove(&queued);
+        self.virtual_time = self.virtual_time.max(workspace_queue.start_tag);
+        workspace_queue.start_tag += (cost * TAG_UNITS_PER_TOKEN / owner.weight.max(0.001)) as u64;
         if waits {
-            self.active.insert(Turn { tag: line.tag, ..turn });
+            self.active.insert(QueuedWorkspace { start_tag: workspace_queue.start_tag, ..queued });
         }
     }
 
-    /// Workspaces with something waiting, lowest tag first.
-    pub(super) fn turns(&self) -> impl Iterator<Item = WorkspaceIndex> + '_ {
-        self.active.iter().map(|turn| turn.workspace)
+    /// Workspaces with waiting requests, lowest start tag first.
+    pub(super) fn workspaces_in_order(&self) -> impl Iterator<Item = WorkspaceIndex> + '_ {
+        self.active.iter().map(|queued| queued.workspace)
     }
 }
--- a/crates/policy/src/adaptive/request.rs
+++ b/crates/policy/src/adaptive/request.rs
@@ -1,116 +1,116 @@
-//! What is kept of one admitted request.
+//! State of an admitted request.
 
 use std::sync::Arc;
 
 use crate::{EndpointId, FailCause, Incarnation, RequestId, RequestSpec, Shard, Time, Tokens};
 
 use super::{
-    class::Band,
+    band::Band,
     queue::{Waiting, WorkspaceIndex},
-    workspaces::SPREAD,
+    workspaces::MULTI_ENGINE_QUEUE,
 };
 
 /// An admitted request that hasn't ended.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct RequestEntry {
     pub(super) req: Arc<RequestSpec>,
     pub(super) workspace: WorkspaceIndex,
     pub(super) band: Band,
-    /// The lane it waits in: its band's, or [`SPREAD`].
-    pub(super) lane: usize,
-    /// Prompt tokens that no engine is expected to have cached.
+    /// Index of its queue: its band, or [`MULTI_ENGINE_QUEUE`].
+    pub(super) queue_index: usize,
+    /// Prompt tokens that are expected in no engine's cache.
     pub(super) uncached: f64,
-    /// Weighted tokens, for shares.
+    /// Weighted tokens that its workspace is charged for.
     pub(super) cost: f64,
-    /// By when the next first token has to be out.
-    pub(super) bound: Time,
-    /// When it has to be looked at even if nothing happens.
-    pub(super) due: Time,
-    pub(super) state: State,
-    /// Attempts so far.
+    /// Deadline of the first token, or of the next one after a retry.
+    pub(super) first_token_by: Time,
+    /// When the scheduler has to check it even without an event.
+    pub(super) expires_at: Time,
+    pub(super) state: RequestState,
+    /// Number of attempts, including a running one.
     pub(super) attempts: u32,
-    /// Attempts that failed in a way that counts against the bound on attempts.
+    /// Number of failed attempts that count towards the limit.
     pub(super) failures: u32,
-    /// Where it isn't sent again.
-    pub(super) tried: Vec<Tried>,
-    /// Lives that fell silent once on this request; see [`Entry::note_tried`].
-    pub(super) silent: Vec<Tried>,
-    /// Whether an endpoint may have begun to run it.
+    /// Incarnations that it isn't sent to again.
+    pub(super) excluded: Vec<EndpointIncarnation>,
+    /// Incarnations that were silent on this request once; see [`RequestEntry::exclude`].
+    pub(super) silent_once: Vec<EndpointIncarnation>,
+    /// Whether an endpoint may have started to run it.
     pub(super) may_have_run: bool,
-    /// Tokens that the caller has.
+    /// Tokens already delivered to the caller.
     pub(super) passed_on: Tokens,
-    /// Seconds from arrival to first token, as predicted on admission.
+    /// Predicted seconds from arrival to first token, as of admission.
     pub(super) predicted: f64,
-    /// The part of it that is the wait for its own workspace's turn.
-    pub(super) own_wait: f64,
-    pub(super) basis: Basis,
+    /// The part of `predicted` that is the wait in its workspace's queue.
+    pub(super) workspace_wait: f64,
+    pub(super) basis: AdmissionBasis,
 }
 
-/// What an admission rests on.
+/// Why a request was admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Basis {
-    /// A prediction that keeps the bound.
+pub(super) enum AdmissionBasis {
+    /// The prediction meets the first-token deadline.
     Prediction,
-    /// The prediction said no by speeds that nobody has measured. It waits until they are, or is
-    /// the one request that tries them.
-    Assumption,
-    /// The prediction said no by measured speeds, which may be wrong.
+    /// The prediction doesn't meet the deadline, but no engine's speed has been measured. The
+    /// request waits for a measurement, or is the one request that is tried to get one.
+    Unmeasured,
+    /// The prediction doesn't meet the deadline, but the measured speeds may be wrong.
     Trial,
 }
 
-impl Basis {
-    /// Whether it goes to an engine although the prediction says no; `is_measured` where any
-    /// engine's speed is.
-    pub(super) fn goes_anyway(self, is_measured: bool) -> bool {
+impl AdmissionBasis {
+    /// Whether the request is sent although its prediction doesn't meet the deadline; `is_measured`
+    /// if the speed of any engine is measured.
+    pub(super) fn overrides_prediction(self, is_measured: bool) -> bool {
         match self {
-            Basis::Prediction => false,
-            Basis::Assumption => !is_measured,
-            Basis::Trial => true,
+            AdmissionBasis::Prediction => false,
+            AdmissionBasis::Unmeasured => !is_measured,
+            AdmissionBasis::Trial => true,
         }
     }
 }
 
 /// What an admitted request is doing.
 #[derive(Debug)]
-pub(super) enum State {
-    /// It waits in its lane.
+pub(super) enum RequestState {
+    /// Waiting in its queue.
     Waiting,
-    /// It waits out a backoff.
+    /// Backing off until this time.
     BackingOff(Time),
-    /// An attempt is under way.
+    /// Running on an endpoint.
     Running(Attempt),
 }
 
-/// A life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Tried {
+pub(super) struct EndpointIncarnation {
     pub(super) endpoint: EndpointId,
     pub(super) incarnation: Incarnation,
 }
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) shards: Vec<Shard>,
-    pub(super) sent: Time,
-    /// Seconds from then to the first token, as predicted.
+    pub(super) sent_at: Time,
+    /// Predicted seconds from `sent_at` to the first token.
     pub(super) predicted: f64,
-    /// Prompt tokens that the engine was expected to have cached.
+    /// Prompt tokens that were expected in the engine's cache.
     pub(super) cached: Tokens,
-    /// Work that stood before it there.
+    /// Prompt tokens ahead of it on the engine when it was sent.
     pub(super) ahead: f64,
-    /// The endpoint's count of short tokens done when it was sent.
-    pub(super) short_done: f64,
-    /// Whether it is a short prompt that was sent to an engine with a long one.
-    pub(super) beside_longs: bool,
-    /// Prompt tokens that have to be prefilled.
+    /// The endpoint's `short_prefilled` when it was sent.
+    pub(super) short_prefilled: f64,
+    /// Whether it is a short prompt on an engine that prefills a long one.
+    pub(super) shares_with_long_prefill: bool,
+    /// Prompt tokens to prefill.
     pub(super) prefill: f64,
-    pub(super) first_token: Option<Time>,
+    pub(super) first_token_at: Option<Time>,
 }
 
-impl Entry {
+impl RequestEntry {
     pub(super) fn waiting(&self) -> Waiting {
-        Waiting { bound: self.bound, request: self.req.id }
+        Waiting { first_token_by: self.first_token_by, request: self.req.id }
     }
 
     pub(super) fn prompt(&self) -> f64 {
@@ -121,45 +121,48 @@
         self.req.footprint().0 as f64
     }
 
-    /// The attempt under way.
+    /// The running attempt.
     pub(super) fn attempt(&self) -> Option<&Attempt> {
         match &self.state {
-            State::Running(attempt) => Some(attempt),
-            State::Waiting | State::BackingOff(_) => None,
+            RequestState::Running(attempt) => Some(attempt),
+            RequestState::Waiting | RequestState::BackingOff(_) => None,
         }
     }
 
-    /// The shard that runs it, while an attempt is under way.
+    /// The shard that runs the current attempt.
     pub(super) fn runs_on(&self) -> Option<&Shard> {
         self.attempt()?.shards.first()
     }
 
     pub(super) fn needs_several(&self) -> bool {
-        self.lane == SPREAD
+        self.queue_index == MULTI_ENGINE_QUEUE
     }
 
-    /// Takes note of a life that has had this request, so that it doesn't get it again.
+    /// Records that an incarnation has had this request, so that it doesn't get it again.
     ///
-    /// The first silence doesn't count: an open connection can go silent for good while the
-    /// endpoint works and new connections reach it. At a site with one engine the caller would
-    /// otherwise lose an answer that the engine still makes. A second silence does count, so a
-    /// request can't go round a silent endpoint.
-    pub(super) fn note_tried(&mut self, tried: Tried, cause: FailCause) {
-        if cause == FailCause::Silent && !self.silent.contains(&tried) {
-            self.silent.push(tried);
+    /// The first silence doesn't count, because a single open connection can go silent for good
+    /// while the endpoint works and accepts new connections. At a site with one engine, the caller
+    /// would otherwise lose an answer that the engine can still give. A second silence counts, so
+    /// that a request isn't sent to a silent endpoint again and again.
+    pub(super) fn exclude(&mut self, incarnation: EndpointIncarnation, cause: FailCause) {
+        if cause == FailCause::Silent && !self.silent_once.contains(&incarnation) {
+            self.silent_once.push(incarnation);
         } else {
-            self.tried.push(tried);
+            self.excluded.push(incarnation);
         }
     }
 
-    pub(super) fn may_go_to(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
-        !self.tried.iter().any(|t| t.endpoint == *endpoint && t.incarnation == incarnation)
+    pub(super) fn may_run_on(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
+        !self
+            .excluded
+            .iter()
+            .any(|other| other.endpoint == *endpoint && other.incarnation == incarnation)
     }
 }
 
-/// A request and a time at which something is to be done about it.
+/// A time at which a request has to be checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Due {
+pub(super) struct RequestTimer {
     pub(super) at: Time,
     pub(super) request: RequestId,
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,37 +1,42 @@
-//! Where each request of one endpoint group goes, and over how many engines its prompt is read.
+//! Placement of requests on the endpoints of one group, and the split of long prompts over several
+//! engines.
 //!
-//! **Load pattern.** Short questions are written on every engine while dossiers of a million tokens
-//! come in bursts; several instances place work without seeing each other's last milliseconds.
+//! **Load pattern.** Short questions are decoded on every engine while prompts of up to a million
+//! tokens arrive in bursts. Several instances place work at the same time, and each sees the
+//! others' latest placements only some milliseconds later.
 //!
-//! **Without it.** A dossier read beside writers is one pause of seconds for each of them, and a
-//! dossier that waits for its turn on one engine misses its goal, although most engines idle.
+//! **Without it.** Prefilling a long prompt on one engine stops all requests that decode there for
+//! seconds. A long prompt that queues for a single engine misses its goal although most engines are
+//! idle.
 //!
-//! **Rule.** The cost of a place is what callers lose by it: the request's own chance to be late,
-//! and that of everybody whose pause grows by its reading. A prompt is split into as many even
-//! parts as makes this least. Short ones gather where others write, so that the remaining engines
-//! stay free for long ones; nothing is set aside, and the border moves with each arrival. A long
-//! prompt is held until its engines have read what came before it ([`reading`]), and whatever costs
-//! others more than it is worth is refused.
+//! **Rule.** The cost of a placement is what callers lose by it: the probability that the request
+//! itself is late, plus that of every request whose pauses grow because of its prefill. A prompt is
+//! split into as many equal parts as minimise this cost. Short prompts are placed together with
+//! other decoding requests, so that the remaining engines stay free for long prompts; no engine is
+//! reserved, and the boundary shifts with every arrival. A long prompt is held until its engines
+//! have prefilled the earlier parts ([`prefill`]). A request that costs others more than it is
+//! worth is refused.
 //!
-//! **Grounds.** Writing costs hardly more for twelve requests than for one (a step takes 0.925 ms
-//! and 0.005 ms a request), while reading stops everybody, so gathering writers is nearly free.
-//! The figures stand in `docs/decisions/arrangement.md`.
+//! **Grounds.** Decoding twelve requests takes hardly longer than decoding one (a step takes 0.925
+//! ms plus 0.005 ms per request), while prefill stops every request on the engine, so placing
+//! decoding requests together is nearly free. The measurements are in
+//! `docs/decisions/arrangement.md`.
 
-mod ask;
-mod awaited;
 mod backoff;
 mod choose;
 mod decaying;
 mod decoding;
-mod herd;
-mod mean;
 mod overdue;
 mod pauses;
-mod reading;
+mod prefill;
+mod request;
 mod rules;
+mod running_mean;
 mod server;
 mod slots;
 mod split;
+mod unanswered;
+mod unreported;
 mod updates;
 mod wire;
 
@@ -40,10 +45,10 @@
 use fastrand::Rng;
 use indexmap::{IndexMap, IndexSet};
 
-pub use ask::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
 pub use decoding::DecodingLoad;
-pub use reading::PartKey;
-pub use rules::{Choice, PlacementRules};
+pub use prefill::PartKey;
+pub use request::{Helper, Job, JobId, Placement, PlacementRefusal, PlacementRequest};
+pub use rules::{PlacementRules, PlacementStrategy};
 pub use updates::{EndpointLoad, EndpointUpdate, PartUpdate, update_interval};
 
 use crate::{
@@ -56,67 +61,69 @@
 use decoding::whole_ms;
 use server::Server;
 
-/// Time between two judgements of the endpoints' health: a broken endpoint gets no more than what
-/// comes meanwhile.
-const ASSESS_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two assessments of the endpoints' health. Bounds what a failing endpoint still
+/// receives.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many times longer than its figures a busy engine takes: it reads others' prompts meanwhile, while
-/// most answers are shorter than they may be.
-const BUSY: f64 = 1.15;
+/// How many times longer a busy engine takes than its rules predict: it prefills other prompts
+/// meanwhile, but most answers are shorter than their maximum.
+const BUSY_SLOWDOWN: f64 = 1.15;
 
-/// Milliseconds until a busy engine begins: a few passes.
-const FIRST_PASSES_MS: f64 = 300.0;
+/// Milliseconds until a busy engine starts on a request: a few passes.
+const START_DELAY_MS: f64 = 300.0;
 
-/// How much later than a peer's next word its news of a first event is expected at most: a pass, and its way.
-const TOLD_AFTER_MORE: Duration = Duration::from_millis(50);
+/// How much later than the peer's next periodic update its report of a first event is expected at
+/// most: one pass plus the network delay.
+const UPDATE_DELAY_MARGIN: Duration = Duration::from_millis(50);
 
-/// Half-life of the share of long prompts: a burst begins and ends within seconds.
-const BURST: Duration = Duration::from_millis(1_500);
+/// Half-life of the share of long prompts and of the queueing statistics: bursts begin and end
+/// within seconds.
+const BURST_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// An endpoint as the instance learned of it.
+/// An endpoint of the group, as configured or registered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The endpoint.
+    /// Its name.
     pub endpoint: EndpointId,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it finishes what it has and gets nothing new.
+    /// Whether it finishes its running requests and accepts no new ones.
     pub leaving: bool,
 }
 
-/// Places the requests of one endpoint group, as one instance sees it.
+/// Places the requests of one endpoint group, from the view of one instance.
 #[derive(Debug)]
 pub struct GroupScheduler {
     rules: Option<EngineRules>,
     placement: PlacementRules,
     servers: IndexMap<EndpointId, Server>,
-    /// Instances that told of work.
+    /// Instances that have sent updates.
     peers: IndexSet<InstanceId>,
-    /// The servers' places by tag.
+    /// Indices into `servers` by tag.
     tags: IndexMap<EndpointTag, usize>,
     jobs: IndexMap<JobId, Job>,
     next_job: u64,
     health: Health,
     quarantine: Quarantine,
-    assessed: Time,
+    health_assessed_at: Time,
     rng: Rng,
-    /// Share of the engines' time that prompts too long to be read beside writers have taken of
-    /// late.
-    long_share: decaying::Decaying,
-    pauses: pauses::Pauses,
-    slots: slots::Slots,
-    herd: herd::Herd,
+    /// Recent prefill time, in milliseconds, of prompts too long to be prefilled on engines that
+    /// decode; its rate gives the share of engines that they need.
+    long_share: decaying::DecayingSum,
+    pause_goals: pauses::PauseGoals,
+    slot_usage: slots::SlotUsage,
+    unreported: unreported::UnreportedPlacements,
 }
 
 impl GroupScheduler {
-    /// Knows no endpoint yet; `seed` starts its generator.
+    /// A scheduler without endpoints; `seed` initialises its random generator.
     pub fn new(seed: u64) -> GroupScheduler {
         GroupScheduler::with_rules(PlacementRules::default(), seed)
     }
 
-    /// The same, with other rules than the usual ones.
+    /// The same with non-default placement rules.
     pub fn with_rules(placement: PlacementRules, seed: u64) -> GroupScheduler {
         GroupScheduler {
             rules: None,
@@ -128,21 +135,21 @@
             next_job: 0,
             health: Health::new(),
             quarantine: Quarantine::new(),
-            assessed: Time::ZERO,
+            health_assessed_at: Time::ZERO,
             rng: Rng::with_seed(seed),
-            long_share: decaying::Decaying::new(BURST),
-            pauses: pauses::Pauses::default(),
-            slots: slots::Slots::default(),
-            herd: herd::Herd::default(),
+            long_share: decaying::DecayingSum::new(BURST_HALF_LIFE),
+            pause_goals: pauses::PauseGoals::default(),
+            slot_usage: slots::SlotUsage::default(),
+            unreported: unreported::UnreportedPlacements::default(),
         }
     }
 
-    /// Takes over the group's rules.
+    /// Replaces the engine rules; a group without them is one of plain services.
     pub fn set_rules(&mut self, rules: Option<EngineRules>) {
         self.rules = rules;
     }
 
-    /// Takes over the group's endpoints. One with a new life starts with nothing known of it.
+    /// Replaces the group's endpoints. Nothing is carried over to a new incarnation.
     pub fn set_members(&mut self, members: Vec<Member>, now: Time) {
         let mut old = std::mem::take(&mut self.servers);
         self.health.configure(members.iter().map(|member| &member.endpoint));
@@ -163,220 +170,233 @@
         }
         self.tags = self.servers.keys().enumerate().map(|(i, id)| (id.into(), i)).collect();
         if !self.servers.is_empty() {
-            self.herd.begin(now);
+            self.unreported.record_start(now);
         }
     }
 
-    /// Endpoints that may get work.
-    pub fn usable(&self) -> usize {
+    /// Number of endpoints that accept new requests.
+    pub fn usable_endpoints(&self) -> usize {
         self.servers.values().filter(|server| !server.member.leaving).count()
     }
 
-    /// How long a request usually takes to its end, with room for a busy engine. Those who write beside it
-    /// are taken to be like it, but no longer than usual: questions stand among questions.
-    pub fn usual_time(&self, prompt: u64, output: u64) -> Duration {
+    /// Typical total duration of a request, with a margin for a busy engine. Requests that decode
+    /// alongside are assumed to have a similar context, but no longer than the group's usual one:
+    /// short requests are placed with short ones.
+    pub fn typical_duration(&self, prompt_tokens: u64, output_tokens: u64) -> Duration {
         let Some(rules) = &self.rules else { return Duration::ZERO };
-        let passes = output.div_ceil(u64::from(rules.stride.max(1))) as f64;
-        let context = rules.usual_context.min(prompt + output / 2);
-        let writing = passes * rules.pass_ms(rules.slots, context);
-        let ms = BUSY * (rules.read_ms(prompt) + writing) + FIRST_PASSES_MS;
+        let passes = output_tokens.div_ceil(u64::from(rules.stride.max(1))) as f64;
+        let context = rules.usual_context.min(prompt_tokens + output_tokens / 2);
+        let decode_passes_ms = passes * rules.pass_ms(rules.slots, context);
+        let ms = BUSY_SLOWDOWN * (rules.read_ms(prompt_tokens) + decode_passes_ms) + START_DELAY_MS;
         Duration::from_secs_f64(ms / 1000.0)
     }
 
-    /// Finds a place for a request, and counts it as sent there.
+    /// Chooses endpoints for a request and records it as placed there.
     ///
     /// # Errors
     ///
-    /// Where no endpoint may run it.
+    /// If no endpoint may run it, if it is quarantined, or if serving it would be too late or too
+    /// costly for others.
     pub fn place(
         &mut self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         now: Time,
     ) -> Result<Placement, PlacementRefusal> {
-        self.assess(now);
-        if let QuarantineState::Refused(left) = self.quarantine.standing(ask.fingerprint, now) {
+        self.assess_health(now);
+        if let QuarantineState::Refused(left) = self.quarantine.state(request.fingerprint, now) {
             return Err(PlacementRefusal::Quarantined(left));
         }
-        self.pauses.note(whole_ms(ask.pause_ms), now);
-        let spread = self.spread(now);
+        self.pause_goals.record(whole_ms(request.max_pause_ms), now);
+        let skipped = self.draw_skipped(now);
         if let Some(rules) = &self.rules {
-            // Word of a first event goes with the teller's next one.
-            let told_after = updates::update_interval(self.peers.len()) + TOLD_AFTER_MORE;
+            // First events are reported with the peer's next periodic update.
+            let update_delay = updates::update_interval(self.peers.len()) + UPDATE_DELAY_MARGIN;
             for server in self.servers.values_mut() {
-                server.follow(rules, told_after, now);
+                server.refresh(rules, update_delay, now);
             }
-            if rules.read_ms(ask.prompt) > self.short_ms() {
-                overdue::assess(&mut self.servers, self.placement.overdue_ms, told_after, now);
+            if rules.read_ms(request.prompt_tokens) > self.short_prefill_ms() {
+                overdue::update_risks(
+                    &mut self.servers,
+                    self.placement.overdue_ms,
+                    update_delay,
+                    now,
+                );
             }
         }
-        let chosen = match &self.rules {
-            Some(rules) => self.choose_engine(rules, ask, spread, now),
-            None => self.choose_plain(ask, now),
+        let plan = match &self.rules {
+            Some(rules) => self.choose_engine(rules, request, skipped, now),
+            None => self.choose_least_loaded(request, now),
         };
-        let chosen = chosen.ok_or(PlacementRefusal::NoEndpoint)?;
-        if let Some(queues) = chosen.queues {
-            self.slots.note(!queues, now);
+        let plan = plan.ok_or(PlacementRefusal::NoEndpoint)?;
+        if let Some(waits_for_slot) = plan.waits_for_slot {
+            self.slot_usage.record_request(!waits_for_slot, now);
         }
-        let late_ms = chosen.late_ms(ask, &self.placement, self.slots.is_overloaded(now));
-        if late_ms > 0.0 {
-            return Err(PlacementRefusal::TooLate(Duration::from_secs_f64(late_ms / 1000.0)));
+        let excess_ms =
+            plan.excess_ms(request, &self.placement, self.slot_usage.is_overloaded(now));
+        if excess_ms > 0.0 {
+            return Err(PlacementRefusal::TooLate(Duration::from_secs_f64(excess_ms / 1000.0)));
         }
-        if chosen.is_crowding(ask, &self.placement) {
-            return Err(PlacementRefusal::Crowded(choose::CROWDED_FOR));
+        if plan.costs_others_too_much(request, &self.placement) {
+            return Err(PlacementRefusal::Crowded(choose::CROWDED_RETRY_DELAY));
         }
-        Ok(self.commit(chosen, ask, now))
+        Ok(self.commit(plan, request, now))
     }
 
-    /// How many of the best places are passed over, as others may just have taken them.
-    fn spread(&mut self, now: Time) -> usize {
-        if self.herd.is_starting(now) {
+    /// Number of the best endpoints to skip, drawn at random because other instances may just have
+    /// chosen them.
+    fn draw_skipped(&mut self, now: Time) -> usize {
+        if self.unreported.is_starting(now) {
             return self.rng.usize(0..=self.servers.len());
         }
-        let unheard = self.herd.unheard(now) + self.rng.f64();
-        self.rng.usize(0..=unheard as usize)
+        let unreported = self.unreported.estimate(now) + self.rng.f64();
+        self.rng.usize(0..=unreported as usize)
     }
 
-    /// A connection to an endpoint took so long to be made.
-    pub fn connected(&mut self, endpoint: &EndpointId, took: Duration) {
+    /// Records how long it took to connect to an endpoint.
+    pub fn record_connect_time(&mut self, endpoint: &EndpointId, took: Duration) {
         let ms = took.as_secs_f64() * 1000.0;
-        self.herd.round_trip(ms);
+        self.unreported.record_round_trip(ms);
         if let Some(server) = self.servers.get_mut(endpoint) {
-            server.round_trip(ms);
+            server.record_round_trip(ms);
         }
     }
 
-    /// The first byte of an answer came.
-    pub fn began(&mut self, job: JobId, now: Time) {
-        let Some(known) = self.jobs.get_mut(&job) else { return };
-        if known.began.is_some() {
+    /// Records the first byte of an answer.
+    pub fn record_first_event(&mut self, job: JobId, now: Time) {
+        let Some(job) = self.jobs.get_mut(&job) else { return };
+        if job.first_event_at.is_some() {
             return;
         }
-        known.began = Some(now);
-        let taken = now.since(known.placed);
-        let predicted = Duration::from_secs_f64(known.predicted_ms.max(0.0) / 1000.0);
-        // Whatever was foretold, all of its parts have been read.
-        for reader in known.endpoints() {
-            if let Some(server) = self.servers.get_mut(reader) {
-                server.unread_own(known.key, true, now);
+        job.first_event_at = Some(now);
+        let taken = now.since(job.placed_at);
+        let predicted = Duration::from_secs_f64(job.predicted_ms.max(0.0) / 1000.0);
+        // The answer has begun, so all parts have been prefilled, whatever was predicted.
+        for endpoint in job.endpoints() {
+            if let Some(server) = self.servers.get_mut(endpoint) {
+                server.remove_own_part(job.key, true, now);
             }
         }
-        self.health.answered(&known.endpoint, taken, predicted);
-        if let Some(server) = self.servers.get_mut(&known.endpoint) {
-            server.answered();
-            server.untold_answer = true;
+        self.health.record_answer(&job.endpoint, taken, predicted);
+        if let Some(server) = self.servers.get_mut(&job.endpoint) {
+            server.clear_peer_failures();
+            server.unsent_answer = true;
             if let Some(rules) = &self.rules {
-                server.pass_began(rules, now);
+                server.record_pass_start(rules, now);
             }
         }
     }
 
-    /// A pause between two events of an answer.
-    pub fn paused(&mut self, job: JobId, pause: Duration, now: Time) {
-        let Some(known) = self.jobs.get(&job) else { return };
+    /// Records the time between two events of an answer.
+    pub fn record_pause(&mut self, job: JobId, pause: Duration, now: Time) {
+        let Some(job) = self.jobs.get(&job) else { return };
         let Some(rules) = &self.rules else { return };
-        if let Some(server) = self.servers.get_mut(&known.endpoint) {
-            server.saw_pause(pause.as_secs_f64() * 1000.0, rules, now);
-            server.pass_began(rules, now);
+        if let Some(server) = self.servers.get_mut(&job.endpoint) {
+            server.record_pause(pause.as_secs_f64() * 1000.0, rules, now);
+            server.record_pass_start(rules, now);
         }
     }
 
-    /// A request ended on its endpoint, whole or not.
-    pub fn ended(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
-        let Some(known) = self.jobs.swap_remove(&job) else { return };
-        for endpoint in known.endpoints() {
+    /// Removes a request that ended on its endpoint, successfully or not.
+    pub fn finish(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
+        let Some(job) = self.jobs.swap_remove(&job) else { return };
+        for endpoint in job.endpoints() {
             if let Some(server) = self.servers.get_mut(endpoint) {
-                server.release(&known, endpoint == &known.endpoint, now);
+                server.remove_job(&job, endpoint == &job.endpoint, now);
             }
         }
         match failed {
             None => {
-                self.quarantine.completed(known.fingerprint);
-                match known.began {
+                self.quarantine.record_completion(job.fingerprint);
+                match job.first_event_at {
                     Some(began) => {
-                        let writing_ms = now.since(began).as_secs_f64() * 1000.0;
-                        self.slots.freed(known.part_ms + writing_ms);
+                        let decode_ms = now.since(began).as_secs_f64() * 1000.0;
+                        self.slot_usage.record_held(job.part_prefill_ms + decode_ms);
                     }
                     None => {
-                        let span = now.since(known.placed);
-                        self.health.answered(&known.endpoint, span, span);
+                        let span = now.since(job.placed_at);
+                        self.health.record_answer(&job.endpoint, span, span);
                     }
                 }
-                if let Some(server) = self.servers.get_mut(&known.endpoint) {
-                    server.answered();
-                    server.untold_answer = true;
+                if let Some(server) = self.servers.get_mut(&job.endpoint) {
+                    server.clear_peer_failures();
+                    server.unsent_answer = true;
                 }
             }
             Some(cause) => {
-                self.quarantine.stopped(known.fingerprint);
-                let cause = as_seen(cause);
-                self.health.failed(&known.endpoint, cause);
-                if let Some(server) = self.servers.get_mut(&known.endpoint) {
-                    server.untold_failure |= counts(cause);
+                self.quarantine.record_stop(job.fingerprint);
+                let cause = counted_cause(cause);
+                self.health.record_failure(&job.endpoint, cause);
+                if let Some(server) = self.servers.get_mut(&job.endpoint) {
+                    server.unsent_failure |= is_endpoint_failure(cause);
                 }
             }
         }
     }
 
-    /// A request was refused for the sake of an endpoint that was to read a part of it.
-    pub fn at_fault(&mut self, endpoint: &EndpointId, now: Time) {
+    /// Records that a request was refused because this endpoint didn't prefill its part of it.
+    pub fn record_helper_refusal(&mut self, endpoint: &EndpointId, now: Time) {
         if let Some(server) = self.servers.get_mut(endpoint) {
             server.refused_to_help(now);
-            server.untold_fault = true;
+            server.unsent_refusal = true;
         }
     }
 
-    /// An endpoint's life ended while requests ran there; all that began to run are suspects.
-    pub fn died(&mut self, endpoint: &EndpointId, now: Time) {
+    /// Records that an endpoint's incarnation ended. All requests that had been sent there are
+    /// suspected of having crashed it.
+    pub fn record_death(&mut self, endpoint: &EndpointId, now: Time) {
         let ran = self.jobs.values().filter(|job| job.endpoint == *endpoint && job.is_sent);
         let present: Vec<Fingerprint> = ran.map(|job| job.fingerprint).collect();
         if !present.is_empty() {
-            self.quarantine.died(endpoint, &present, now);
+            self.quarantine.record_death(endpoint, &present, now);
         }
     }
 
-    /// Whether a request that was held may still be sent as it was placed: none of its endpoints has
-    /// begun to leave or has a new life since, and no other instance placed a long prompt on the same
-    /// engines in the same moment.
+    /// Whether a held request may still be sent as it was placed: none of its endpoints has begun
+    /// to leave or has a new incarnation, and no other instance placed a long prompt on the same
+    /// engines at the same moment.
     ///
-    /// Guards against two instances that choose the same idle engines before each hears of the other:
-    /// one of the prompts would wait for the other's parts, which it wasn't foretold. Both see the same
-    /// two keys, so exactly one of them looks for another place.
-    pub fn stands(&self, job: JobId, now: Time) -> bool {
-        let Some(known) = self.jobs.get(&job) else { return false };
-        known.endpoints().zip(&known.incarnations).all(|(endpoint, life)| {
+    /// Guards against two instances that choose the same idle engines before either receives the
+    /// other's update: one prompt would wait for the other's parts, which its prediction left out.
+    /// Both instances compare the same two keys, so exactly one of them looks for another place.
+    pub fn is_still_valid(&self, job: JobId, now: Time) -> bool {
+        let Some(job) = self.jobs.get(&job) else { return false };
+        job.endpoints().zip(&job.incarnations).all(|(endpoint, incarnation)| {
             let server = self.servers.get(endpoint);
             server.is_some_and(|server| {
                 !server.member.leaving
-                    && server.member.incarnation == *life
-                    && !self.is_taken(server, known, now)
+                    && server.member.incarnation == *incarnation
+                    && !self.is_displaced(server, job, now)
             })
         })
     }
 
-    /// Whether a prompt with a higher claim makes the job's part on this engine late.
-    fn is_taken(&self, server: &Server, job: &Job, now: Time) -> bool {
+    /// Whether a split prompt with a smaller key delays the job's part on this engine.
+    fn is_displaced(&self, server: &Server, job: &Job, now: Time) -> bool {
         let Some(rules) = &self.rules else { return false };
-        let foretold = server::millis(job.placed) + job.read_in_ms;
-        let reads = server.reads(rules, now);
-        let mine = reads.iter().find(|read| read.part.key == job.key);
-        mine.is_some_and(|mine| mine.at > foretold + self.placement.collision_ms)
-            && reads.iter().any(|read| read.part.overtakes && read.part.key < job.key)
+        let expected_at = server::millis(job.placed_at) + job.prefilled_in_ms;
+        let completions = server.completions(rules, now);
+        let mine = completions.iter().find(|completion| completion.part.key == job.key);
+        mine.is_some_and(|mine| mine.done_at > expected_at + self.placement.collision_ms)
+            && completions
+                .iter()
+                .any(|completion| completion.part.is_split && completion.part.key < job.key)
     }
 
-    /// A request was handed to its endpoint.
-    pub fn sent(&mut self, job: JobId) {
-        if let Some(known) = self.jobs.get_mut(&job) {
-            known.is_sent = true;
+    /// Records that a request was handed to its endpoint.
+    pub fn mark_sent(&mut self, job: JobId) {
+        if let Some(job) = self.jobs.get_mut(&job) {
+            job.is_sent = true;
         }
     }
 
-    /// What others have to hear of this instance's work; see [`updates`].
+    /// Takes the pending updates about this instance's work; see [`updates`]. `is_due` also
+    /// includes what is only sent periodically.
     pub fn take_updates(&mut self, is_due: bool) -> Vec<EndpointUpdate> {
         updates::take_updates(&mut self.servers, is_due)
     }
 
-    /// What another instance has under way.
-    pub fn apply_updates(&mut self, peer: &InstanceId, words: &[EndpointUpdate], now: Time) {
+    /// Applies the updates that another instance sent about its work.
+    pub fn apply_updates(&mut self, peer: &InstanceId, updates: &[EndpointUpdate], now: Time) {
         if !self.peers.contains(peer) {
             self.peers.insert(peer.clone());
         }
@@ -387,65 +407,66 @@
             &mut self.health,
             rules,
             peer,
-            words,
+            updates,
             now,
         );
-        for pause_ms in words.iter().flat_map(|word| word.level.writers.pauses()) {
-            self.pauses.note(pause_ms, now);
+        for pause_ms in updates.iter().flat_map(|update| update.load.decoding.pause_goals_ms()) {
+            self.pause_goals.record(pause_ms, now);
         }
-        let heads = words.iter().flat_map(|word| &word.placed).filter(|part| part.is_head);
-        self.herd.heard(heads.count(), now);
-        self.long_share.add(updates::long_ms(words, self.short_ms()), now);
+        let heads = updates.iter().flat_map(|update| &update.placed).filter(|part| part.is_head);
+        self.unreported.record(heads.count(), now);
+        self.long_share.add(updates::long_prefill_ms(updates, self.short_prefill_ms()), now);
     }
 
-    /// Another instance is gone, and what it had under way with it.
-    pub fn forget(&mut self, peer: &InstanceId) {
+    /// Removes another instance that has failed or left, and its work.
+    pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.peers.swap_remove(peer);
         for server in self.servers.values_mut() {
-            server.forget(peer);
+            server.remove_peer(peer);
         }
     }
 
-    /// The quarantine, for what instances tell each other of it.
+    /// The quarantine, whose entries instances exchange.
     pub fn quarantine(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
 
-    /// Milliseconds of reading up to which a prompt goes beside writers whole.
-    fn short_ms(&self) -> f64 {
-        self.placement.short_share * self.pauses.least()
+    /// Milliseconds of prefill up to which a prompt is short: it may be prefilled whole on an
+    /// engine that decodes.
+    fn short_prefill_ms(&self) -> f64 {
+        self.placement.short_share * self.pause_goals.shortest()
     }
 
-    fn assess(&mut self, now: Time) {
-        if now.since(self.assessed) < ASSESS_EVERY {
+    fn assess_health(&mut self, now: Time) {
+        if now.since(self.health_assessed_at) < HEALTH_CHECK_INTERVAL {
             return;
         }
-        self.assessed = now;
+        self.health_assessed_at = now;
         let needed = self.servers.len().div_ceil(2);
         self.health.assess(needed, now, &mut self.rng);
         self.quarantine.expire(now);
-        // A request that comes anyway is the probe: what endpoints say of their own health need
-        // not be true.
+        // The next regular request serves as the probe, because an endpoint's own health report may
+        // be wrong.
         for endpoint in self.health.due_probes(now) {
             if let Some(server) = self.servers.get_mut(&endpoint) {
-                server.is_on_trial = true;
+                server.is_next_probe = true;
             }
         }
     }
 }
 
-/// A silence that ends a run here was longer than another endpoint took to answer, so it counts
-/// like a failure. Health alone would not count it, because connections may fall silent while
-/// their endpoint lives; here each run has a fresh one.
-fn as_seen(cause: FailCause) -> FailCause {
+/// Counts a silence that ended a run as a failure: it was longer than another endpoint took to
+/// answer. Health alone ignores silence, because a connection may go silent while its endpoint is
+/// alive; here each run has a fresh connection.
+fn counted_cause(cause: FailCause) -> FailCause {
     match cause {
         FailCause::Silent => FailCause::Broken,
         other => other,
     }
 }
 
-/// Whether a failure speaks against its endpoint, whoever met it.
-fn counts(cause: FailCause) -> bool {
+/// Whether a failure counts against the endpoint at all instances.
+fn is_endpoint_failure(cause: FailCause) -> bool {
     matches!(
         cause,
         FailCause::NotSent
--- a/crates/policy/src/placement/pauses.rs
+++ b/crates/policy/src/placement/pauses.rs
@@ -1,48 +1,49 @@
-//! The pauses that callers of one endpoint group bear, as far as they have been seen.
+//! The pause goals of one endpoint group's callers, as observed.
 //!
-//! **Load pattern.** Short questions with tight goals and long dossiers with loose ones share engines, on
-//! sites whose goals aren't known beforehand.
+//! **Load pattern.** Short questions with tight goals and long prompts with loose ones share
+//! engines, on sites whose goals aren't known in advance.
 //!
-//! **Without it.** What is short enough to be read beside writers, and who has to write apart from
-//! reading, is set for one site's goals and hurts callers on another.
+//! **Without it.** Which prompts are short enough to be prefilled on engines that decode, and which
+//! requests have to decode apart from prefill, is tuned to one site's goals and hurts callers at
+//! another.
 //!
-//! **Rule.** A prompt is short if reading it takes no more than a share of the least pause that anybody
-//! bears. All but those who bear the longest pauses write where others write.
+//! **Rule.** A prompt is short if its prefill takes no more than a fraction of the shortest pause
+//! goal. All requests but those with the longest pause goal run where others decode.
 
 use crate::Time;
 use std::time::Duration;
 
-/// How long callers of a kind are remembered.
-const KEEP: Duration = Duration::from_secs(60);
+/// How long a pause goal is remembered without being used.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Different pauses that are remembered; a group serves few kinds of callers.
-const MOST: usize = 16;
+/// Number of pause goals that are remembered; a group serves few kinds of callers.
+const MAX_PAUSE_GOALS: usize = 16;
 
 #[derive(Debug, Default)]
-pub(super) struct Pauses {
-    /// Milliseconds, and when they were seen last.
+pub(super) struct PauseGoals {
+    /// Pause goals in milliseconds, and when each was last used.
     seen: Vec<(u16, Time)>,
 }
 
-impl Pauses {
-    pub(super) fn note(&mut self, pause_ms: u16, now: Time) {
-        if let Some((_, at)) = self.seen.iter_mut().find(|(ms, _)| *ms == pause_ms) {
-            *at = now;
+impl PauseGoals {
+    pub(super) fn record(&mut self, pause_goal_ms: u16, now: Time) {
+        if let Some((_, seen_at)) = self.seen.iter_mut().find(|(ms, _)| *ms == pause_goal_ms) {
+            *seen_at = now;
             return;
         }
-        self.seen.retain(|(_, at)| now.since(*at) < KEEP);
-        if self.seen.len() < MOST {
-            self.seen.push((pause_ms, now));
+        self.seen.retain(|(_, seen_at)| now.since(*seen_at) < RETENTION);
+        if self.seen.len() < MAX_PAUSE_GOALS {
+            self.seen.push((pause_goal_ms, now));
         }
     }
 
-    /// The least pause that anybody bears, in milliseconds; infinite where nobody was seen.
-    pub(super) fn least(&self) -> f64 {
+    /// In milliseconds; infinite before the first request.
+    pub(super) fn shortest(&self) -> f64 {
         self.seen.iter().map(|(ms, _)| f64::from(*ms)).fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether somebody bears longer pauses than this one.
-    pub(super) fn is_below_longest(&self, pause_ms: u16) -> bool {
-        self.seen.iter().any(|(ms, _)| *ms > pause_ms)
+    /// Whether a longer pause goal is in use.
+    pub(super) fn is_below_longest(&self, pause_goal_ms: u16) -> bool {
+        self.seen.iter().any(|(ms, _)| *ms > pause_goal_ms)
     }
 }
--- a/crates/policy/tests/arranging/mod.rs
+++ b/crates/policy/tests/arranging/mod.rs
@@ -1,6 +1,6 @@
-//! Arrangers of sites that have engines of one kind, and what callers ask of them.
+//! Schedulers of sites with engines of one kind, and requests for them.
 
-// Each test file uses a part.
+// Each test file uses only some of these.
 #![allow(dead_code, missing_docs, unreachable_pub, clippy::unwrap_used)]
 
 use policy::{
@@ -13,7 +13,7 @@
     EndpointId::new(&format!("i-{index}")).unwrap()
 }
 
-/// Which engine it is.
+/// The index of an engine with an [`id`].
 pub fn index(engine: &EndpointId) -> usize {
     engine.as_str()["i-".len()..].parse().unwrap()
 }
@@ -36,21 +36,21 @@
 }
 
 /// A question, a summary or a dossier, by its length.
-pub fn ask(prompt: u64) -> PlacementRequest {
+pub fn request(prompt: u64) -> PlacementRequest {
     let (goal_ms, pause_ms) = match prompt {
         0..=30_000 => (300.0, 200.0),
         30_001..=120_000 => (1_500.0, 500.0),
         _ => (3_000.0, 800.0),
     };
     PlacementRequest {
-        prompt,
-        output: 1_500,
+        prompt_tokens: prompt,
+        max_output_tokens: 1_500,
         goal_ms,
-        pause_ms,
-        left_ms: 60_000.0,
+        max_pause_ms: pause_ms,
+        remaining_ms: 60_000.0,
         priority: 1,
         fingerprint: Fingerprint(u128::from(prompt)),
-        is_beside: false,
+        is_hedge: false,
         tried: Vec::new(),
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,6 +1,7 @@
-//! Requests that crash endpoints are found within two deaths, and bystanders cleared.
+//! A poison request is identified at its second crash, and the requests that ran next to it are
+//! cleared.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -9,7 +10,8 @@
 use policy::{
     EndpointId, Fingerprint, Time,
     quarantine::{
-        Entry, MAX_SUSPECTS, Quarantine, QuarantineState, REFUSED_FOR, SPARED_FOR, SUSPECT_FOR,
+        Entry, FIRST_REFUSAL_PERIOD, LAST_ENDPOINT_GRACE_PERIOD, MAX_SUSPECTS, Quarantine,
+        QuarantineState, SUSPICION_TTL,
     },
 };
 use quickcheck::quickcheck;
@@ -18,22 +20,23 @@
     EndpointId::new(&format!("e{n}")).unwrap()
 }
 
-const KILLER: Fingerprint = Fingerprint(0);
+const POISON: Fingerprint = Fingerprint(0);
 
 fn at(seconds: u64) -> Time {
     Time::from_millis(seconds * 1000)
 }
 
-/// What a user sees without it: four engines die one after another within a minute, and again
-/// after each restart, because one request is retried from engine to engine. Here 40 requests run
-/// on each of four engines, one of them kills; the suspects run apart, and the second death tells.
+/// Guards against a poison request taking down all engines. Retried from engine to engine, one
+/// request crashes four engines within a minute, and again after each restart. Here 40 requests run
+/// on an engine, one of them crashes it; suspects are rerun isolated, and the second death
+/// identifies it.
 #[test]
-fn the_second_death_finds_the_killer_and_clears_the_rest() {
+fn the_second_death_identifies_the_poison_request_and_clears_the_rest() {
     for seed in 0..50 {
         let mut rng = Rng::with_seed(seed);
         let mut quarantine = Quarantine::new();
         let mut waiting: Vec<Fingerprint> = (0..40).map(Fingerprint).collect();
-        quarantine.died(&endpoint(0), &waiting, at(10));
+        quarantine.record_death(&endpoint(0), &waiting, at(10));
         rng.shuffle(&mut waiting);
         let mut deaths = 1;
         let mut now = at(10);
@@ -41,119 +44,123 @@
             now = now + Duration::from_secs(5);
             let target = (1..4).find(|n| quarantine.may_run(fingerprint, &endpoint(*n), 3, now));
             let target = endpoint(target.unwrap());
-            quarantine.started(fingerprint, &target, now);
-            if fingerprint == KILLER {
+            quarantine.record_start(fingerprint, &target, now);
+            if fingerprint == POISON {
                 deaths += 1;
-                quarantine.died(&target, &[fingerprint, Fingerprint(100)], now);
+                quarantine.record_death(&target, &[fingerprint, Fingerprint(100)], now);
             } else {
-                quarantine.completed(fingerprint);
+                quarantine.record_completion(fingerprint);
             }
         }
         assert_eq!(deaths, 2);
-        assert!(matches!(quarantine.standing(KILLER, now), QuarantineState::Refused(_)));
-        assert!(!quarantine.may_run(KILLER, &endpoint(3), 3, now));
-        assert!(
-            (1..40).all(|n| quarantine.standing(Fingerprint(n), now) == QuarantineState::Clear)
-        );
-        assert_eq!(quarantine.standing(Fingerprint(100), now), QuarantineState::Suspect);
+        assert!(matches!(quarantine.state(POISON, now), QuarantineState::Refused(_)));
+        assert!(!quarantine.may_run(POISON, &endpoint(3), 3, now));
+        assert!((1..40).all(|n| quarantine.state(Fingerprint(n), now) == QuarantineState::Clear));
+        assert_eq!(quarantine.state(Fingerprint(100), now), QuarantineState::Suspect);
     }
 }
 
 fn suspects(numbers: &[u128]) -> Quarantine {
     let mut quarantine = Quarantine::new();
     let present: Vec<Fingerprint> = numbers.iter().copied().map(Fingerprint).collect();
-    quarantine.died(&endpoint(0), &present, at(10));
+    quarantine.record_death(&endpoint(0), &present, at(10));
     quarantine
 }
 
 #[test]
-fn suspects_run_apart_and_not_on_the_last_endpoint() {
+fn suspects_run_isolated_and_not_on_the_last_endpoint() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(12);
-    quarantine.started(Fingerprint(1), &endpoint(1), now);
+    quarantine.record_start(Fingerprint(1), &endpoint(1), now);
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 3, now));
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(2), 1, now));
-    let later = at(10) + SPARED_FOR;
+    let later = at(10) + LAST_ENDPOINT_GRACE_PERIOD;
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 1, later), "a single endpoint");
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 1, later), "still apart");
     assert!(quarantine.may_run(Fingerprint(3), &endpoint(1), 1, now), "no suspect, no bounds");
-    quarantine.stopped(Fingerprint(1));
+    quarantine.record_stop(Fingerprint(1));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
 }
 
 #[test]
 fn suspects_of_other_instances_are_kept_apart_too() {
     let mut quarantine = suspects(&[1]);
-    quarantine.heard_running(&endpoint(1), at(12));
+    quarantine.record_peer_suspect(&endpoint(1), at(12));
     assert!(!quarantine.may_run(Fingerprint(1), &endpoint(1), 3, at(13)));
     assert!(quarantine.may_run(Fingerprint(1), &endpoint(1), 3, at(16)));
 }
 
-/// What a user sees without the rule: a popular question is refused everywhere for ten minutes. A
-/// rack failed, and three engines that all ran it died in the same second.
+/// Guards against refusing a popular request everywhere for ten minutes: a rack fails, and three
+/// engines that all ran it die in the same second.
 #[test]
-fn a_rack_that_fails_convicts_nobody() {
+fn a_failed_rack_confirms_no_suspect() {
     let mut quarantine = Quarantine::new();
     for n in 0..3 {
-        quarantine.died(
+        quarantine.record_death(
             &endpoint(n),
             &[Fingerprint(1)],
             at(10) + Duration::from_millis(300 * n as u64),
         );
     }
-    assert_eq!(quarantine.standing(Fingerprint(1), at(11)), QuarantineState::Suspect);
+    assert_eq!(quarantine.state(Fingerprint(1), at(11)), QuarantineState::Suspect);
 }
 
-/// What a user sees without it: all four engines die within a second of one call. The call was run
-/// apart after the first death, killed the next engine at once, and each death counted as one with
-/// the death before, because they came so close together.
+/// Guards against counting separate deaths as one. A poison request, rerun isolated after the first
+/// death, crashes the next engine at once; if that death counted as the first one because they are
+/// so close, all four engines would die within a second.
 #[test]
-fn a_killer_run_apart_is_found_however_soon_it_kills_again() {
+fn an_isolated_poison_request_is_found_however_soon_it_crashes_again() {
     let mut quarantine = suspects(&[1, 2]);
     let now = at(10) + Duration::from_millis(50);
-    quarantine.started(Fingerprint(1), &endpoint(1), now);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], now);
-    assert_eq!(quarantine.standing(Fingerprint(1), now), QuarantineState::Refused(REFUSED_FOR));
-    assert_eq!(quarantine.standing(Fingerprint(2), now), QuarantineState::Suspect);
+    quarantine.record_start(Fingerprint(1), &endpoint(1), now);
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], now);
+    assert_eq!(
+        quarantine.state(Fingerprint(1), now),
+        QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
+    );
+    assert_eq!(quarantine.state(Fingerprint(2), now), QuarantineState::Suspect);
 }
 
 #[test]
-fn a_verdict_expires_and_the_next_lasts_twice_as_long() {
+fn a_refusal_expires_and_the_next_lasts_twice_as_long() {
     let mut quarantine = suspects(&[1]);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], at(20));
-    assert_eq!(quarantine.standing(Fingerprint(1), at(20)), QuarantineState::Refused(REFUSED_FOR));
-    let over = at(20) + REFUSED_FOR;
-    assert_eq!(quarantine.standing(Fingerprint(1), over), QuarantineState::Clear);
-    quarantine.died(&endpoint(1), &[Fingerprint(1)], over);
-    quarantine.died(&endpoint(2), &[Fingerprint(1)], over + Duration::from_secs(10));
-    let again = quarantine.standing(Fingerprint(1), over + Duration::from_secs(10));
-    assert_eq!(again, QuarantineState::Refused(REFUSED_FOR * 2));
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
+    assert_eq!(
+        quarantine.state(Fingerprint(1), at(20)),
+        QuarantineState::Refused(FIRST_REFUSAL_PERIOD)
+    );
+    let expiry = at(20) + FIRST_REFUSAL_PERIOD;
+    assert_eq!(quarantine.state(Fingerprint(1), expiry), QuarantineState::Clear);
+    quarantine.record_death(&endpoint(1), &[Fingerprint(1)], expiry);
+    quarantine.record_death(&endpoint(2), &[Fingerprint(1)], expiry + Duration::from_secs(10));
+    let again = quarantine.state(Fingerprint(1), expiry + Duration::from_secs(10));
+    assert_eq!(again, QuarantineState::Refused(FIRST_REFUSAL_PERIOD * 2));
 }
 
 #[test]
 fn an_old_suspicion_is_forgotten() {
     let quarantine = suspects(&[1]);
-    assert_eq!(quarantine.standing(Fingerprint(1), at(10) + SUSPECT_FOR), QuarantineState::Clear);
+    assert_eq!(quarantine.state(Fingerprint(1), at(10) + SUSPICION_TTL), QuarantineState::Clear);
 }
 
 #[test]
-fn other_instances_refuse_what_one_has_found() {
+fn other_instances_refuse_what_one_has_confirmed() {
     let mut here = suspects(&[1, 2]);
-    here.died(&endpoint(1), &[Fingerprint(1)], at(20));
+    here.record_death(&endpoint(1), &[Fingerprint(1)], at(20));
     let mut there = Quarantine::new();
-    // Clocks differ between instances: only spans are told.
+    // Instances' clocks differ, so only durations are sent.
     there.import(&here.export(at(30)), at(5_000));
-    let left = REFUSED_FOR - Duration::from_secs(10);
-    assert_eq!(there.standing(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
-    assert_eq!(there.standing(Fingerprint(2), at(5_000)), QuarantineState::Suspect);
+    let left = FIRST_REFUSAL_PERIOD - Duration::from_secs(10);
+    assert_eq!(there.state(Fingerprint(1), at(5_000)), QuarantineState::Refused(left));
+    assert_eq!(there.state(Fingerprint(2), at(5_000)), QuarantineState::Suspect);
 }
 
 #[test]
 fn a_flood_of_suspects_stays_within_bounds() {
     let flood: Vec<Fingerprint> = (0..3 * MAX_SUSPECTS as u128).map(Fingerprint).collect();
     let mut quarantine = Quarantine::new();
-    quarantine.died(&endpoint(0), &flood, at(1));
+    quarantine.record_death(&endpoint(0), &flood, at(1));
     assert_eq!(quarantine.export(at(1)).len(), MAX_SUSPECTS);
 }
 
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! How many repeats one instance adds.
+//! Limit of the retries that one instance adds within a sliding window.
 
 use policy::{
     Time,
@@ -8,18 +8,18 @@
 const RULES: RetryRules = RetryRules { share: 0.2, slack: 100.0, window_s: 10 };
 
 fn allowed(window: &mut RetryWindow, instances: usize, at: Time) -> usize {
-    (0..1_000).take_while(|_| window.repeat(&RULES, instances, at)).count()
+    (0..1_000).take_while(|_| window.try_retry(&RULES, instances, at)).count()
 }
 
-/// An engine dies under every request of four instances at once, and each repeats what it can. All
-/// together stay within what the operators allow.
+/// An engine dies under the requests of four instances at once, and each retries what it may.
+/// Together they stay within the operators' limit.
 #[test]
 fn four_instances_stay_within_the_budget_of_all() {
     let now = Time::from_millis(5_000);
     let mut sum = 0;
     for _ in 0..4 {
         let mut window = RetryWindow::default();
-        (0..50).for_each(|_| window.first(now));
+        (0..50).for_each(|_| window.record_first_attempt(now));
         sum += allowed(&mut window, 4, now);
     }
     assert!(sum as f64 <= 0.2 * 200.0 + 100.0, "{sum}");
@@ -35,15 +35,15 @@
     assert_eq!(allowed(&mut window, 4, Time::from_millis(13_000)), first);
 }
 
-/// Any second counts for a whole window, so a window that slides over two bursts sees no more than
-/// is allowed.
+/// A second counts for a whole window, so no position of the sliding window over two bursts
+/// contains more retries than permitted.
 #[test]
 fn no_span_of_a_window_holds_more() {
     let mut window = RetryWindow::default();
     let mut times = Vec::new();
     for ms in (0..40_000).step_by(50) {
-        window.first(Time::from_millis(ms));
-        if window.repeat(&RULES, 4, Time::from_millis(ms)) {
+        window.record_first_attempt(Time::from_millis(ms));
+        if window.try_retry(&RULES, 4, Time::from_millis(ms)) {
             times.push(ms);
         }
     }
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -5,11 +5,11 @@
 use indexmap::IndexMap;
 use policy::{
     Time,
-    roster::{RETURN, Roster},
+    roster::{REGISTRATION_GRACE_PERIOD, Roster},
 };
 
 fn found(keys: &[u32]) -> IndexMap<u32, &'static str> {
-    keys.iter().map(|key| (*key, "life")).collect()
+    keys.iter().map(|key| (*key, "registered")).collect()
 }
 
 fn at(ms: u64) -> Time {
@@ -23,50 +23,50 @@
 }
 
 #[test]
-fn what_is_missing_is_gone() {
+fn a_missing_entry_is_removed() {
     let mut roster = Roster::default();
-    assert!(roster.read(&found(&[1, 2]), at(0)));
-    assert!(!roster.read(&found(&[1, 2]), at(500)));
-    assert!(roster.read(&found(&[2]), at(1_000)));
+    assert!(roster.update(&found(&[1, 2]), at(0)));
+    assert!(!roster.update(&found(&[1, 2]), at(500)));
+    assert!(roster.update(&found(&[2]), at(1_000)));
     assert_eq!(keys(&roster), [2]);
 }
 
-/// The store was away, and every registration lapsed meanwhile. The servers live; two seconds
-/// after the store's return they are back. A caller in between must not be refused.
+/// Guards against refusing callers after an outage of the store, in which every registration
+/// expired. The endpoints are alive and register again two seconds after the store's recovery.
 #[test]
-fn an_outage_takes_nobody_away() {
+fn an_outage_removes_no_entry() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1, 2]), at(0));
-    roster.failed();
-    assert!(!roster.read(&found(&[]), at(5_000)));
+    roster.update(&found(&[1, 2]), at(0));
+    roster.record_failure();
+    assert!(!roster.update(&found(&[]), at(5_000)));
     assert_eq!(keys(&roster), [1, 2]);
-    roster.read(&found(&[1]), at(6_500));
+    roster.update(&found(&[1]), at(6_500));
     assert_eq!(keys(&roster), [1, 2]);
-    roster.read(&found(&[1]), at(5_000) + RETURN);
+    roster.update(&found(&[1]), at(5_000) + REGISTRATION_GRACE_PERIOD);
     assert_eq!(keys(&roster), [1]);
 }
 
-/// The store is away twice in a row. What was kept for the first outage is kept for the second,
-/// and only as long.
+/// Two outages in a row. What was kept for the first one is kept for the second, and no longer than
+/// the grace period.
 #[test]
 fn a_second_outage_begins_anew() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1]), at(0));
-    roster.failed();
-    roster.read(&found(&[]), at(1_000));
-    roster.failed();
-    roster.read(&found(&[]), at(3_000));
+    roster.update(&found(&[1]), at(0));
+    roster.record_failure();
+    roster.update(&found(&[]), at(1_000));
+    roster.record_failure();
+    roster.update(&found(&[]), at(3_000));
     assert_eq!(keys(&roster), [1]);
-    roster.read(&found(&[]), at(3_000) + RETURN + Duration::from_millis(1));
+    roster.update(&found(&[]), at(3_000) + REGISTRATION_GRACE_PERIOD + Duration::from_millis(1));
     assert_eq!(keys(&roster), [0; 0]);
 }
 
 #[test]
 fn a_change_within_an_outage_counts() {
     let mut roster = Roster::default();
-    roster.read(&found(&[1]), at(0));
-    roster.failed();
+    roster.update(&found(&[1]), at(0));
+    roster.record_failure();
     let draining: IndexMap<u32, &str> = [(1, "leaving")].into_iter().collect();
-    assert!(roster.read(&draining, at(1_000)));
+    assert!(roster.update(&draining, at(1_000)));
     assert_eq!(roster.entries()[&1], "leaving");
 }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,4 +1,4 @@
-//! What answers callers and the balancer.
+//! The HTTP services for callers and for the balancer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,18 +7,19 @@
 
 use crate::{
     dialect::Dialect,
-    filter::{AnswerBody, Handler},
+    filter::{Handler, ResponseBody},
     metrics::Metrics,
-    serve::{ConnectionRules, Service},
+    serve::{ConnectionLimits, Service},
     state::{Configuration, Groups, Lifecycle, Stage},
 };
 
-/// Beyond this age of the configuration the balancer is asked to look elsewhere, where there is a
-/// better informed instance. A reading that is held and one that fails are no reason yet.
-const READY_FOR: Duration = Duration::from_millis(3_700);
+/// Maximum age of the configuration at which the instance reports that it is ready. Beyond it the
+/// balancer should use an instance with newer configuration. It leaves room for one held long poll
+/// and one failed read.
+const MAX_READY_CONFIGURATION_AGE: Duration = Duration::from_millis(3_700);
 
-/// Answers callers.
-pub(crate) struct Entry<D, H> {
+/// Serves callers.
+pub(crate) struct CallerService<D, H> {
     pub(crate) chain: H,
     pub(crate) dialect: Arc<D>,
     pub(crate) configuration: Arc<Configuration>,
@@ -26,9 +27,9 @@
     pub(crate) metrics: Arc<Metrics>,
 }
 
-impl<D: Dialect, H: Handler<Request<Incoming>>> Service for Entry<D, H> {
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
-        let open = self.lifecycle.begin();
+impl<D: Dialect, H: Handler<Request<Incoming>>> Service for CallerService<D, H> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
+        let guard = self.lifecycle.count_request();
         let request_id = self.dialect.request_id(req.headers());
         let mut resp = match self.chain.handle(req).await {
             Ok(resp) => resp,
@@ -47,14 +48,14 @@
         if self.lifecycle.stage() == Stage::Closing {
             resp.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        resp.map(|body| body.counted(open))
+        resp.map(|body| body.with_guard(guard))
     }
 
-    fn rules(&self) -> ConnectionRules {
+    fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.configuration.table().limits;
-        ConnectionRules {
-            head_bytes: limits.head_bytes,
-            idle: limits.idle_timeout.max(limits.head_timeout),
+        ConnectionLimits {
+            max_head_bytes: limits.head_bytes,
+            idle_timeout: limits.idle_timeout.max(limits.head_timeout),
         }
     }
 
@@ -63,27 +64,31 @@
     }
 }
 
-/// Answers the balancer.
-pub(crate) struct Readiness {
+/// Serves the balancer's readiness probes.
+pub(crate) struct ReadinessService {
     pub(crate) path: &'static str,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) groups: Arc<Groups>,
     pub(crate) lifecycle: Arc<Lifecycle>,
 }
 
-impl Readiness {
+impl ReadinessService {
     fn is_ready(&self) -> bool {
-        let known = self.configuration.age().is_some_and(|age| age <= READY_FOR);
-        let serving = self.lifecycle.stage() == Stage::Serving;
-        let has_endpoints =
-            self.groups.all().iter().any(|group| crate::lock(&group.scheduler).usable() > 0);
-        known && serving && has_endpoints && self.configuration.table().version.0 > 0
+        let is_known =
+            self.configuration.age().is_some_and(|age| age <= MAX_READY_CONFIGURATION_AGE);
+        let is_serving = self.lifecycle.stage() == Stage::Serving;
+        let has_endpoints = self
+            .groups
+            .all()
+            .iter()
+            .any(|group| crate::lock(&group.scheduler).usable_endpoints() > 0);
+        is_known && is_serving && has_endpoints && self.configuration.table().version.0 > 0
     }
 }
 
-impl Service for Readiness {
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
-        let mut resp = Response::new(AnswerBody::whole(bytes::Bytes::new()));
+impl Service for ReadinessService {
+    async fn respond(&self, req: Request<Incoming>) -> Response<ResponseBody> {
+        let mut resp = Response::new(ResponseBody::whole(bytes::Bytes::new()));
         *resp.status_mut() = match req.method() == Method::GET && req.uri().path() == self.path {
             false => StatusCode::NOT_FOUND,
             true if self.is_ready() => StatusCode::OK,
@@ -92,8 +97,8 @@
         resp
     }
 
-    fn rules(&self) -> ConnectionRules {
-        ConnectionRules { head_bytes: 0, idle: Duration::from_secs(15) }
+    fn connection_limits(&self) -> ConnectionLimits {
+        ConnectionLimits { max_head_bytes: 0, idle_timeout: Duration::from_secs(15) }
     }
 
     fn lifecycle(&self) -> &Arc<Lifecycle> {
