--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,6 +1,7 @@
-//! What this instance has read of the log, for peers that ask, and its questions to them.
+//! Records how far this instance has read the log, answers peers' queries about it, and queries
+//! peers.
 //!
-//! [`policy::freshness`] says what a peer's answer means; here it is kept and passed on.
+//! [`policy::freshness`] defines what a peer's reply means; this module stores and transmits it.
 
 use std::{
     collections::VecDeque,
@@ -17,7 +18,7 @@
 use indexmap::IndexMap;
 use policy::{
     EndpointId,
-    freshness::{ASKED, Freshness, Position},
+    freshness::{Freshness, MAX_QUERIED_INSTANCES, Position},
 };
 use serde::{Deserialize, Serialize};
 use smol::{
@@ -27,84 +28,86 @@
 
 use crate::{clock::BootTime, lock, signal::Signal, snapshot, source::EndpointEntry};
 
-/// How long an answer is waited for: many times a datagram's way within a region, and little beside a
-/// reading of one's own.
-const PATIENCE: Duration = Duration::from_millis(80);
+/// How long to wait for replies: many times a datagram's round trip within a region, and short
+/// compared to a read of the log.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The latest changes of endpoints that are kept for peers that have read less.
-const CHANGES: usize = 64;
+/// Maximum number of the latest endpoint changes that are kept for peers that have read less.
+const MAX_KEPT_CHANGES: usize = 64;
 
-/// The most changes in one answer, so that it fits into one datagram.
-const CHANGES_TOLD: usize = 16;
+/// Maximum number of changes in one reply, so that it fits into one datagram.
+const MAX_CHANGES_PER_REPLY: usize = 16;
 
-/// Questions that wait to be sent.
-const QUESTIONS: usize = 16;
+/// Capacity of the channels for queries that wait to be sent and for the replies to one query.
+const CHANNEL_CAPACITY: usize = 16;
 
 /// A change of one endpoint's registration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointChange {
     /// The endpoint.
     pub id: EndpointId,
-    /// What it registered; none where it is gone.
+    /// The new registration; none where it was removed.
     pub entry: Option<EndpointEntry>,
 }
 
-/// What one instance tells another that asked.
+/// One instance's reply to a peer's query.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct FreshnessReply {
-    /// Of the configuration; none where it can't be read.
+    /// How fresh its configuration is; none before it has one, and while it can't read the source
+    /// itself.
     pub configuration: Option<Freshness>,
-    /// Of the endpoints; none where they can't be read.
+    /// How fresh its endpoints are; none before it has any, and while it can't read the source
+    /// itself.
     pub endpoints: Option<Freshness>,
-    /// What changed of the endpoints since the position that was asked about; none where that is no
-    /// longer known.
+    /// Changes of endpoints since the queried position; none where they are no longer kept, or too
+    /// many for one reply.
     pub changes: Option<Vec<EndpointChange>>,
 }
 
-/// An answer that came.
+/// A reply with its sender and the time of its query.
 #[derive(Debug, Clone)]
 pub struct ReceivedReply {
-    /// Who answered.
+    /// Address of the peer that replied.
     pub from: SocketAddr,
-    /// When the question was sent.
-    pub asked: BootTime,
-    /// The answer.
-    pub answer: FreshnessReply,
+    /// When the query was sent.
+    pub query_sent: BootTime,
+    /// The peer's reply.
+    pub reply: FreshnessReply,
 }
 
-/// Whom a question goes to.
+/// Peers that a query is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryTarget {
-    /// The one at this place among those that read before this instance does.
+    /// The peer of this rank among those that read before this instance.
     Reader(usize),
-    /// The one that last told of news.
-    Informant,
-    /// That one, and some of all live ones.
-    Anybody,
+    /// The peer that last announced an update.
+    LastAnnouncer,
+    /// The last announcer and some other live peers, chosen at random.
+    AnyLive,
 }
 
-/// A question on its way to the links.
+/// A query that the links are to send.
 #[derive(Debug)]
 pub struct FreshnessQuery {
-    /// Whom it goes to.
-    pub whom: QueryTarget,
-    /// Up to where this instance knows the endpoints.
-    pub endpoints_at: Position,
-    /// Takes answers; dropped where there is nobody to ask.
-    pub answers: Sender<ReceivedReply>,
+    /// Its recipients.
+    pub target: QueryTarget,
+    /// Position up to which this instance has the endpoints.
+    pub endpoints_position: Position,
+    /// Receives the replies; dropped at once where there is no recipient.
+    pub replies: Sender<ReceivedReply>,
 }
 
-/// What asking came to.
+/// Result of a query.
 enum QueryOutcome<T> {
-    /// There is nobody to ask.
-    Nobody,
-    /// No answer was good enough in time.
-    Silence,
-    /// This was made of one that was.
+    /// There is no peer to query.
+    NoPeer,
+    /// No reply was accepted before the timeout.
+    NoUsableReply,
+    /// Made from an accepted reply.
     Accepted(T),
 }
 
-/// What is read.
+/// A source that instances follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Source {
     /// The operators' configuration.
@@ -114,7 +117,7 @@
 }
 
 impl Source {
-    /// As it stands in log lines.
+    /// Name used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Source::Configuration => "configuration",
@@ -124,69 +127,71 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct ConfirmedPosition {
     position: Position,
     as_of: BootTime,
 }
 
-/// What this instance has of one source.
+/// What this instance has read of one source.
 #[derive(Debug, Default)]
-struct Followed {
-    known: Option<Known>,
-    /// It can't read the source itself.
-    is_lost: bool,
-    news: Signal,
-    /// How far peers have read, by their own word.
-    announced: Position,
+struct SourceState {
+    confirmed: Option<ConfirmedPosition>,
+    /// This instance can't read the source itself.
+    is_unreachable: bool,
+    update_announced: Signal,
+    /// The furthest position that peers have announced.
+    peer_position: Position,
 }
 
-impl Followed {
-    /// Knowledge only grows: a late answer takes nothing back.
-    fn grow(&mut self, position: Position, as_of: BootTime) {
-        let before = self.known.unwrap_or(Known { position, as_of });
+impl SourceState {
+    /// Records a new position and time. Neither goes back: a late reply doesn't undo a newer one.
+    fn advance(&mut self, position: Position, as_of: BootTime) {
+        let before = self.confirmed.unwrap_or(ConfirmedPosition { position, as_of });
         let position = before.position.max(position);
-        self.known = Some(Known { position, as_of: before.as_of.max(as_of) });
+        self.confirmed = Some(ConfirmedPosition { position, as_of: before.as_of.max(as_of) });
     }
 
     fn position(&self) -> Position {
-        self.known.map_or(Position::default(), |known| known.position)
+        self.confirmed.map_or(Position::default(), |confirmed| confirmed.position)
     }
 
-    /// What a peer hears of it.
+    /// How fresh this source is, for replies to peers.
     ///
-    /// Guards against a circle: where the instance that reads for others is cut off and lives on what
-    /// they say, and they on what it says, nobody reads, and a change is in force too late. Who is cut
-    /// off vouches for nothing, so that the next one reads.
+    /// Guards against a cycle: where the first reader can't reach the log and relies on its peers'
+    /// replies, while they rely on its replies, no instance reads the log, and changes are in force
+    /// too late. An instance that can't read the source confirms nothing, so that the next one
+    /// reads it.
     fn freshness(&self) -> Option<Freshness> {
-        let known = self.known.filter(|_| !self.is_lost)?;
-        Some(Freshness { position: known.position, age: known.as_of.age() })
+        let confirmed = self.confirmed.filter(|_| !self.is_unreachable)?;
+        Some(Freshness { position: confirmed.position, age: confirmed.as_of.age() })
     }
 
-    /// A peer has read up to there: whoever has read less, or can't read, asks at once.
-    fn hear(&mut self, position: Position) {
-        self.announced = self.announced.max(position);
-        if self.is_lost || position > self.position() {
-            self.news.raise();
+    /// Records that a peer has read up to `position`. Wakes the follower where this instance has
+    /// read less, or can't read the source itself.
+    fn record_announcement(&mut self, position: Position) {
+        self.peer_position = self.peer_position.max(position);
+        if self.is_unreachable || position > self.position() {
+            self.update_announced.raise();
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Readings {
-    configuration: Followed,
+struct TrackerState {
+    configuration: SourceState,
     /// The newest configuration, as it was published.
-    published: Option<Bytes>,
-    endpoints: Followed,
-    /// All endpoints.
+    published_configuration: Option<Bytes>,
+    endpoints: SourceState,
+    /// All registered endpoints.
     entries: Arc<IndexMap<EndpointId, EndpointEntry>>,
-    /// Changes of endpoints with the position up to which each was read.
+    /// Recent changes of endpoints, each with the position of the read that brought it.
     changes: VecDeque<(Position, EndpointChange)>,
-    /// All changes from this position on are kept.
+    /// All changes after this position are kept.
     changes_from: Position,
 }
 
-impl Readings {
-    fn of(&mut self, source: Source) -> &mut Followed {
+impl TrackerState {
+    fn source_mut(&mut self, source: Source) -> &mut SourceState {
         match source {
             Source::Configuration => &mut self.configuration,
             Source::Endpoints => &mut self.endpoints,
@@ -194,41 +199,48 @@
     }
 }
 
-/// Shared by the followers of the log and the links.
+/// How fresh this instance's configuration and endpoints are. Shared by the followers and the
+/// links.
 #[derive(Debug)]
 pub struct FreshnessTracker {
-    readings: Mutex<Readings>,
-    questions: Sender<FreshnessQuery>,
-    /// There are news to tell to peers.
-    telling: Signal,
-    /// Instances that retry a lost source together.
-    sharers: AtomicUsize,
+    state: Mutex<TrackerState>,
+    queries: Sender<FreshnessQuery>,
+    /// Raised when positions have to be announced to peers.
+    announcement_requested: Signal,
+    /// Number of instances that retry an unreachable source together.
+    retry_group_size: AtomicUsize,
 }
 
 impl FreshnessTracker {
-    /// Knows nothing yet. The receiver is for the links: questions to send.
+    /// Creates a tracker at position zero, and the receiver of queries that the links send.
     pub fn new() -> (FreshnessTracker, Receiver<FreshnessQuery>) {
-        let (questions, asked) = bounded(QUESTIONS);
+        let (queries, query_rx) = bounded(CHANNEL_CAPACITY);
         let tracker = FreshnessTracker {
-            readings: Mutex::default(),
-            questions,
-            telling: Signal::default(),
-            sharers: AtomicUsize::new(1),
+            state: Mutex::default(),
+            queries,
+            announcement_requested: Signal::default(),
+            retry_group_size: AtomicUsize::new(1),
         };
-        (tracker, asked)
+        (tracker, query_rx)
     }
 
-    /// The configuration is known up to `position`, and was complete at `as_of`.
-    pub fn know_configuration(&self, position: Position, as_of: BootTime, news: Option<Bytes>) {
-        let mut readings = lock(&self.readings);
-        if news.is_some() && position >= readings.configuration.position() {
-            readings.published = news;
+    /// Records that the configuration is complete up to `position` as of `as_of`.
+    pub fn update_configuration(
+        &self,
+        position: Position,
+        as_of: BootTime,
+        published: Option<Bytes>,
+    ) {
+        let mut state = lock(&self.state);
+        if published.is_some() && position >= state.configuration.position() {
+            state.published_configuration = published;
         }
-        readings.configuration.grow(position, as_of);
+        state.configuration.advance(position, as_of);
     }
 
-    /// The endpoints are known up to `position`: these, after `changes` since `before`.
-    pub fn know_endpoints(
+    /// Records that `entries` are complete up to `position` as of `as_of`, and the `changes` since
+    /// `before`.
+    pub fn update_endpoints(
         &self,
         before: Option<Position>,
         position: Position,
@@ -236,163 +248,167 @@
         changes: &[EndpointChange],
         entries: &Arc<IndexMap<EndpointId, EndpointEntry>>,
     ) {
-        let mut readings = lock(&self.readings);
-        readings.endpoints.grow(position, as_of);
-        readings.entries = entries.clone();
+        let mut state = lock(&self.state);
+        state.endpoints.advance(position, as_of);
+        state.entries = entries.clone();
         if before.is_none() {
-            readings.changes.clear();
-            readings.changes_from = position;
+            state.changes.clear();
+            state.changes_from = position;
             return;
         }
         for change in changes {
-            readings.changes.push_back((position, change.clone()));
+            state.changes.push_back((position, change.clone()));
         }
-        while readings.changes.len() > CHANGES {
-            if let Some((position, _)) = readings.changes.pop_front() {
-                readings.changes_from = position;
+        while state.changes.len() > MAX_KEPT_CHANGES {
+            if let Some((position, _)) = state.changes.pop_front() {
+                state.changes_from = position;
             }
         }
     }
 
-    /// Tells all peers up to where this instance has read. Only who has read the source itself does, so
-    /// that news cost a datagram for each reader and peer and not for each two peers.
+    /// Announces this instance's positions to all peers. Only an instance that has read the source
+    /// itself announces them, so that an update costs one datagram per reader and peer and not one
+    /// per pair of instances.
     pub fn announce(&self) {
-        self.telling.raise();
+        self.announcement_requested.raise();
     }
 
     /// Whether a peer has announced more of a source than this instance has.
     pub fn is_behind(&self, source: Source) -> bool {
-        let mut readings = lock(&self.readings);
-        let followed = readings.of(source);
-        followed.announced > followed.position()
+        let mut state = lock(&self.state);
+        let followed = state.source_mut(source);
+        followed.peer_position > followed.position()
     }
 
-    /// What this instance has of a source, written for a peer; none where it can't vouch for it, or has no
-    /// more than the peer, which has read up to `after`.
+    /// The source's content, encoded for a peer that has read up to `after`; none where this
+    /// instance can't confirm its freshness or has nothing newer.
     pub fn content(&self, source: Source, after: Position) -> Option<(Freshness, Bytes)> {
-        let mut readings = lock(&self.readings);
+        let mut state = lock(&self.state);
         let freshness =
-            readings.of(source).freshness().filter(|freshness| freshness.position > after)?;
+            state.source_mut(source).freshness().filter(|freshness| freshness.position > after)?;
         let content = match source {
-            Source::Configuration => readings.published.clone()?,
+            Source::Configuration => state.published_configuration.clone()?,
             Source::Endpoints => {
-                let entries = readings.entries.clone();
-                drop(readings);
+                let entries = state.entries.clone();
+                drop(state);
                 snapshot::encode(&*entries)
             }
         };
         Some((freshness, content))
     }
 
-    /// Whether this instance reaches a source. Peers are told of a return, as they may wait for it.
-    pub fn set_lost(&self, source: Source, is_lost: bool) {
-        lock(&self.readings).of(source).is_lost = is_lost;
-        if !is_lost {
+    /// Records whether this instance can read a source. When it can again, it announces its
+    /// positions, since peers may be waiting for them.
+    pub fn set_unreachable(&self, source: Source, is_unreachable: bool) {
+        lock(&self.state).source_mut(source).is_unreachable = is_unreachable;
+        if !is_unreachable {
             self.announce();
         }
     }
 
-    /// Instances that retry a lost source together, this one included.
-    pub fn sharers(&self) -> usize {
-        self.sharers.load(Ordering::Relaxed)
+    /// Number of instances that retry an unreachable source together, including this one.
+    pub fn retry_group_size(&self) -> usize {
+        self.retry_group_size.load(Ordering::Relaxed)
     }
 
-    /// The links know how many these are.
-    pub fn set_sharers(&self, sharers: usize) {
-        self.sharers.store(sharers, Ordering::Relaxed);
+    /// Sets the number that [`Self::retry_group_size`] returns.
+    pub fn set_retry_group_size(&self, retry_group_size: usize) {
+        self.retry_group_size.store(retry_group_size, Ordering::Relaxed);
     }
 
-    /// What a peer hears that knows the endpoints up to `endpoints_at`.
-    pub fn answer(&self, endpoints_at: Position) -> FreshnessReply {
-        let readings = lock(&self.readings);
-        let since = readings.changes.iter().filter(|(position, _)| *position > endpoints_at);
+    /// Builds the reply to a peer that has the endpoints up to `endpoints_position`.
+    pub fn reply(&self, endpoints_position: Position) -> FreshnessReply {
+        let state = lock(&self.state);
+        let since = state.changes.iter().filter(|(position, _)| *position > endpoints_position);
         let changes: Vec<_> = since.map(|(_, change)| change.clone()).collect();
-        let is_complete = endpoints_at >= readings.changes_from && changes.len() <= CHANGES_TOLD;
+        let is_complete =
+            endpoints_position >= state.changes_from && changes.len() <= MAX_CHANGES_PER_REPLY;
         FreshnessReply {
-            configuration: readings.configuration.freshness(),
-            endpoints: readings.endpoints.freshness(),
+            configuration: state.configuration.freshness(),
+            endpoints: state.endpoints.freshness(),
             changes: is_complete.then_some(changes),
         }
     }
 
-    /// Up to where configuration and endpoints are known.
+    /// Positions up to which this instance has the configuration and the endpoints.
     pub fn positions(&self) -> (Position, Position) {
-        let readings = lock(&self.readings);
-        (readings.configuration.position(), readings.endpoints.position())
+        let state = lock(&self.state);
+        (state.configuration.position(), state.endpoints.position())
     }
 
-    /// Takes in how far a peer has read.
-    pub fn hear_news(&self, configuration: Position, endpoints: Position) {
-        let mut readings = lock(&self.readings);
-        readings.configuration.hear(configuration);
-        readings.endpoints.hear(endpoints);
+    /// Records the positions that a peer announced.
+    pub fn record_announcement(&self, configuration: Position, endpoints: Position) {
+        let mut state = lock(&self.state);
+        state.configuration.record_announcement(configuration);
+        state.endpoints.record_announcement(endpoints);
     }
 
-    /// Waits for news of a source, for `patience` at most; whether there are any.
-    pub async fn news(&self, source: Source, patience: Duration) -> bool {
-        let news = lock(&self.readings).of(source).news.clone();
-        news.raised_within(patience).await
+    /// Waits for an announced update of `source`; returns false after `timeout`.
+    pub async fn wait_for_announcement(&self, source: Source, timeout: Duration) -> bool {
+        let announced = lock(&self.state).source_mut(source).update_announced.clone();
+        announced.raised_within(timeout).await
     }
 
-    /// Waits until there are news to tell to peers.
-    pub async fn telling(&self) {
-        self.telling.raised().await;
+    /// Waits until this instance's positions have to be announced.
+    pub async fn wait_for_announcement_request(&self) {
+        self.announcement_requested.raised().await;
     }
 
-    /// Asks the peers that read before this instance does, one after the other, and gives what `accept`
-    /// makes of the first good answer; none where it is this instance's turn to read.
-    pub async fn ask_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
-        for place in 0..ASKED {
-            match self.ask(QueryTarget::Reader(place), &accept).await {
-                QueryOutcome::Nobody => return None,
-                QueryOutcome::Silence => {}
+    /// Queries the peers that read before this instance, one after the other, and returns the first
+    /// reply that `accept` accepts; none where this instance has to read the source itself.
+    pub async fn query_readers<T>(&self, accept: impl Fn(ReceivedReply) -> Option<T>) -> Option<T> {
+        for rank in 0..MAX_QUERIED_INSTANCES {
+            match self.query(QueryTarget::Reader(rank), &accept).await {
+                QueryOutcome::NoPeer => return None,
+                QueryOutcome::NoUsableReply => {}
                 QueryOutcome::Accepted(accepted) => return Some(accepted),
             }
         }
         None
     }
 
-    /// The same with other peers, all at once.
-    pub async fn ask_any<T>(
+    /// Queries several peers at once, and returns the first reply that `accept` accepts.
+    pub async fn query_peers<T>(
         &self,
-        whom: QueryTarget,
+        target: QueryTarget,
         accept: impl Fn(ReceivedReply) -> Option<T>,
     ) -> Option<T> {
-        match self.ask(whom, &accept).await {
+        match self.query(target, &accept).await {
             QueryOutcome::Accepted(accepted) => Some(accepted),
-            QueryOutcome::Nobody | QueryOutcome::Silence => None,
+            QueryOutcome::NoPeer | QueryOutcome::NoUsableReply => None,
         }
     }
 
-    async fn ask<T>(
+    async fn query<T>(
         &self,
-        whom: QueryTarget,
+        target: QueryTarget,
         accept: &impl Fn(ReceivedReply) -> Option<T>,
     ) -> QueryOutcome<T> {
-        let (answers, heard) = bounded(QUESTIONS);
-        let (_, endpoints_at) = self.positions();
-        if self.questions.send(FreshnessQuery { whom, endpoints_at, answers }).await.is_err() {
-            return QueryOutcome::Nobody;
+        let (replies, received) = bounded(CHANNEL_CAPACITY);
+        let (_, endpoints_position) = self.positions();
+        if self.queries.send(FreshnessQuery { target, endpoints_position, replies }).await.is_err()
+        {
+            return QueryOutcome::NoPeer;
         }
-        let mut anybody = false;
-        let first_good = async {
-            while let Ok(heard) = heard.recv().await {
-                anybody = true;
-                if let Some(accepted) = accept(heard) {
+        let mut any_reply = false;
+        let first_accepted = async {
+            while let Ok(received) = received.recv().await {
+                any_reply = true;
+                if let Some(accepted) = accept(received) {
                     return Some(QueryOutcome::Accepted(accepted));
                 }
             }
             None
         };
-        let late = async {
-            Timer::after(PATIENCE).await;
-            Some(QueryOutcome::Silence)
+        let timed_out = async {
+            Timer::after(REPLY_TIMEOUT).await;
+            Some(QueryOutcome::NoUsableReply)
         };
-        match first_good.or(late).await {
-            Some(asked) => asked,
-            // The links let go of the question: at once where there is nobody to ask.
-            None if anybody => QueryOutcome::Silence,
-            None => QueryOutcome::Nobody,
+        match first_accepted.or(timed_out).await {
+            Some(outcome) => outcome,
+            // The links drop the sender of replies: at once where there is no peer to query.
+            None if any_reply => QueryOutcome::NoUsableReply,
+            None => QueryOutcome::NoPeer,
         }
     }
 }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its tasks, its listeners and its end.
+//! Starts and stops an instance: its listeners, its tasks and their shutdown.
 
 use std::{
     fmt, io,
@@ -13,8 +13,8 @@
     Settings,
     clock::{self, Clock},
     dialect::Dialect,
-    entry::{Entry, Readiness},
-    filter::{Dispatch, Identify, Parts, Receive, ReservationIds, Start},
+    entry::{CallerService, ReadinessService},
+    filter::{Dispatch, DispatchContext, Identify, Receive, ReservationIds, StartupGate},
     follow,
     freshness::FreshnessTracker,
     links::{self, LinkParts, Links},
@@ -26,24 +26,25 @@
     state::{Configuration, Groups, Lifecycle, Stage},
 };
 
-/// How long a stopping instance serves on as before: the balancer asks every second and believes
-/// the second miss.
-const BALANCER_WAIT: Duration = Duration::from_millis(2_600);
+/// How long a stopping instance continues to serve as before: the balancer checks readiness every
+/// second and reacts to the second failed check.
+const BALANCER_GRACE_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// What is left of the time for a stop when it ends whatever is still under way: enough to end in
-/// order, and less than the last sixth in which cuts are expected.
+/// Requests that are still in flight this long before the end of the time for a stop are cut:
+/// enough for an orderly end, and less than the last sixth of that time, in which cuts are
+/// expected.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time between two looks at what is under way.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which a stopping instance checks for requests in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long idle connections are given to close once nothing is under way.
-const IDLE_CLOSE: Duration = Duration::from_millis(150);
+/// Time for idle connections to close once no request is in flight.
+const IDLE_CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(150);
 
 /// Why an instance can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// The address can't be bound.
     Bind(SocketAddr, io::Error),
     /// The metrics can't be set up.
     Metrics(MetricsError),
@@ -60,13 +61,13 @@
 
 impl std::error::Error for StartError {}
 
-/// What an instance gets from outside.
+/// Where an instance gets its configuration, its endpoints and the addresses of its peers.
 pub struct Sources<C, E, P> {
-    /// Its configuration.
+    /// The operators' configuration.
     pub configuration: C,
-    /// Its endpoints.
+    /// The endpoints' registrations.
     pub endpoints: E,
-    /// Other instances.
+    /// The directory of instances.
     pub peers: P,
 }
 
@@ -100,43 +101,45 @@
         let configuration = Arc::new(Configuration::default());
         let groups = Arc::new(Groups::new(settings.placement));
         let lifecycle = Arc::new(Lifecycle::default());
-        let instances = Arc::new(AtomicUsize::new(1));
-        let bind = |address| move |e| StartError::Bind(address, e);
+        let live_instances = Arc::new(AtomicUsize::new(1));
+        let bind_error = |address| move |e| StartError::Bind(address, e);
         let metrics = Metrics::new(&configuration, &groups, &lifecycle);
         let metrics = Arc::new(metrics.map_err(StartError::Metrics)?);
-        let callers = net::listen(settings.listen).map_err(bind(settings.listen))?;
-        let ready = net::listen(settings.ready_listen).map_err(bind(settings.ready_listen))?;
+        let callers = net::listen(settings.listen).map_err(bind_error(settings.listen))?;
+        let ready =
+            net::listen(settings.ready_listen).map_err(bind_error(settings.ready_listen))?;
         let socket =
-            net::datagrams(settings.link_listen).await.map_err(bind(settings.link_listen))?;
-        let peers = net::listen(settings.link_listen).map_err(bind(settings.link_listen))?;
+            net::bind_udp(settings.link_listen).await.map_err(bind_error(settings.link_listen))?;
+        let peers = net::listen(settings.link_listen).map_err(bind_error(settings.link_listen))?;
 
-        let me = PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
+        let own_entry =
+            PeerEntry { instance: settings.instance.clone(), address: settings.link_listen };
         let (listed_tx, listed) = bounded(1);
         let urgent = Signal::default();
-        let (tracker, questions) = FreshnessTracker::new();
+        let (tracker, queries) = FreshnessTracker::new();
         let tracker = Arc::new(tracker);
         let links = Links::new(LinkParts {
-            me: me.clone(),
+            own_entry: own_entry.clone(),
             incarnation,
             socket,
             groups: groups.clone(),
             clock,
-            instances: instances.clone(),
+            live_instances: live_instances.clone(),
             listed,
-            here: settings.data_centre.clone(),
+            data_centre: settings.data_centre.clone(),
             tracker: tracker.clone(),
-            questions,
+            queries,
             urgent: urgent.clone(),
         });
         let bounds = settings.bounds;
-        let dispatch = Dispatch::new(Parts {
+        let dispatch = Dispatch::new(DispatchContext {
             dialect: dialect.clone(),
             clock,
             groups: groups.clone(),
             executor: executor.clone(),
             lifecycle: lifecycle.clone(),
             retry_rules: bounds.retry_rules(),
-            instances,
+            instances: live_instances,
             urgent,
             metrics: metrics.clone(),
             reservation_ids: ReservationIds::new(format!("{}.{incarnation}", settings.instance)),
@@ -145,18 +148,18 @@
         let identify = Identify::new(
             dialect.clone(),
             configuration.clone(),
-            bounds.revoke,
+            bounds.revoke_within,
             Receive::new(clock, dispatch),
         );
-        let chain = Start::new(configuration.clone(), groups.clone(), identify);
-        let entry = Entry {
+        let chain = StartupGate::new(configuration.clone(), groups.clone(), identify);
+        let entry = CallerService {
             chain,
             dialect: dialect.clone(),
             configuration: configuration.clone(),
             lifecycle: lifecycle.clone(),
             metrics: metrics.clone(),
         };
-        let readiness = Readiness {
+        let readiness = ReadinessService {
             path: dialect.ready_path(),
             configuration: configuration.clone(),
             groups: groups.clone(),
@@ -164,33 +167,33 @@
         };
         let spawn = executor.clone();
         if let Some(address) = settings.metrics_listen {
-            let listener = net::listen(address).map_err(bind(address))?;
-            let page = Arc::new(MetricsPage { metrics, lifecycle: lifecycle.clone() });
-            spawn.spawn(serve::serve(listener, page, executor.clone())).detach();
+            let listener = net::listen(address).map_err(bind_error(address))?;
+            let metrics_page = Arc::new(MetricsPage { metrics, lifecycle: lifecycle.clone() });
+            spawn.spawn(serve::serve(listener, metrics_page, executor.clone())).detach();
         }
         spawn.spawn(serve::serve(callers, Arc::new(entry), executor.clone())).detach();
         spawn.spawn(serve::serve(ready, Arc::new(readiness), executor.clone())).detach();
         spawn.spawn(links.run()).detach();
         spawn.spawn(snapshot::serve(peers, tracker.clone(), executor.clone())).detach();
         let snapshots = SnapshotClient::new(executor);
-        spawn.spawn(links::follow_directory(sources.peers, me, listed_tx)).detach();
-        let followed = follow::ConfigurationFollower::new(
+        spawn.spawn(links::follow_directory(sources.peers, own_entry, listed_tx)).detach();
+        let follower = follow::ConfigurationFollower::new(
             sources.configuration,
             configuration,
             groups.clone(),
             tracker.clone(),
             snapshots.clone(),
         );
-        spawn.spawn(followed.run()).detach();
-        let followed = follow::EndpointsFollower::new(
+        spawn.spawn(follower.run()).detach();
+        let follower = follow::EndpointsFollower::new(
             sources.endpoints,
             groups,
             clock,
-            bounds.leave,
+            bounds.leave_within,
             tracker,
             snapshots,
         );
-        spawn.spawn(followed.run()).detach();
+        spawn.spawn(follower.run()).detach();
         log::info!(
             instance = settings.instance.as_str(),
             incarnation = incarnation.0,
@@ -199,24 +202,24 @@
             links:% = settings.link_listen;
             "started"
         );
-        Ok(Instance { lifecycle, stop_within: bounds.stop })
+        Ok(Instance { lifecycle, stop_within: bounds.stop_within })
     }
 
-    /// Stops gracefully: the balancer is waited out, every request is finished, idle connections
-    /// are closed, and only what lasts beyond the time for a stop is cut.
+    /// Stops gracefully: waits until the balancer sends nothing new, finishes all requests and
+    /// closes idle connections. Only requests that exceed the time for a stop are cut.
     pub async fn close(self) {
         let end = std::time::Instant::now() + self.stop_within.saturating_sub(STOP_MARGIN);
-        self.lifecycle.leave(end);
-        log::info!(open = self.lifecycle.open(); "leaving");
-        Timer::after(BALANCER_WAIT).await;
+        self.lifecycle.begin_stop(end);
+        log::info!(open = self.lifecycle.in_flight(); "leaving");
+        Timer::after(BALANCER_GRACE_PERIOD).await;
         self.lifecycle.enter(Stage::Closing);
-        log::info!(open = self.lifecycle.open(); "closing");
-        Timer::after(IDLE_CLOSE).await;
-        while self.lifecycle.open() > 0 && std::time::Instant::now() < end {
-            Timer::after(LOOK_PERIOD).await;
+        log::info!(open = self.lifecycle.in_flight(); "closing");
+        Timer::after(IDLE_CLOSE_GRACE_PERIOD).await;
+        while self.lifecycle.in_flight() > 0 && std::time::Instant::now() < end {
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
-        // The last bytes are still on their way to their callers.
-        Timer::after(IDLE_CLOSE).await;
-        log::info!(open = self.lifecycle.open(); "stopped");
+        // The last bytes of answers are still on their way to the callers.
+        Timer::after(IDLE_CLOSE_GRACE_PERIOD).await;
+        log::info!(open = self.lifecycle.in_flight(); "stopped");
     }
 }
