--- a/crates/policy/src/ledger/claimant.rs
+++ b/crates/policy/src/ledger/claimant.rs
@@ -1,25 +1,26 @@
-//! The claimant's own side of a claim: claimed, then sending or abandoned, and never both.
+//! The claimant's local state machine for one claim. A claim is either sent or abandoned, never
+//! both.
 
 use super::{Claim, ClaimId, KeyState, Ledger, Phase, Writer};
 use crate::{Offset, Time};
 
-/// How far the claimant has come.
+/// State of a claim at its claimant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ClaimantState {
-    /// The claim waits to be appended or to be read back.
+    /// The claim has not been read back from the log yet.
     Waiting,
-    /// It was read back as the valid one.
+    /// The claim was read back from the log as the valid one for its key.
     Won,
-    /// Another claim is the valid one, or this one never counts.
+    /// Another claim is valid for the key, or this one was rejected by the fold. Final.
     Lost,
-    /// The first byte may be on its way to the endpoint.
+    /// The first byte may have been sent to the endpoint.
     Sending,
-    /// Given up before any byte was sent.
+    /// The claim was abandoned before any byte was sent. Final.
     Abandoned,
 }
 
-/// One claim in its claimant's memory. It lives under one lock, so that a caller that gives up and
-/// a task that is about to send can't both have their way.
+/// One claim in the memory of its claimant. The caller that abandons the call and the task that
+/// sends it access it under the same lock, so that only one of the two transitions can succeed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Claimant {
     state: ClaimantState,
@@ -29,40 +30,41 @@
     maybe_ran: bool,
 }
 
-/// What a caller may be told once its claim is given up.
+/// What can truthfully be reported to the caller when its claim is abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AbandonOutcome {
-    /// The call did not run, and no claim made before now will run it.
+    /// The call did not run, and no claim made so far will run it.
     NotRun,
-    /// This claim didn't run it; another one may have, or may yet.
+    /// This claim did not run the call, but another claim may have run it or may still run it.
     Unknown,
-    /// Too late: the first byte may be on its way.
+    /// Abandoning failed: the first byte may have been sent.
     Sending,
 }
 
 impl Claimant {
-    /// A claim that waits; nothing is sent after `deadline`. `deduplicates` as in [`Claim`].
+    /// Creates a waiting claim. No byte is sent after `deadline`. For `deduplicates` see [`Claim`].
     pub fn new(deadline: Time, deduplicates: bool) -> Self {
         let (state, fencing_number) = (ClaimantState::Waiting, Offset(0));
         Claimant { state, fencing_number, deadline, deduplicates, maybe_ran: false }
     }
 
-    /// How far it has come.
+    /// The claim's current state.
     pub fn state(&self) -> ClaimantState {
         self.state
     }
 
-    /// The claim's place in the stream once it is won; the fencing number of the call.
+    /// Fencing number of the call: the claim's offset in the stream, or zero until the claim is
+    /// won.
     pub fn fencing_number(&self) -> Offset {
         self.fencing_number
     }
 
-    /// The latest moment at which the first byte may be sent.
+    /// The time after which the first byte must not be sent.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Takes note of a ledger that holds the claim's batch, or of a later one.
+    /// Settles a waiting claim as won or lost, once `ledger` includes the batch that contains it.
     pub fn observe(&mut self, ledger: &Ledger, writer: &Writer, claim: &Claim, id: ClaimId) {
         if self.state != ClaimantState::Waiting || ledger.sequence(writer) < id.sequence {
             return;
@@ -73,18 +75,18 @@
                 self.fencing_number = key_state.offset;
                 self.maybe_ran = key_state.maybe_ran;
             }
-            // The batch counts and the claim isn't the valid one, and never will be: a claim is
-            // valid from its place in the stream on, or not at all.
+            // The batch was applied and the claim isn't the valid one. It can't become valid later:
+            // the fold decides on a claim once, at the claim's offset.
             _ => self.state = ClaimantState::Lost,
         }
     }
 
-    /// Gives the claim up, unless it is being sent.
+    /// Abandons the claim unless sending has begun.
     ///
-    /// Guards against a false "not run". Before the claim is read back, another one may stand
-    /// before it in the stream and have run, so only a claim that was won proves that nothing ran.
-    /// Where the endpoint deduplicates, an earlier attempt of unknown outcome may have run, and
-    /// past the deadline another instance may have taken over.
+    /// Guards against a false "not run". Until the claim is read back, an earlier claim in the
+    /// stream may exist and may have run the call, so only a won claim proves that nothing ran. If
+    /// the endpoint deduplicates, an earlier attempt with an unknown outcome may have run, and
+    /// after the deadline another instance may have taken the claim over.
     pub fn abandon(&mut self, now: Time) -> AbandonOutcome {
         let taken_over = self.deduplicates && now >= self.deadline;
         match self.state {
@@ -99,11 +101,11 @@
         AbandonOutcome::Unknown
     }
 
-    /// Asks for the right to send the first byte, right before it is sent.
+    /// Requests permission to send the first byte; must be called immediately before sending.
     ///
-    /// Guards against a claimant that was paused after it had won: when it wakes, its caller has
-    /// long gone, and only the clock read here, after the pause, shows it. A later pause does no
-    /// harm, because nobody else can win the claim.
+    /// Guards against a claimant that was paused after it won the claim: when it resumes, its
+    /// caller may be gone, and only a clock read after the pause can detect this. A pause after
+    /// this check is harmless, because no other instance can win the claim.
     pub fn try_begin_sending(&mut self, now: Time) -> bool {
         if self.state != ClaimantState::Won || now >= self.deadline {
             return false;
--- a/crates/policy/src/ledger/fold.rs
+++ b/crates/policy/src/ledger/fold.rs
@@ -1,4 +1,4 @@
-//! What the records of a ledger stream mean. Every instance folds them to the same standing.
+//! Folds the records of a ledger stream into the state of each key, identically on every instance.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -17,68 +17,70 @@
     replay::{Fold, LogPosition},
 };
 
-/// Keys in one part of a checkpoint. With answers of a few hundred bytes a part is about 100 KB.
+/// With answers of a few hundred bytes, a part of a checkpoint is about 100 KB.
 const MAX_KEYS_PER_PART: usize = 200;
-/// Answers' bytes in one part of a checkpoint, so that large answers don't make a part too large.
+/// Limit on the answer bodies in one part of a checkpoint, so that large answers don't make it too
+/// large for one record.
 const MAX_BODY_BYTES_PER_PART: usize = 256 << 10;
-/// How much longer than its own patience a claimant of a call that the endpoint deduplicates is
-/// left alone. It covers the clocks of two machines running apart within one call.
+/// Delay after a claim's end before another instance may take it over, if the endpoint
+/// deduplicates. It covers the drift between the clocks of two machines during one call.
 const TAKEOVER_MARGIN_MS: u64 = 5_000;
 
-/// How often writers that are gone are dropped from memory, in milliseconds of the log's clock.
+/// Interval at which expired writers are removed from memory, in milliseconds of the log's clock.
 const WRITER_SWEEP_INTERVAL_MS: u64 = 60_000;
 
-/// The bytes of answers that are kept in all. Small instances have a few gigabytes; beyond this
-/// the oldest answers' bodies are dropped, and callers that send again hear only that the call ran.
+/// Limit on all retained answer bodies of one stream. Small instances have a few gigabytes of
+/// memory. Beyond the limit the oldest bodies are dropped, and callers that repeat such a call only
+/// learn that it ran.
 pub const MAX_RETAINED_BODY_BYTES: usize = 256 << 20;
 
-/// How long keys are remembered.
+/// How long a ledger retains its keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetentionWindow(pub Duration);
 
-/// How far a call has come.
+/// Outcome of the current attempt, as recorded in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// A claimant has the right to run it and may be running it.
+    /// A claimant has the exclusive right to run the call and may be running it.
     Claimed,
-    /// The claimant has given it up without running it; the next attempt may be claimed.
+    /// The claimant abandoned the call without running it; the next attempt may be claimed.
     NotRun,
-    /// It may or may not have run, and nobody can tell.
+    /// The call may have run; its outcome can't be determined.
     Unknown,
-    /// It ran.
+    /// The call ran and was answered.
     Done(Answer),
 }
 
-/// What is known of one key.
+/// State of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyState {
-    /// The present attempt.
+    /// The current attempt; counts from 1.
     pub attempt: u32,
-    /// Who has claimed it.
+    /// The writer that holds the claim.
     pub writer: Writer,
-    /// By which claim.
+    /// The claim that is valid for this attempt.
     pub claim: ClaimId,
-    /// Where the claim stands; the fencing number of the call.
+    /// Offset of the claim in the stream; the fencing number of the call.
     pub offset: Offset,
     /// Hash of the call's body.
     #[serde(with = "hex")]
     pub fingerprint: Fingerprint,
-    /// Whether the endpoint answers a repeated key with its first answer.
+    /// Whether the endpoint deduplicates: it answers a repeated key with its first answer.
     pub deduplicates: bool,
-    /// Whether an earlier attempt may have run. Only where the endpoint deduplicates.
+    /// Whether an earlier attempt may have run. Only set where the endpoint deduplicates.
     #[serde(default)]
     pub maybe_ran: bool,
-    /// When the claimant is through, on the log's clock.
+    /// When the claimant's deadline ends, in milliseconds of the log's clock.
     pub ends_ms: u64,
-    /// When the key is forgotten, on the log's clock.
+    /// When the key is removed, in milliseconds of the log's clock.
     pub expires_ms: u64,
-    /// How far it has come.
+    /// Outcome of the current attempt.
     pub phase: Phase,
 }
 
 impl KeyState {
-    /// The bytes that the answer's body takes.
+    /// Size of the retained answer body; zero if there is none.
     fn body_bytes(&self) -> usize {
         match &self.phase {
             Phase::Done(answer) => answer.body.as_ref().map_or(0, String::len),
@@ -86,17 +88,17 @@
         }
     }
 
-    /// Whether the claim is that of `writer`'s batch entry `claim`.
+    /// Whether `claim` of `writer` is the valid claim.
     pub fn is_held_by(&self, writer: &Writer, claim: ClaimId) -> bool {
         self.writer == *writer && self.claim == claim
     }
 
-    /// The attempt that may be claimed next, if one may be at `now_ms`.
+    /// The attempt that may be claimed at `now_ms`, if any.
     pub fn next_attempt(&self, deduplicates: bool, now_ms: u64) -> Option<u32> {
         let claimable = match self.phase {
             Phase::NotRun => true,
             Phase::Done(_) => false,
-            // The endpoint itself makes sure that the call takes effect once.
+            // The endpoint ensures that the call takes effect only once.
             Phase::Unknown => self.deduplicates && deduplicates,
             Phase::Claimed => {
                 let is_overdue = now_ms > self.ends_ms.saturating_add(TAKEOVER_MARGIN_MS);
@@ -112,42 +114,43 @@
 pub struct Ledger {
     window: RetentionWindow,
     keys: HashMap<CallKey, KeyState>,
-    /// Keys by when they are forgotten.
+    /// Keys ordered by expiry time.
     expiry: BTreeSet<(u64, CallKey)>,
-    /// Keys whose answer has a body, by when they are forgotten.
+    /// Keys whose answer has a body, ordered by expiry time.
     bodies: BTreeSet<(u64, CallKey)>,
     retained_body_bytes: usize,
-    /// Each writer's last batch, and when it came.
+    /// Sequence number of each writer's last batch, and the log's time when it was appended.
     writers: HashMap<Writer, (u64, u64)>,
     now_ms: u64,
     swept_at_ms: u64,
 }
 
 impl Ledger {
-    /// What is known of `key`.
+    /// The state of `key`, or none if it was never claimed or has expired.
     pub fn key_state(&self, key: &CallKey) -> Option<&KeyState> {
         self.keys.get(key)
     }
 
-    /// How many keys are remembered.
+    /// Number of retained keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is retained.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The log's clock as of the last entry.
+    /// Time of the last entry, in milliseconds of the log's clock.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// The last batch of `writer` that counts.
+    /// Sequence number of `writer`'s last applied batch, or zero if there is none.
     ///
-    /// A writer that was silent for longer than the window counts as new. This is decided here
-    /// and not by when [`Ledger::expire`] last swept, so that all readers decide alike.
+    /// A writer that was silent for longer than the retention window counts as new. This is checked
+    /// here and doesn't depend on when [`Ledger::expire`] last swept, so that all readers decide
+    /// alike.
     pub fn sequence(&self, writer: &Writer) -> u64 {
         let oldest = self.writer_expiry_ms();
         let known = self.writers.get(writer).filter(|(_, seen_ms)| *seen_ms >= oldest);
@@ -168,7 +171,7 @@
     ) -> Option<CallKey> {
         match entry {
             Entry::Claim(claim) => self.apply_claim(claim, writer, id, position),
-            // This attempt didn't run, which says nothing of an earlier one.
+            // This attempt didn't run, but an earlier one may have.
             Entry::NotRun { key, claim } => {
                 self.transition(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed if key_state.maybe_ran => Some(Phase::Unknown),
@@ -182,8 +185,8 @@
                     _ => None,
                 })
             }
-            // An answer may still come after the claimant has told its caller that the outcome is
-            // unknown; it is the first one, and every later caller gets it.
+            // An answer may still arrive after the claimant has reported an unknown outcome to its
+            // caller. It is the first answer, and every later caller gets it.
             Entry::Done { key, claim, answer } => {
                 self.transition(key, writer, claim, |key_state| match key_state.phase {
                     Phase::Claimed | Phase::Unknown => Some(Phase::Done(answer)),
@@ -200,7 +203,8 @@
         id: ClaimId,
         position: LogPosition,
     ) -> Option<CallKey> {
-        // A claim that surfaces after its key was forgotten would be taken for the first.
+        // A claim that appears in the log after its key expired would be mistaken for the first
+        // one.
         if claim.key.check_age(self.window.0, position.time_ms) != KeyAge::Usable {
             return None;
         }
@@ -234,7 +238,7 @@
         Some(claim.key)
     }
 
-    /// Moves a key on, which only its present claimant may do.
+    /// Changes the phase of a key. Only the holder of the valid claim may do so.
     fn transition(
         &mut self,
         key: CallKey,
@@ -252,8 +256,8 @@
         Some(key)
     }
 
-    /// Counts a body, and drops the oldest ones where there are too many. All readers drop the
-    /// same, because the order follows from the stream.
+    /// Records a retained body, and drops the oldest ones beyond the limit. The order follows from
+    /// the stream, so all readers drop the same bodies.
     fn retain_body(&mut self, expires_ms: u64, key: &CallKey, bytes: usize) {
         if bytes == 0 {
             return;
@@ -329,7 +333,7 @@
         let writers = self.writers.iter();
         let writers = writers.map(|(writer, (sequence, seen))| (writer.clone(), *sequence, *seen));
         let mut writers: Vec<_> = writers.collect();
-        // The same state gives the same records, whoever writes them.
+        // Sorted, so that equal states give equal records whichever instance writes them.
         writers.sort();
         let mut parts = vec![LedgerPart { keys: Vec::new(), writers }];
         let mut bytes = 0;
@@ -351,8 +355,9 @@
 
     fn apply(&mut self, batch: Batch, position: LogPosition) -> Vec<CallKey> {
         self.expire(position.time_ms);
-        // Guards against an append that was repeated because its answer was lost, and against one
-        // that surfaces after its writer has gone on: both carry a number that is not new.
+        // Guards against an append that was repeated because its reply was lost, and against one
+        // that takes effect after its writer has moved on: both carry a sequence number that was
+        // already used or passed.
         if batch.sequence <= self.sequence(&batch.writer) {
             return Vec::new();
         }
--- a/crates/policy/src/ledger/key.rs
+++ b/crates/policy/src/ledger/key.rs
@@ -1,4 +1,4 @@
-//! The keys of calls that may not be repeated.
+//! Idempotency keys of calls that may not be repeated.
 
 use std::{fmt, time::Duration};
 
@@ -7,18 +7,18 @@
 
 use crate::{EndpointGroup, Workspace};
 
-/// The longest `Idempotency-Key`, in bytes. Customary keys are UUIDs; every instance keeps every
-/// key for a day.
+/// Limit on the length of an `Idempotency-Key`. Typical keys are UUIDs; every instance retains
+/// every key for a day.
 pub const MAX_KEY_BYTES: usize = 128;
 
-/// Why a text can't be an `Idempotency-Key`.
+/// Why an `Idempotency-Key` is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
-    /// The text is empty.
+    /// The header has no value.
     Empty,
-    /// The text is longer than [`MAX_KEY_BYTES`].
+    /// The value is longer than [`MAX_KEY_BYTES`].
     TooLong,
-    /// The text holds something besides printable ASCII.
+    /// The value contains characters other than printable ASCII.
     BadCharacter,
 }
 
@@ -38,20 +38,20 @@
 
 impl std::error::Error for KeyError {}
 
-/// A call's key. Two workspaces may choose the same text without meeting each other, and so may
-/// one workspace towards two services.
+/// Identifies a call. The same `Idempotency-Key` in two workspaces, or for two services of one
+/// workspace, identifies different calls.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallKey {
-    /// Whose call.
+    /// The caller's workspace.
     pub workspace: Workspace,
-    /// The service that it is for.
+    /// The endpoint group of the called service.
     pub group: EndpointGroup,
-    /// The text of `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub text: String,
 }
 
 impl CallKey {
-    /// A key as a caller sent it.
+    /// Validates a key sent by a caller.
     ///
     /// # Errors
     ///
@@ -69,7 +69,8 @@
         Ok(CallKey { workspace, group, text: text.to_owned() })
     }
 
-    /// When the key was made, where it is a UUIDv7 and therefore says so.
+    /// When the key was generated, in milliseconds since the Unix epoch. Only a UUIDv7 contains its
+    /// time.
     pub fn created_at_ms(&self) -> Option<u64> {
         let uuid = Uuid::try_parse(&self.text).ok()?;
         if uuid.get_version_num() != 7 {
@@ -79,7 +80,7 @@
         Some(seconds.saturating_mul(1_000).saturating_add(u64::from(nanos) / 1_000_000))
     }
 
-    /// Whether the key may still be claimed at `now_ms`, by its own time.
+    /// Checks the key's own timestamp, if it has one, against the retention window.
     pub fn check_age(&self, window: Duration, now_ms: u64) -> KeyAge {
         let Some(made) = self.created_at_ms() else { return KeyAge::Usable };
         let window = millis(window);
@@ -99,18 +100,19 @@
     }
 }
 
-/// How far a caller's clock may run ahead. A key from further ahead would outlive what is
-/// remembered of it, and could then be claimed a second time.
+/// How far a caller's clock may be ahead. A key from further ahead would outlive its ledger entry
+/// and could then be claimed a second time.
 pub(super) const MAX_CLOCK_SKEW: Duration = Duration::from_secs(300);
 
-/// Whether a key fits the window in which keys are remembered.
+/// Result of comparing a key's timestamp with the retention window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyAge {
-    /// It fits, or doesn't tell its time.
+    /// The key is within the window or has no timestamp.
     Usable,
-    /// Older than the window: what became of it may be forgotten, so it may not run.
+    /// The key is older than the window: its ledger entry may have expired, so the call may not
+    /// run.
     TooOld,
-    /// Made later than now by more than clocks differ.
+    /// The key's timestamp is in the future by more than the allowed clock skew.
     FromTheFuture,
 }
 
--- a/crates/policy/src/ledger/mod.rs
+++ b/crates/policy/src/ledger/mod.rs
@@ -1,16 +1,17 @@
-//! Calls that may not be repeated run at most once.
+//! At-most-once execution of calls that may not be repeated.
 //!
-//! - **Load pattern.** A caller that hears nothing sends its call again, to whichever instance the
-//!   balancer picks, while the first instance may be paused, cut off, or waiting for an answer of
-//!   the log that was lost after the append took effect.
-//! - **Without it.** A lease lapses while its holder is paused, and the holder wakes up still
-//!   believing in it: two registrations. The same happens with "look whether it ran, then run
-//!   it". `tests/ledger_model.rs` shows both with a trace.
-//! - **Rule.** An instance appends a claim and reads it back; the first valid claim of a key in
-//!   offset order wins, on every reader alike, and never lapses. Only the claimant may void it, by
-//!   [`Entry::NotRun`], after it has given the claim up in its own memory. Bytes sent and no
-//!   answer means that the outcome is unknown, and it stays so.
-//! - **Grounds of the figures.** Stated at each constant; `docs/decisions/ledger.md` holds the
+//! - **Load pattern.** A caller that gets no answer retries its call on whichever instance the load
+//!   balancer picks. Meanwhile the first instance may be paused, partitioned, or waiting for a
+//!   reply of the log that was lost after the append took effect.
+//! - **Without it.** With a lease, the lease expires while its holder is paused, and the holder
+//!   resumes and still runs the call: two registrations. A check followed by a run has the same
+//!   race. `tests/ledger_model.rs` shows a trace of both.
+//! - **Rule.** An instance appends a claim and reads it back. The first valid claim of a key in
+//!   offset order wins, on every reader alike, and doesn't expire by itself. Only the claimant may
+//!   void it, by [`Entry::NotRun`], after abandoning the claim in its own memory. Only where the
+//!   endpoint deduplicates may another instance take a claim over. If bytes were sent and no answer
+//!   arrived, the outcome is unknown and stays so unless the answer still arrives.
+//! - **Grounds of the figures.** Stated at each constant; `docs/decisions/ledger.md` contains the
 //!   measurements.
 
 mod claimant;
--- a/crates/policy/src/ledger/record.rs
+++ b/crates/policy/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What stands in a ledger stream. `docs/PROTOCOLS.md` describes the form on the wire.
+//! Records of a ledger stream. `docs/PROTOCOLS.md` describes their JSON form.
 
 use std::fmt;
 
@@ -7,16 +7,17 @@
 use super::{CallKey, KeyState};
 use crate::{Fingerprint, Incarnation, InstanceId};
 
-/// The largest body kept for callers that send again, in bytes. Confirmations of registrations and
-/// holds are well below; a hundred claims a second with larger ones would fill the log.
+/// Limit on an answer body that is stored for callers that repeat their call. Confirmations of
+/// registrations and holds are much smaller; a hundred claims a second with larger bodies would
+/// fill the log.
 pub const MAX_ANSWER_BODY_BYTES: usize = 16 << 10;
 
-/// One life of an instance.
+/// One incarnation of an instance, as the author of batches.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Writer {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
@@ -26,54 +27,54 @@
     }
 }
 
-/// One append: all that an instance had to say while its last append was under way.
+/// One append: all entries that an instance queued while its previous append was in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Batch {
-    /// Who appends.
+    /// The author of the batch.
     pub writer: Writer,
-    /// Rises by one with each batch of one writer. A batch whose answer was lost is appended
-    /// again under its number; readers take the first and drop whatever comes later with this or
-    /// a lower number.
+    /// Increases by one with each batch of a writer. If the reply to an append is lost, the batch
+    /// is appended again with the same number; readers apply the first one and skip later batches
+    /// with this or a lower number.
     pub sequence: u64,
-    /// What it says.
+    /// The entries in the order in which they are applied.
     pub entries: Vec<Entry>,
 }
 
-/// Names a claim: the batch it stands in and its place there.
+/// Identifies a claim of one writer by its batch and its index in that batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The writer's batch.
+    /// Sequence number of the batch.
     pub sequence: u64,
-    /// Counts from zero within the batch.
+    /// Index of the entry in the batch, from zero.
     pub index: u32,
 }
 
-/// A claim of the right to run a call.
+/// A claim of the exclusive right to run a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// The call.
+    /// Key of the call.
     pub key: CallKey,
-    /// One more than the last attempt known to have been given up; counts from 1.
+    /// One more than the last attempt that was abandoned; counts from 1.
     pub attempt: u32,
-    /// Hash of the call's body, by which another call under the same key is recognised.
+    /// Hash of the request body; detects the reuse of a key for a different call.
     #[serde(with = "hex")]
     pub fingerprint: Fingerprint,
-    /// Whether the endpoint answers a repeated key with its first answer.
+    /// Whether the endpoint deduplicates: it answers a repeated key with its first answer.
     #[serde(default)]
     pub deduplicates: bool,
-    /// How long the claimant goes on at most, in milliseconds from its append.
+    /// How long after its append the claimant may still run the call, in milliseconds.
     pub patience_ms: u64,
 }
 
-/// The answer to a call, kept for callers that send it again.
+/// The answer to a call, stored for callers that repeat it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Answer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body's type.
+    /// Value of the `Content-Type` header.
     #[serde(default)]
     pub content_type: Option<String>,
-    /// The body; absent where it is longer than [`MAX_ANSWER_BODY_BYTES`] or not UTF-8.
+    /// The body; absent if it is longer than [`MAX_ANSWER_BODY_BYTES`] or not UTF-8.
     pub body: Option<String>,
 }
 
@@ -81,44 +82,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
-    /// The writer wants to run a call.
+    /// The writer claims the right to run a call.
     Claim(Claim),
-    /// The writer has given its claim up before it sent a byte, and won't send any.
+    /// The writer abandoned its claim before sending any byte, and won't send any.
     NotRun {
-        /// The call.
+        /// Key of the call.
         key: CallKey,
-        /// The claim.
+        /// The writer's claim that ended.
         claim: ClaimId,
     },
-    /// The call ran and this is its answer.
+    /// The call ran and was answered.
     Done {
-        /// The call.
+        /// Key of the call.
         key: CallKey,
-        /// The claim.
+        /// The writer's claim that ended.
         claim: ClaimId,
-        /// The answer.
+        /// What the endpoint answered.
         answer: Answer,
     },
-    /// Bytes were sent and no whole answer came.
+    /// Bytes were sent and no complete answer arrived.
     Unknown {
-        /// The call.
+        /// Key of the call.
         key: CallKey,
-        /// The claim.
+        /// The writer's claim that ended.
         claim: ClaimId,
     },
 }
 
-/// One part of a ledger's checkpoint.
+/// One part of a checkpoint of a ledger.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LedgerPart {
-    /// Some of the keys.
+    /// A share of the keys, in order of expiry.
     pub keys: Vec<(CallKey, KeyState)>,
-    /// The writers, with their last batch and when it came. Only in the first part.
+    /// Each writer with the sequence number of its last batch and the log's time of that batch in
+    /// milliseconds. Only in the first part.
     pub writers: Vec<(Writer, u64, u64)>,
 }
 
 pub(super) mod hex {
-    //! Fingerprints are 128 bits wide, wider than what JSON readers take as a number.
+    //! Fingerprints are 128 bits wide, more than JSON parsers support as a number, so they are
+    //! written as hexadecimal text.
 
     use serde::{Deserialize, Deserializer, Serializer, de::Error as _};
 
--- a/crates/policy/src/membership/member.rs
+++ b/crates/policy/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What all witnesses together say of one member's newest life.
+//! Combined evidence about the newest incarnation of one member.
 
 use crate::{
     Incarnation, Time,
@@ -8,20 +8,20 @@
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) incarnation: Incarnation,
-    /// When this life was first heard of.
+    /// When this incarnation first became known.
     pub(super) first_seen_at: Time,
-    /// The last direct sign of life; the first mention, where there was none.
+    /// Time of the last direct evidence; if there was none, when the incarnation became known.
     pub(super) last_seen_at: Time,
-    /// When a newer life took over the name, for owners of memory.
+    /// When a newer incarnation replaced an older one, for the owners of engine memory.
     pub(super) replaced_at: Option<Time>,
-    /// Whether the member was ever heard of directly.
+    /// Whether the member was ever seen directly, by a heartbeat or an answer.
     pub(super) seen_directly: bool,
     pub(super) stopped: bool,
-    /// When the last read list had it; none where it didn't.
+    /// When the last list was read, if it contained the member.
     pub(super) listed_at: Option<Time>,
     leaving: bool,
     operator_leaving: bool,
-    /// When a list without incarnations last had the member as leaving.
+    /// When a list without incarnations last marked the member as leaving.
     listed_leaving_at: Option<Time>,
 }
 
@@ -41,8 +41,8 @@
         }
     }
 
-    /// A newer life voids everything but the operator's mark, which is about the name. Where only
-    /// the list was known so far, this is the life that it means.
+    /// A newer incarnation voids everything except the operator's mark, which applies to the name.
+    /// If only the list knew the member so far, this is the incarnation that the list meant.
     pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation, now: Time) {
         let known = self.incarnation > Incarnation(0);
         *self = Member {
@@ -72,14 +72,14 @@
             self.leaving |= leaving;
             return;
         }
-        // Such a line may still mean the life before this one; taken at its word, an endpoint that
-        // has just restarted would be shut out.
+        // Such a list entry may still refer to the previous incarnation; applying it would exclude
+        // an endpoint that has just restarted.
         let may_mean_previous = self.replaced_at.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
         if leaving && !may_mean_previous {
             self.listed_leaving_at = Some(now);
         } else if !leaving && self.listed_leaving_at.is_some_and(|at| now.since(at) >= MAX_LIST_LAG)
         {
-            // A list that says *live* sooner may be an older copy than the one that said
+            // A list that reports *live* sooner may be an older copy than the one that reported
             // *leaving*.
             self.listed_leaving_at = None;
         }
@@ -90,7 +90,7 @@
             return MemberState::Dead;
         }
         let silent = now.since(self.last_seen_at);
-        // One that was never heard of directly is in service on the word of a list that has it.
+        // A member that was never seen directly is in service as long as the list contains it.
         let is_listed =
             !self.seen_directly && self.listed_at.is_some() && self.listed_at == list_read_at;
         if silent >= DEAD_TIMEOUT && !is_listed {
--- a/crates/policy/src/membership/mod.rs
+++ b/crates/policy/src/membership/mod.rs
@@ -1,25 +1,26 @@
-//! Who is in service: the fold of all witnesses about instances and endpoints.
+//! Membership of instances and endpoints, derived from all sources of evidence.
 //!
-//! **Load pattern.** Instances and endpoints are replaced at any time, a rack or a data centre at
-//! once. The platform's list lags and has outages; heartbeats get lost; a paused process wakes and
-//! still believes itself in service.
+//! **Load pattern.** Instances and endpoints are replaced at any time, also a rack or a data centre
+//! at once. The platform's list lags and has outages; heartbeats get lost; a paused process resumes
+//! and assumes that it is still in service.
 //!
-//! **Without it.** By the list alone, an endpoint that is leaving gets new work for as long as the
-//! list lags, and a dead instance's share of the load blocks its endpoints. By heartbeats alone, a
-//! cut between two data centres makes each declare the other dead and release the memory that the
-//! other's running requests use.
+//! **Without it.** With the list alone, a leaving endpoint gets new work for as long as the list
+//! lags, and a dead instance's share of the load blocks its endpoints. With heartbeats alone, a
+//! network partition between two data centres makes each declare the other dead and release memory
+//! that the other's running requests use.
 //!
-//! **Rule.** Evidence counts for one incarnation. A newer incarnation voids all that was known of
-//! the older one; evidence about an older one is ignored. *Leaving*, once heard from any witness,
-//! holds for that incarnation whatever *live* is heard later. The operator's mark is a level: it
-//! holds while it is set. A list that states no incarnations is a level as well, and one that says
-//! *live* takes its *leaving* back only after the list's lag. Direct signs of life (heartbeats, answers) decide between live, suspect
-//! and dead; the list only introduces members and confirms absence.
+//! **Rule.** Evidence applies to one incarnation. A newer incarnation voids the evidence about the
+//! older one, and evidence about an older incarnation is ignored. *Leaving*, once reported by any
+//! source, holds for that incarnation even if *live* is reported later. The operator's mark is
+//! level-triggered: it holds while it is set. A list without incarnations is level-triggered as
+//! well, but a list that reports *live* clears its earlier *leaving* only after the list's maximum
+//! lag. Direct evidence (heartbeats, answers) decides between live, suspect and dead; the list only
+//! introduces members and confirms absence.
 //!
-//! **Grounds.** Heartbeats come each [`HEARTBEAT_INTERVAL`]. [`SUSPECT_TIMEOUT`] is three of them, so that one
-//! lost and one late change nothing; [`DEAD_TIMEOUT`] leaves time for one fresh connection, since
-//! open ones may be silent while the member lives. [`MAX_LIST_LAG`] is the assumed lag of the list:
-//! the brief says that it lags and not by how much.
+//! **Grounds.** Heartbeats arrive every [`HEARTBEAT_INTERVAL`]. [`SUSPECT_TIMEOUT`] is three
+//! intervals, so that one lost and one late heartbeat change nothing. [`DEAD_TIMEOUT`] leaves time
+//! to open a new connection, since an open one may be silent although the member is alive.
+//! [`MAX_LIST_LAG`] is an assumption: the requirements say that the list lags, but not by how much.
 
 mod member;
 pub mod owners;
@@ -32,67 +33,69 @@
 
 use member::Member;
 
-/// The time between two heartbeats of a member.
+/// Interval between the heartbeats of a member.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A member not heard of for this long is suspect: nothing new is sent, nothing is given up.
+/// A member that is silent for this long is suspect: it gets no new work, but nothing is failed
+/// over yet.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A member not heard of for this long is dead. The second half of the time is for a fresh
-/// connection to be dialled and to answer.
+/// A member that is silent for this long is dead. The second half of the time leaves room for
+/// opening a new connection and receiving a reply.
 pub const DEAD_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How old the list's content may be.
+/// Assumed maximum age of the list's content.
 pub const MAX_LIST_LAG: Duration = Duration::from_secs(30);
 
-/// How long a dead member's incarnation is remembered, so that a late list or a late message can't
-/// bring it back.
+/// How long a dead member's incarnation is retained, so that an outdated list or a late message
+/// can't revive it.
 pub const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(600);
 
-/// The most members kept. Twice the endpoints and instances of the long-run sizes.
+/// Limit on the members kept: twice the number of endpoints and instances that are expected in the
+/// long run.
 pub const MAX_MEMBERS: usize = 8_192;
 
-/// A member's state.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// In service.
+    /// In service and available for new work.
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// Finishes its running requests and gets no new ones.
     Leaving,
-    /// Not heard of for a while: nothing new, and nothing given up yet.
+    /// Silent for [`SUSPECT_TIMEOUT`]: gets no new requests; running ones aren't given up yet.
     Suspect,
-    /// Gone.
+    /// Stopped, silent for [`DEAD_TIMEOUT`], or unknown.
     Dead,
 }
 
-/// What a witness says of a member.
+/// Evidence about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberObservation {
-    /// A heartbeat or an answer, by the member itself.
+    /// The member itself sent a heartbeat or an answer.
     Alive,
-    /// The member itself says, or another instance passes on, that it is leaving.
+    /// The member announced that it is leaving, directly or through another instance.
     Leaving,
-    /// The member said goodbye: it has stopped.
+    /// The member announced that it has stopped.
     Stopped,
-    /// The operator's configuration marks it as leaving, or no longer does.
+    /// The operator's configuration marks the member as leaving, or no longer does.
     Operator {
-        /// Whether the mark is set.
+        /// Whether the member is marked as leaving.
         leaving: bool,
     },
 }
 
-/// One line of the platform's list.
+/// A member in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListEntry<K> {
-    /// The member.
+    /// Id of the member.
     pub member: K,
-    /// Its incarnation, or zero where the list doesn't know it.
+    /// Its incarnation; zero if the list doesn't contain incarnations.
     pub incarnation: Incarnation,
-    /// Whether the list has it as leaving.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// All members of one kind. `K` is their id.
+/// All known members of one kind; `K` is the type of their id.
 #[derive(Debug)]
 pub struct Membership<K> {
     members: IndexMap<K, Member>,
@@ -101,12 +104,12 @@
 }
 
 impl<K: Clone + Eq + Hash> Membership<K> {
-    /// Knows of nobody.
+    /// Creates a membership without members.
     pub fn new(now: Time) -> Membership<K> {
         Membership { members: IndexMap::new(), list_read_at: None, started_at: now }
     }
 
-    /// Takes note of evidence about one incarnation of a member.
+    /// Records evidence about one incarnation of a member.
     pub fn observe(
         &mut self,
         key: &K,
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Takes note of a whole list. Members that it lacks lose its support; that alone makes nobody
-    /// dead who is heard of directly.
+    /// Applies a complete list. Members that it lacks are no longer confirmed by the list, which
+    /// alone doesn't make a member dead that sends heartbeats.
     pub fn apply_list(&mut self, lines: &[ListEntry<K>], now: Time) {
         self.list_read_at = Some(now);
         self.members.values_mut().for_each(|member| member.listed_at = None);
@@ -132,7 +135,7 @@
         self.forget_long_dead(now);
     }
 
-    /// The member's state.
+    /// The member's state; [`MemberState::Dead`] if it is unknown.
     pub fn state(&self, key: &K, now: Time) -> MemberState {
         self.members
             .get(key)
@@ -144,7 +147,7 @@
         self.members.get(key).map(|member| member.incarnation)
     }
 
-    /// All members that aren't dead.
+    /// Iterates over the members that aren't dead.
     pub fn members(&self, now: Time) -> impl Iterator<Item = MemberStatus<'_, K>> {
         self.members.iter().filter_map(move |(key, member)| {
             let state = member.state(self.list_read_at, now);
@@ -153,13 +156,14 @@
         })
     }
 
-    /// Whether enough is known to call anyone absent: the list was read once, or heartbeats had
-    /// their time.
+    /// Whether absence can be concluded yet: the list was read once, or heartbeats had time to
+    /// arrive.
     pub fn is_settled(&self, now: Time) -> bool {
         self.list_read_at.is_some() || now.since(self.started_at) >= DEAD_TIMEOUT
     }
 
-    /// The record that evidence about `incarnation` belongs to; none where that life is over.
+    /// The member to which evidence about `incarnation` applies; none if that incarnation was
+    /// replaced or the limit on members is reached.
     fn member(&mut self, key: &K, incarnation: Incarnation, now: Time) -> Option<&mut Member> {
         if !self.members.contains_key(key) {
             if self.members.len() >= MAX_MEMBERS {
@@ -174,7 +178,7 @@
         if incarnation > member.incarnation {
             member.begin_incarnation(incarnation, now);
         }
-        // Zero stands for a witness that doesn't know incarnations, as the list may.
+        // Zero means that the source doesn't state incarnations, as the list may.
         let current = incarnation == member.incarnation || incarnation == Incarnation(0);
         current.then_some(member)
     }
@@ -193,13 +197,13 @@
     }
 }
 
-/// A member that isn't dead.
+/// Snapshot of a member that isn't dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus<'a, K> {
-    /// The member.
+    /// Id of the member.
     pub key: &'a K,
-    /// Its newest incarnation.
+    /// Its newest known incarnation.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Its state at the time of the snapshot.
     pub state: MemberState,
 }
--- a/crates/policy/src/membership/owners.rs
+++ b/crates/policy/src/membership/owners.rs
@@ -1,12 +1,12 @@
-//! Whether the owner of memory on an engine is gone for good.
+//! Whether the owner of memory on an engine is dead.
 //!
-//! Releasing what a live owner uses would cut off a caller's answer, and keeping what a dead one
-//! left would lose engine memory until its lease ends. The lease is the safe side: an engine
-//! itself releases what nobody renews. Therefore an owner counts as gone only on proof: a newer
-//! life under its name, its own goodbye, or silence on the links *and* absence from a list that
-//! was read after the silence had lasted as long as that list may lag. In an outage of the list,
-//! or when regions have lost each other, the answer is [`OwnerStatus::Unknown`] and the lease
-//! decides.
+//! Releasing the memory of a live owner would break off a caller's answer, and keeping the memory
+//! of a dead one would occupy the engine until the lease ends. The lease is the safe fallback: the
+//! engine itself releases what isn't renewed. Therefore an owner counts as dead only on proof: a
+//! newer incarnation under its name, its own announcement that it has stopped, or silence on the
+//! connections *and* absence from a list that was read after the silence had lasted as long as that
+//! list may lag. During an outage of the list, or when data centres are partitioned, the result is
+//! [`OwnerStatus::Unknown`] and the lease decides.
 
 use std::{hash::Hash, time::Duration};
 
@@ -15,23 +15,24 @@
     membership::{DEAD_TIMEOUT, MAX_LIST_LAG, MemberState, Membership},
 };
 
-/// How long after the proof an owner's memory is still left alone: what it sent just before its
-/// end may still be on the way to the engine, and would be released before it arrives.
+/// Delay between the proof that an owner is dead and the release of its memory. Messages that it
+/// sent just before its end may still be in transit to the engine, and the release must not
+/// overtake them.
 pub const OWNER_GRACE_PERIOD: Duration = Duration::from_secs(10);
 
-/// What is known of an owner.
+/// Whether an incarnation that owns memory is alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerStatus {
-    /// It lives.
+    /// The owner is alive.
     Alive,
-    /// Nobody can tell; leave its memory to the lease.
+    /// Neither life nor death is proven; the lease decides.
     Unknown,
-    /// It is gone; its memory may be released.
+    /// The owner is dead and its memory may be released.
     Dead,
 }
 
 impl<K: Clone + Eq + Hash> Membership<K> {
-    /// Whether this life of the owner still counts.
+    /// Status of one incarnation of an owner.
     pub fn owner(&self, key: &K, incarnation: Incarnation, now: Time) -> OwnerStatus {
         let Some(member) = self.members.get(key) else {
             return self.unknown_owner(now);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// An owner never heard of: perhaps it is one from before this instance's start.
+    /// Status of an owner that was never seen; it may predate the start of this instance.
     fn unknown_owner(&self, now: Time) -> OwnerStatus {
         let proved_at = self.started_at + DEAD_TIMEOUT + MAX_LIST_LAG;
         match self.list_read_at {
--- a/crates/policy/src/publication/diff.rs
+++ b/crates/policy/src/publication/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two folders, member by member.
+//! Compares two configuration folders member by member.
 
 use std::fmt;
 
@@ -9,29 +9,29 @@
     tree::{Node, Value, join, merge},
 };
 
-/// The most changes that are listed. A larger difference means that a folder was mixed up with
-/// another site's, and the first hundreds show it.
+/// Limit on the listed changes. A larger difference means that a folder was mistaken for another
+/// site's, and the first few hundred changes show that.
 const MAX_LISTED_CHANGES: usize = 400;
 
-/// One member that differs.
+/// A configuration member that was added, removed or changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FieldChange {
-    /// The member.
+    /// Path of the member, such as `workspaces.a.weight`.
     pub path: String,
-    /// Its value before; absent where it is new.
+    /// The previous value; absent if the member is new.
     #[serde(default)]
     pub before: Option<serde_json::Value>,
-    /// Its value now; absent where it was removed.
+    /// The new value; absent if the member was removed.
     #[serde(default)]
     pub after: Option<serde_json::Value>,
 }
 
-/// The longest value, in bytes, that an entry of the audit trail keeps. The trail stands in every
+/// Longer values are replaced by their size in the audit trail. The trail is a part of every
 /// checkpoint, which has to fit into one record.
 const MAX_AUDITED_VALUE_BYTES: usize = 300;
 
 impl FieldChange {
-    /// Replaces long values by their size.
+    /// Replaces values longer than the audit trail's limit by their size.
     pub fn shorten(&mut self) {
         for value in [&mut self.before, &mut self.after].into_iter().flatten() {
             let len = value.to_string().len();
@@ -53,7 +53,7 @@
     }
 }
 
-/// What differs between `before` and `after`, in the order of the members.
+/// Lists the changes from `before` to `after`, in the order of the members.
 pub fn difference(before: &[SourceFile], after: &[SourceFile]) -> Vec<FieldChange> {
     let mut findings = Findings::default();
     let before = merge(before, &mut findings);
@@ -73,7 +73,7 @@
     let after_object = after.filter(is_object);
     let descend = match (before, after) {
         (Some(_), Some(_)) => before_object.is_some() && after_object.is_some(),
-        // The whole folder being new or gone is shown by its sections.
+        // A folder that is new or removed as a whole is listed by its sections.
         _ => path.is_empty(),
     };
     if descend {
--- a/crates/policy/src/publication/fold.rs
+++ b/crates/policy/src/publication/fold.rs
@@ -1,4 +1,5 @@
-//! The records of the configuration stream and what they mean.
+//! Folds the records of the configuration stream into the configuration in force and its audit
+//! trail.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -11,84 +12,84 @@
     replay::{Fold, LogPosition},
 };
 
-/// Entries of the audit trail that instances keep at hand. Operators publish a few times a day;
-/// the stream itself holds whatever the log's retention allows.
+/// Limit on the audit trail that instances keep in memory. Operators publish a few times a day; the
+/// stream itself contains whatever the log's retention allows.
 const MAX_AUDIT_ENTRIES: usize = 500;
-/// The most differing members that an entry of the audit trail keeps.
+/// Limit on the changed members, or findings, in one entry of the audit trail.
 const MAX_CHANGES_PER_AUDIT_ENTRY: usize = 40;
-/// The longest name of who changed something, in bytes.
+/// Limit on the id of a change or note, its author's name and the text of an action.
 const MAX_NAME_BYTES: usize = 128;
 
-/// A change to the configuration, as an operator publishes it.
+/// A new configuration, as an operator publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Chosen by the publisher, so that a change appended twice is taken once.
+    /// Chosen by the publisher; a change that is appended twice is applied once.
     pub id: String,
-    /// The version that the files were made from; zero for the first.
+    /// The version that the change is based on; zero for the first.
     pub base: Version,
-    /// Who publishes.
+    /// Name of the operator.
     pub by: String,
-    /// The whole folder.
+    /// All files of the new configuration.
     pub files: Vec<SourceFile>,
 }
 
-/// Something that an operator did besides publishing, for the audit trail.
+/// An operator's action other than publishing, recorded for the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// Chosen by the author, so that a note appended twice is taken once.
+    /// Chosen by the author; a note that is appended twice is applied once.
     pub id: String,
-    /// Who did it.
+    /// Name of the operator.
     pub by: String,
-    /// What, as `drain entry-2`.
+    /// The action, such as `drain entry-2`.
     pub action: String,
 }
 
-/// What the stream's records hold.
+/// An entry of the configuration stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PublicationEntry {
-    /// A change.
+    /// A new configuration.
     Change(Change),
-    /// A note.
+    /// An action for the audit trail.
     Note(Note),
 }
 
-/// What became of a change.
+/// The result of applying a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is, or was, in force as this version.
+    /// The change was accepted and got this version number.
     Accepted(Version),
-    /// Another change came first; this version was in force by then.
+    /// The change's base was outdated: this version was already in force.
     Conflict(Version),
-    /// It fails these checks.
+    /// The files failed these checks.
     Rejected(Vec<String>),
-    /// A note, which needs no verdict.
+    /// The entry is a note, which isn't checked.
     Noted,
 }
 
-/// One line of the audit trail.
+/// An entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Its place in the stream.
+    /// Offset of the record in the stream.
     pub offset: Offset,
-    /// When, on the log's clock, in milliseconds.
+    /// When the log took the record, in milliseconds of the log's clock.
     pub time_ms: u64,
-    /// The change's or note's own name.
+    /// The id of the change or note.
     pub id: String,
-    /// Who.
+    /// Name of the operator.
     pub by: String,
-    /// From which version.
+    /// The base version of a change; for a note, the version in force.
     pub base: Version,
-    /// What became of it.
+    /// The result of applying the entry.
     pub verdict: Verdict,
-    /// What it changed, or what was done.
+    /// Summary of the change, or the text of the note.
     pub action: String,
-    /// The members that it changed, as far as kept.
+    /// The first changed members, with long values shortened.
     pub changes: Vec<FieldChange>,
 }
 
-/// A checkpoint of the stream.
+/// The state of the stream in a checkpoint, which has a single part.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublicationPart {
     version: Version,
@@ -96,7 +97,7 @@
     audit: Vec<AuditEntry>,
 }
 
-/// The configuration in force, and how it came to be.
+/// The configuration in force and its audit trail.
 #[derive(Debug, Clone)]
 pub struct Publication {
     version: Version,
@@ -106,17 +107,17 @@
 }
 
 impl Publication {
-    /// The version in force; zero where nothing was published yet.
+    /// The version in force; zero if nothing has been published.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The files in force.
+    /// The files of the configuration in force.
     pub fn files(&self) -> &Arc<Vec<SourceFile>> {
         &self.files
     }
 
-    /// The configuration in force.
+    /// The parsed configuration in force; none if nothing has been published.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
@@ -126,12 +127,12 @@
         self.audit.iter()
     }
 
-    /// What became of the change or note named `id`, if it is known.
+    /// The audit entry of the change or note `id`, unless it is unknown or was dropped.
     pub fn entry(&self, id: &str) -> Option<&AuditEntry> {
         self.audit.iter().rev().find(|entry| entry.id == id)
     }
 
-    /// The accepted changes after version `base`, for the author of a change made from it.
+    /// The changes accepted after version `base`, to show to the author of a conflicting change.
     pub fn accepted_since(&self, base: Version) -> impl Iterator<Item = &AuditEntry> {
         self.audit.iter().filter(
             move |entry| matches!(entry.verdict, Verdict::Accepted(version) if version > base),
@@ -180,11 +181,11 @@
     }
 }
 
-/// Checks files that are to follow `current`.
+/// Checks files that are to replace `current`.
 ///
 /// # Errors
 ///
-/// All findings.
+/// All findings, including changes of settings that are fixed once published.
 pub fn check_change(current: Option<&Config>, files: &[SourceFile]) -> Result<Config, Findings> {
     let loaded = load(files)?;
     let mut findings = Findings::default();
@@ -194,8 +195,8 @@
     }
     let ledger = loaded.config.ledger;
     if let Some(current) = current {
-        // A key's claim would be looked for in another stream, or forgotten at another time on
-        // each instance, and the call could run twice.
+        // Otherwise instances would look for a key's claim in another stream, or expire it at
+        // different times, and the call could run twice.
         if ledger.streams != current.ledger.streams {
             let message = format!("it is {} and can't be changed any more", current.ledger.streams);
             findings.push(None, "ledger.streams", message);
@@ -257,7 +258,7 @@
         if id.is_empty() || id.len() > MAX_NAME_BYTES {
             return Vec::new();
         }
-        // An append that was repeated because its answer was lost. The first one stands.
+        // The append was repeated because its reply was lost. The first record counts.
         if self.entry(id).is_some() {
             return Vec::new();
         }
--- a/crates/policy/src/publication/mod.rs
+++ b/crates/policy/src/publication/mod.rs
@@ -1,13 +1,13 @@
-//! Which configuration is in force: the fold of the stream on which operators publish.
+//! Decides which configuration is in force, by folding the stream on which operators publish.
 //!
-//! - **Load pattern.** Two operators change the configuration at once; an append's answer is lost
-//!   and the change is sent again; an instance starts while the log is down, or after the log has
-//!   dropped the change that is in force.
-//! - **Without it.** The later of two changes silently undoes the first, a late duplicate brings
-//!   an old state back, and instances disagree on what is in force.
-//! - **Rule.** A change names the version it was made from. It is accepted only where that version
-//!   is in force at its offset and its files pass every check; the version then rises by one.
-//!   Every reader folds the same records to the same answer, and nobody's clock decides.
+//! - **Load pattern.** Two operators change the configuration concurrently; the reply to an append
+//!   is lost and the change is sent again; an instance starts while the log is down, or after the
+//!   log has dropped the record of the change that is in force.
+//! - **Without it.** The later of two changes silently reverts the first, a late duplicate restores
+//!   an old state, and instances disagree on what is in force.
+//! - **Rule.** A change names its base version. It is accepted only if that version is in force at
+//!   the change's offset and its files pass every check; the version then increases by one. Every
+//!   reader folds the same records to the same result, independent of any local clock.
 //! - **Grounds of the figures.** Stated at each constant.
 
 mod diff;
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -1,16 +1,17 @@
-//! Folding a stream of the log into state, the same on every instance.
+//! Folds a stream of the log into state that is identical on every instance.
 //!
-//! The log keeps records for a limited time, so a reader may find that its next record is gone. It
-//! then must not go on as if nothing had been there: its state would differ from the others'. It
-//! waits for a checkpoint that covers the gap, and is incomplete until then. A checkpoint covers
-//! all records below its offset `covers`; one that leaves a gap to the first kept record is stale
-//! and ignored. `docs/decisions/ledger.md` says what was weighed.
+//! The log keeps records for a limited time, so a reader may find that its next record was dropped.
+//! Continuing with the next kept record would make its state differ from the others'. The reader
+//! therefore waits for a checkpoint that covers the gap, and its state is incomplete until then. A
+//! checkpoint covers all records below its offset `covers`. A checkpoint is stale, and ignored, if
+//! records are missing between `covers` and the first kept record. `docs/decisions/ledger.md`
+//! describes the alternatives.
 
 use std::{collections::HashMap, fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Position of a record in its stream; only rises.
+/// Position of a record in its stream. Offsets increase but may skip numbers.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -31,52 +32,52 @@
     }
 }
 
-/// One record as the log gives it.
+/// A record as read from the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogRecord<'a> {
-    /// Its place.
+    /// Position of the record in the stream.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the log took the record, in milliseconds of the log's clock.
     pub time_ms: u64,
-    /// Its content.
+    /// The record's JSON text.
     pub data: &'a [u8],
 }
 
-/// Where and when an entry was taken by the log.
+/// Offset and time at which the log took an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Its place.
+    /// Position of the record in the stream.
     pub offset: Offset,
-    /// The log's clock, in milliseconds. It never goes back from entry to entry: an earlier time
-    /// is raised to the latest one seen.
+    /// Milliseconds of the log's clock. It never decreases from entry to entry: an earlier time is
+    /// raised to the latest one seen.
     pub time_ms: u64,
 }
 
-/// What a stream folds into.
+/// State that is computed by applying the entries of a stream in order.
 pub trait Fold: Sized {
-    /// What the stream's records hold.
+    /// Type of the stream's entries.
     type Entry: Serialize + DeserializeOwned;
-    /// One part of a checkpoint.
+    /// Type of one part of a checkpoint.
     type Part: Serialize + DeserializeOwned;
-    /// What all readers of the stream agree on beforehand.
+    /// Parameters that must be equal for all readers of the stream.
     type Params: Clone;
-    /// What an entry changed, for whoever waits for it.
+    /// Describes what an entry changed, to notify waiting tasks.
     type Change;
 
-    /// The state before the first record.
+    /// Creates the state before the first record.
     fn empty(setup: &Self::Params) -> Self;
 
-    /// The state that a checkpoint holds.
+    /// Restores the state from all parts of a checkpoint.
     fn restore(setup: &Self::Params, parts: Vec<Self::Part>) -> Self;
 
-    /// The state as parts of a checkpoint, each small enough for one record; at least one.
+    /// Splits the state into at least one part, each small enough for one record.
     fn parts(&self) -> Vec<Self::Part>;
 
-    /// Takes one entry into account.
+    /// Applies one entry.
     fn apply(&mut self, entry: Self::Entry, position: LogPosition) -> Vec<Self::Change>;
 }
 
-/// What a record holds.
+/// JSON content of a record.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Content<E, P> {
@@ -86,30 +87,30 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct CheckpointPart<P> {
-    /// All records below this offset are covered.
+    /// The state includes all records below this offset.
     covers: Offset,
-    /// The log's clock as of the covered records.
+    /// The log's time of the last covered record.
     time_ms: u64,
-    /// Tells the parts of one checkpoint from those of another.
+    /// Identifies the checkpoint that the part belongs to.
     id: String,
     part: usize,
     parts: usize,
     state: P,
 }
 
-/// The most parts of one checkpoint; a larger number is no checkpoint of ours.
+/// Limit on the parts of one checkpoint; a record with a larger number is invalid.
 const MAX_PARTS: usize = 100_000;
 
-/// Writes an entry as the content of a record.
+/// Encodes an entry as the content of a record.
 ///
 /// # Errors
 ///
-/// Only where the entry can't be written as JSON.
+/// If the entry can't be serialised to JSON.
 pub fn encode<F: Fold>(entry: &F::Entry) -> serde_json::Result<Vec<u8>> {
     serde_json::to_vec(&Content::<&F::Entry, ()>::Entry(entry))
 }
 
-/// A stream as far as it was read, and the state that it folds into.
+/// Reader of a stream: the position up to which it was read, and the folded state.
 pub struct Replay<F: Fold> {
     setup: F::Params,
     next: Offset,
@@ -125,16 +126,16 @@
     Rebuilding(Rebuild<F>),
 }
 
-/// A reader that missed records and waits for a checkpoint.
+/// State of a reader that missed records and waits for a checkpoint.
 struct Rebuild<F: Fold> {
-    /// The first record that was still kept.
+    /// Offset of the first record that the log still kept.
     first_kept: Offset,
     entries: Vec<(F::Entry, LogPosition)>,
     checkpoints: HashMap<String, Vec<Option<CheckpointPart<F::Part>>>>,
 }
 
 impl<F: Fold> Replay<F> {
-    /// A reader of a stream from its beginning.
+    /// Creates a reader that starts at the beginning of the stream.
     pub fn new(setup: F::Params) -> Self {
         let state = State::Complete(F::empty(&setup));
         let (next, first_kept) = (Offset(0), Offset(0));
@@ -149,12 +150,12 @@
         }
     }
 
-    /// The offset to read from next.
+    /// The offset to read from.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// The state, unless records were missed and no checkpoint has covered them yet.
+    /// The state; none while records are missing that no checkpoint has covered yet.
     pub fn state(&self) -> Option<&F> {
         match &self.state {
             State::Complete(fold) => Some(fold),
@@ -162,29 +163,30 @@
         }
     }
 
-    /// When and up to where the last whole checkpoint was seen.
+    /// Time at which the last complete checkpoint was seen, and the offset up to which it covers
+    /// the stream.
     pub fn last_checkpoint(&self) -> Option<LogPosition> {
         self.last_checkpoint
     }
 
-    /// Whether the log has dropped records that no checkpoint covers: whoever starts reading now
-    /// never gets whole.
+    /// Whether the log has dropped records that no checkpoint covers: a reader that starts now
+    /// can't restore the state.
     pub fn needs_checkpoint(&self) -> bool {
         self.first_kept > self.last_checkpoint.map_or(Offset(0), |position| position.offset)
     }
 
-    /// The log's clock as of the last record.
+    /// Time of the last record, in milliseconds of the log's clock.
     pub fn time_ms(&self) -> u64 {
         self.time_ms
     }
 
-    /// How many records couldn't be read.
+    /// Number of records that couldn't be parsed and were skipped.
     pub fn unreadable_records(&self) -> u64 {
         self.unreadable_records
     }
 
-    /// Takes a page of the stream: `first` is the first offset that the log still keeps. It alone
-    /// tells whether records were missed, because offsets only rise and may leave numbers out.
+    /// Applies a page of the stream. `first` is the first offset that the log still keeps. Only
+    /// `first` shows whether records were missed, because offsets may skip numbers.
     pub fn apply_page<'a>(
         &mut self,
         first: Offset,
@@ -196,7 +198,7 @@
         }
         let mut changes = Vec::new();
         for record in records {
-            // A page that was asked for twice, or that the log repeats, was folded already.
+            // The record was already applied: the page was requested twice or repeated by the log.
             if record.offset < self.next {
                 continue;
             }
@@ -206,7 +208,8 @@
         changes
     }
 
-    /// The records of a checkpoint of the present state, if it is complete. `id` has to be unique.
+    /// Encodes a checkpoint of the current state as records; none while the state is incomplete.
+    /// `id` must be unique in the stream.
     pub fn checkpoint(&self, id: &str) -> Option<Vec<Vec<u8>>> {
         let parts = self.state()?.parts();
         let count = parts.len();
@@ -242,7 +245,7 @@
                 State::Rebuilding(rebuild) => rebuild.entries.push((entry, position)),
             },
             Ok(Content::Checkpoint(part)) => self.apply_checkpoint_part(part, changes),
-            // Whoever wrote it, all readers skip it alike.
+            // All readers skip a malformed record alike.
             Err(_) => self.unreadable_records += 1,
         }
     }
@@ -275,7 +278,8 @@
 }
 
 impl<F: Fold> Rebuild<F> {
-    /// Adds a part; gives all parts and the covered time once they are there.
+    /// Adds a part of a checkpoint. Once the checkpoint is complete, returns all its parts and the
+    /// log's time of the last covered record.
     fn add_part(&mut self, part: CheckpointPart<F::Part>) -> Option<(u64, Vec<F::Part>)> {
         if part.parts == 0 || part.parts > MAX_PARTS || part.part >= part.parts {
             return None;
