--- a/crates/policy/src/any.rs
+++ b/crates/policy/src/any.rs
@@ -1,4 +1,5 @@
-//! The scheduler that a deployment's configuration names, without `dyn` on the request path.
+//! Static dispatch to the scheduler that a deployment's configuration names, without `dyn` on the
+//! request path.
 
 use std::sync::Arc;
 
@@ -10,22 +11,23 @@
     config::{self, PolicyName},
 };
 
-/// One of the schedulers. The daemon and the bench hold this, so that a baseline runs in exactly
-/// the place of the product's own.
+/// Any of the schedulers. The daemon and the bench use this type, so that a baseline runs in
+/// exactly the same place as the adaptive scheduler.
 #[derive(Debug)]
 pub enum AnyScheduler {
-    /// The product's own.
+    /// The adaptive scheduler, named `trefoilhall` in configurations.
     Adaptive(Box<AdaptiveScheduler>),
-    /// Endpoints in turn.
+    /// Baseline that uses the endpoints in turn.
     RoundRobin(BaselineScheduler<RoundRobin>),
-    /// The endpoint with the fewest own requests.
+    /// Baseline that chooses the endpoint with the fewest requests of this instance.
     LeastOutstanding(BaselineScheduler<LeastOutstanding>),
-    /// One queue in order of arrival.
+    /// Baseline with one queue in order of arrival.
     FirstCome(BaselineScheduler<FirstComeFirstServed>),
 }
 
 impl AnyScheduler {
-    /// The scheduler named `policy` for one life of `instance`; `seed` starts its generator.
+    /// Creates the scheduler named `policy` for one incarnation of `instance`. `seed` initialises
+    /// its random number generator.
     pub fn new(
         policy: PolicyName,
         instance: InstanceId,
@@ -51,7 +53,7 @@
     }
 }
 
-macro_rules! each {
+macro_rules! dispatch {
     ($self:ident, $scheduler:ident => $call:expr) => {
         match $self {
             AnyScheduler::Adaptive($scheduler) => $call,
@@ -70,26 +72,26 @@
         endpoints: &[EndpointChange],
         now: Time,
     ) {
-        each!(self, scheduler => scheduler.configure(rules, workspaces, endpoints, now));
+        dispatch!(self, scheduler => scheduler.configure(rules, workspaces, endpoints, now));
     }
 
     fn offer(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission {
-        each!(self, scheduler => scheduler.offer(req, now))
+        dispatch!(self, scheduler => scheduler.offer(req, now))
     }
 
     fn poll(&mut self, now: Time) -> Vec<Decision> {
-        each!(self, scheduler => scheduler.poll(now))
+        dispatch!(self, scheduler => scheduler.poll(now))
     }
 
     fn next_wakeup(&self, now: Time) -> Option<Time> {
-        each!(self, scheduler => scheduler.next_wakeup(now))
+        dispatch!(self, scheduler => scheduler.next_wakeup(now))
     }
 
     fn observe(&mut self, event: Event, now: Time) {
-        each!(self, scheduler => scheduler.observe(event, now));
+        dispatch!(self, scheduler => scheduler.observe(event, now));
     }
 
     fn digest(&mut self, now: Time) -> LoadDigest {
-        each!(self, scheduler => scheduler.digest(now))
+        dispatch!(self, scheduler => scheduler.digest(now))
     }
 }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,58 +1,59 @@
-//! What the decisions know of one request.
+//! Description of a request as used by the scheduler.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Fingerprint, Model, RequestId, Time, Tokens, Workspace};
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallKind {
-    /// A completion by this model.
+    /// A completion by a model.
     Model(Model),
     /// A call to a plain service.
     Service,
 }
 
-/// One request as the decisions see it. Sizes are estimates made from the body's length; the
-/// engine's own counts replace them once it reports.
+/// A request as the scheduler sees it. Sizes are estimated from the length of the body; the
+/// engine's own counts replace them once they are reported.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestSpec {
-    /// The request, unique within this instance's life.
+    /// Id of the request, unique within this incarnation of the instance.
     pub id: RequestId,
-    /// Whose share it counts against.
+    /// The workspace whose share of the capacity the request uses.
     pub workspace: Workspace,
-    /// What it asks for.
+    /// Whether the request is for a model or a plain service.
     pub kind: CallKind,
-    /// Estimated prompt size. For a service call, [`RequestSpec::SERVICE_CALL_TOKENS`].
+    /// Estimated prompt size; [`RequestSpec::SERVICE_CALL_TOKENS`] for a service call.
     pub prompt: Tokens,
-    /// The most tokens it may generate.
+    /// Limit on the generated tokens.
     pub max_output: Tokens,
-    /// When the request came in.
+    /// When the request was received.
     pub arrived: Time,
-    /// When it has to have ended, whether finished or failed.
+    /// When the request must have finished or failed.
     pub deadline: Time,
-    /// By when the first token must be out, where the route states a bound; otherwise the
-    /// deadline less the time that generating takes.
+    /// Deadline of the first token: the route's bound, if it has one; otherwise the deadline minus
+    /// the time needed for decoding.
     pub first_token_by: Option<Time>,
     /// Hashes of the prompt's leading blocks, each covering all blocks before it, so that equal
     /// hashes at position n mean an equal prefix of n + 1 blocks.
     pub prefix: Vec<u64>,
     /// Hash of the body.
     pub fingerprint: Fingerprint,
-    /// Whether it may be run again after it may have been run once (it is idempotent).
+    /// Whether the request may be run again although it may already have been run (it is
+    /// idempotent).
     pub repeatable: bool,
 }
 
 impl RequestSpec {
-    /// The weight of one call to a plain service, in tokens. Only its ratio to other service
-    /// calls matters, because services and engines never share an endpoint.
+    /// Weight of one call to a plain service, in tokens. Only its ratio to other service calls
+    /// matters, because services and engines never share an endpoint.
     pub const SERVICE_CALL_TOKENS: Tokens = Tokens(100);
 
-    /// Tokens of one prefix block. 256 tokens keep a million-token prompt's chain under 4,000
-    /// hashes; engines cache in smaller blocks, whose multiples these are.
+    /// Size of one prefix block. 256 tokens keep the hash chain of a million-token prompt below
+    /// 4,000 hashes. Engines cache in smaller blocks, and this size is a multiple of theirs.
     pub const PREFIX_BLOCK_TOKENS: Tokens = Tokens(256);
 
-    /// Memory the request needs on an engine when its output is as long as allowed.
+    /// Memory that the request needs on an engine if its output reaches the limit.
     pub fn footprint(&self) -> Tokens {
         self.prompt + self.max_output
     }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! The seam between decisions and whatever drives them.
+//! The interface between a scheduler and its driver.
 //!
-//! A scheduler decides for one deployment: who is admitted, who waits, where and when each request
-//! starts, and when it is given up. The daemon drives it from sockets, tests drive it from a list
-//! of events; both call the same code. All methods are cheap and never block.
+//! A scheduler decides for one deployment which requests are admitted or queued, where and when
+//! each request starts, and when it fails. The daemon drives it from sockets, tests drive it from a
+//! list of events; both call the same code. All methods are cheap and never block.
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,10 +13,10 @@
     RequestId, RequestSpec, Time, TokenRate, Tokens, config,
 };
 
-/// Decides about the requests of one deployment on one instance.
+/// Schedules the requests of one deployment on one instance.
 pub trait Scheduler: Send {
-    /// Takes over new rules and the deployment's endpoints. Requests under way go on; endpoints
-    /// no longer listed get nothing new.
+    /// Replaces the rules and the deployment's endpoints. Running requests continue; endpoints that
+    /// are no longer listed get no new requests.
     fn configure(
         &mut self,
         rules: &config::DeploymentRules,
@@ -25,102 +25,103 @@
         now: Time,
     );
 
-    /// Admits a request or refuses it at once. An admitted request later gets exactly one
-    /// [`Decision::Fail`], or ends by an [`Event::Ended`] of the driver.
+    /// Admits or refuses a request immediately. An admitted request ends either by exactly one
+    /// [`Decision::Fail`] or by an [`Event::Ended`] from the driver.
     fn offer(&mut self, req: Arc<RequestSpec>, now: Time) -> Admission;
 
-    /// Decides all that can be decided now. The driver carries every decision out; it calls again
-    /// after each event and at [`Scheduler::next_wakeup`].
+    /// Returns all decisions that are due. The driver carries out every decision, and calls this
+    /// again after each event and at [`Scheduler::next_wakeup`].
     fn poll(&mut self, now: Time) -> Vec<Decision>;
 
-    /// When [`Scheduler::poll`] has to be called even if no event comes.
+    /// When [`Scheduler::poll`] must be called if no event arrives earlier.
     fn next_wakeup(&self, now: Time) -> Option<Time>;
 
-    /// Takes note of what happened.
+    /// Records an event reported by the driver.
     fn observe(&mut self, event: Event, now: Time);
 
-    /// This instance's own part of the load, for the others.
+    /// This instance's share of the load, to be sent to the other instances.
     fn digest(&mut self, now: Time) -> LoadDigest;
 }
 
-/// Whether a request is taken on.
+/// Result of offering a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
-    /// It will finish or fail by its deadline.
+    /// The request was accepted; it finishes or fails by its deadline.
     Admitted,
-    /// It was not run and won't be.
+    /// The request was not run and won't be.
     Refused(Refusal),
 }
 
-/// Why and for how long a request is turned away.
+/// Why a request is refused and when to retry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The cause.
     pub reason: RefusalReason,
-    /// When asking again is likely to succeed, for `Retry-After`.
+    /// When a retry is likely to succeed, for the `Retry-After` header.
     pub retry_after: Duration,
-    /// What a refusal by prediction rests on.
+    /// The prediction that led to the refusal, if there was one.
     pub forecast: Option<Forecast>,
 }
 
 impl Refusal {
-    /// A refusal that rests on no prediction.
+    /// Creates a refusal that isn't based on a prediction.
     pub fn new(reason: RefusalReason, retry_after: Duration) -> Refusal {
         Refusal { reason, retry_after, forecast: None }
     }
 }
 
-/// A predicted first token and what it was computed from.
+/// The predicted time of the first token and the values that it was computed from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// Seconds of prefill of the prompt itself.
+    /// Seconds to prefill the request's own prompt.
     pub prefill_s: f64,
-    /// Seconds for what goes before it.
+    /// Seconds to prefill the prompts ahead of it.
     pub prefill_ahead_s: f64,
-    /// Seconds until its workspace's turn.
+    /// Seconds until its workspace's turn under fair queueing.
     pub fair_share_wait_s: f64,
-    /// What the first two are multiplied by.
+    /// Safety factor on the two prefill times.
     pub margin: f64,
-    /// Seconds until the first token has to be out.
+    /// Seconds from now to the deadline of the first token.
     pub budget_s: f64,
-    /// Prefill speed that it was computed with.
+    /// Prefill speed used in the computation.
     pub rate: TokenRate,
-    /// Whether any engine's speed was measured.
+    /// Whether the prefill speed of at least one engine was measured.
     pub is_measured: bool,
-    /// Prefill that was sent to engines and goes before it.
+    /// Prefill tokens ahead of the request that were already sent to engines.
     pub in_flight: Tokens,
-    /// Prefill that waits here and at the other instances.
+    /// Prefill tokens queued on this and the other instances.
     pub queued: Tokens,
-    /// Requests of this instance under way.
+    /// Requests of this instance in flight.
     pub in_flight_requests: usize,
-    /// Age of the oldest word of another instance.
+    /// Age of the oldest load digest among the other instances.
     pub max_peer_age: Duration,
 }
 
-/// The reasons for turning a request away.
+/// Reasons for refusing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The predicted first token is past its bound.
+    /// The first token is predicted to miss its deadline.
     TooLate,
     /// The workspace is over its configured limit.
     OverLimit,
-    /// The workspace holds its share of the waiting room and others need the rest.
+    /// The workspace uses its share of the queue and other workspaces need the rest.
     OverShare,
-    /// The prompt needs more memory than all engines of the deployment have.
+    /// The prompt needs more memory than all engines of the deployment have together.
     TooLarge,
-    /// No endpoint can serve it now.
+    /// No endpoint can currently serve the request.
     NoEndpoint,
-    /// The request has crashed endpoints and isn't run again.
+    /// The request crashed endpoints and isn't run again.
     Quarantined,
     /// The instance is stopping.
     Stopping,
-    /// The log service is down and the call may not be repeated.
+    /// The log service is down, and the call requires a ledger claim because it may not be
+    /// repeated.
     LogUnavailable,
 }
 
 impl RefusalReason {
-    /// The reason as it stands in error bodies, logs and metrics.
+    /// The reason as written in error bodies, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::TooLate => "too_late",
@@ -141,24 +142,24 @@
     }
 }
 
-/// What the driver has to do.
+/// An action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Send the request to endpoints.
+    /// Start an attempt to run a request.
     Start(Start),
-    /// Tell the caller that the request has failed, at once; the scheduler has forgotten it. An
-    /// attempt that is still under way is cancelled.
+    /// Report a failed request to the caller immediately; the scheduler has removed it. An attempt
+    /// that is still in flight is cancelled.
     Fail {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// What the caller hears.
+        /// The failure to report.
         failure: Failure,
     },
-    /// Cancel an attempt whose result is no longer wanted (a hedge that lost).
+    /// Cancel an attempt whose result is no longer needed, such as the slower one of a hedge.
     Cancel {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
 }
@@ -166,56 +167,57 @@
 /// One attempt to run a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Start {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Counts from 1; names the attempt in every event about it.
+    /// Number of the attempt, from 1; identifies it in events.
     pub attempt: u32,
-    /// Where it runs. The first shard's endpoint gets the call; further shards only lend memory,
-    /// reserved all or none, in this order, before the call is sent.
+    /// Where the attempt runs. The call goes to the endpoint of the first shard; further shards
+    /// only provide memory. Memory is reserved on all shards or none, in this order, before the
+    /// call is sent.
     pub shards: Vec<Shard>,
-    /// Its priority on the engine.
+    /// The request's priority on the engine.
     pub priority: Priority,
 }
 
-/// One endpoint's part in an attempt.
+/// An endpoint's share of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shard {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// The life of the endpoint that was chosen. The driver fails the attempt as
-    /// [`FailCause::NotSent`] where it meets another.
+    /// The incarnation that was chosen. If the driver finds another one, it fails the attempt with
+    /// [`FailCause::NotSent`].
     pub incarnation: Incarnation,
-    /// Memory to be reserved there.
+    /// Memory to reserve on the endpoint, in tokens.
     pub tokens: Tokens,
 }
 
-/// An engine's priority for a request; the engine serves higher numbers first.
+/// Priority of a request on an engine; higher numbers are served first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Priority(pub u8);
 
-/// Whether a request that failed was run.
+/// Whether a failed request was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// It was not run and won't be.
+    /// The request was not run and won't be.
     No,
-    /// It was run.
+    /// The request was run.
     Yes,
-    /// Nobody can tell.
+    /// The request may have been run.
     Unknown,
 }
 
-/// What a caller hears of an admitted request that failed.
+/// Failure of an admitted request, as reported to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
-    /// Why it failed.
+    /// The cause of the failure.
     pub cause: FailCause,
-    /// Whether it was run.
+    /// Whether the request was run.
     pub ran: RunStatus,
-    /// When asking again is likely to succeed.
+    /// When a retry is likely to succeed.
     pub retry_after: Duration,
 }
 
@@ -223,141 +225,143 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailCause {
-    /// The deadline has passed or can't be met any more.
+    /// The deadline has passed or can no longer be met.
     Deadline,
-    /// Speeds measured since its admission show that it can't meet its bound.
+    /// Speeds measured since the request's admission show that it can't meet its deadline for the
+    /// first token.
     TooLate,
-    /// Nothing was sent: the connection was refused, or the endpoint has another incarnation.
+    /// Nothing was sent: the connection was refused, or the endpoint's incarnation has changed.
     NotSent,
-    /// The endpoint refused before running (busy, leaving, out of memory).
+    /// The endpoint rejected the request before running it (busy, leaving or out of memory).
     Rejected,
-    /// The connection broke after something was sent.
+    /// The connection broke after data was sent.
     Broken,
-    /// The endpoint has been silent longer than its progress deadline.
+    /// The endpoint sent nothing for longer than its progress timeout.
     Silent,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint answered with an error.
     EndpointError,
-    /// The answer didn't fit the attempt (crossed, repeated, with a gap, no end mark).
+    /// The answer was invalid for the attempt (of another request, duplicated, with a gap, or
+    /// without an end mark).
     BadAnswer,
-    /// The endpoint's process died while the request ran there.
+    /// The endpoint's process ended while the request ran there.
     EndpointDied,
-    /// Endpoints died of the request; it isn't run again.
+    /// The request crashed endpoints and isn't run again.
     Quarantined,
-    /// It waited and was given up so that workspaces below their share find room to wait.
+    /// The queued request was shed to make room for workspaces below their share of the queue.
     Shed,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// No endpoint is left.
+    /// No endpoint remains to run the request.
     NoEndpoint,
 }
 
-/// How an attempt or a request ended.
+/// How a request ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// The caller has the whole answer.
+    /// The caller received the complete answer.
     Finished {
         /// Prompt tokens as counted by the engine.
         prompt: Tokens,
-        /// Tokens generated.
+        /// Generated tokens as counted by the engine.
         output: Tokens,
     },
-    /// The caller hung up.
+    /// The caller disconnected.
     Cancelled,
-    /// The driver gave up at the deadline.
+    /// The driver ended the request at its deadline.
     Expired,
-    /// The endpoint answered with an error that is final and the caller got it.
+    /// The endpoint answered with a final error, which was passed to the caller.
     Answered,
 }
 
-/// What happened, as told by the driver.
+/// An event reported by the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The first token of an attempt came.
+    /// The first token of an attempt arrived.
     FirstToken {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Prompt tokens that the engine had cached, where it says so.
+        /// Prompt tokens found in the engine's cache, if the engine reports them.
         cached: Option<Tokens>,
     },
-    /// Tokens were generated since the last such event.
+    /// More tokens of an attempt arrived since the last such event.
     Progress {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// How many.
+        /// Number of tokens since the last such event.
         tokens: Tokens,
     },
-    /// The request ended; the scheduler forgets it.
+    /// A request ended; the scheduler removes it.
     Ended {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// How.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// An attempt failed. The scheduler answers with another [`Decision::Start`] or with
+    /// An attempt failed. The scheduler responds with another [`Decision::Start`] or with
     /// [`Decision::Fail`].
     AttemptFailed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Why.
+        /// The cause.
         cause: FailCause,
-        /// Tokens already passed on to the caller; a further attempt resumes after them.
+        /// Tokens already sent to the caller; a further attempt resumes after them.
         passed_on: Tokens,
     },
     /// An endpoint reported its load.
     Load(LoadReport),
     /// An engine reported cache events.
     Cache(CacheEvents),
-    /// Another instance told its part of the load.
+    /// Another instance sent its share of the load.
     Peer(LoadDigest),
-    /// Another instance is gone or has a new incarnation; its part of the load is void.
+    /// Another instance is dead or has a new incarnation; its share of the load is void.
     PeerRemoved {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
     },
-    /// Something changed about an endpoint.
+    /// An endpoint's address, incarnation or state changed.
     Endpoint(EndpointChange),
-    /// A probe of an ejected or silent endpoint ended.
+    /// A probe of an ejected or silent endpoint finished.
     Probe {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// Whether it answered in time.
+        /// Whether the endpoint answered in time.
         healthy: bool,
     },
 }
 
-/// An endpoint's place and state, as known at this moment.
+/// Address, location and current state of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointChange {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// One-way delay from this instance.
+    /// One-way network delay from this instance.
     pub distance: Duration,
-    /// Its present life; zero where nothing was heard of it yet.
+    /// Its current incarnation; zero until one is known.
     pub incarnation: Incarnation,
-    /// Whether it may get work.
+    /// Whether it may get new requests.
     pub state: EndpointState,
 }
 
-/// Whether an endpoint may get work.
+/// Whether an endpoint may get new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// It may get work.
+    /// In service and available for new requests.
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes its running requests and gets no new ones.
     Leaving,
-    /// It is gone.
+    /// It is dead.
     Dead,
 }
