--- a/crates/policy/src/answers.rs
+++ b/crates/policy/src/answers.rs
@@ -35,7 +35,7 @@
 
 impl AnswerTimes {
     /// Records the duration of a complete answer.
-    pub fn record(&mut self, route: &str, decoding: Duration) {
+    pub fn record(&mut self, route: &str, duration: Duration) {
         if !self.routes.contains_key(route) {
             if self.routes.len() >= MAX_ROUTES {
                 self.routes.shift_remove_index(0);
@@ -46,7 +46,7 @@
         if times.len() >= MAX_ANSWERS_PER_ROUTE {
             times.pop_front();
         }
-        times.push_back(decoding);
+        times.push_back(duration);
     }
 
     /// Upper bound of the next answer's duration; none while too few answers are known.
--- a/crates/policy/src/baseline/scheduler.rs
+++ b/crates/policy/src/baseline/scheduler.rs
@@ -24,7 +24,7 @@
 /// A rule that chooses an endpoint.
 pub trait EndpointPicker: Default + Send {
     /// Returns the index of the chosen endpoint, or none to keep the request waiting.
-    fn pick(&mut self, servers: &[BaselineEndpoint]) -> Option<usize>;
+    fn pick(&mut self, endpoints: &[BaselineEndpoint]) -> Option<usize>;
 }
 
 /// An endpoint that may receive requests.
@@ -55,7 +55,7 @@
     incarnation: Incarnation,
     sequence: u64,
     picker: P,
-    servers: Vec<BaselineEndpoint>,
+    endpoints: Vec<BaselineEndpoint>,
     requests: IndexMap<RequestId, RequestEntry>,
     deadlines: BTreeSet<DueRequest>,
     queue: VecDeque<RequestId>,
@@ -76,7 +76,7 @@
             incarnation,
             sequence: 0,
             picker: P::default(),
-            servers: Vec::new(),
+            endpoints: Vec::new(),
             requests: IndexMap::new(),
             deadlines: BTreeSet::new(),
             queue: VecDeque::new(),
@@ -85,19 +85,19 @@
     }
 
     fn apply_change(&mut self, change: &EndpointChange) {
-        let known = self.servers.iter().position(|server| server.endpoint == change.endpoint);
+        let known = self.endpoints.iter().position(|target| target.endpoint == change.endpoint);
         match (known, change.state) {
             (Some(index), EndpointState::Live) => {
-                self.servers[index].incarnation = change.incarnation;
+                self.endpoints[index].incarnation = change.incarnation;
             }
-            (None, EndpointState::Live) => self.servers.push(BaselineEndpoint {
+            (None, EndpointState::Live) => self.endpoints.push(BaselineEndpoint {
                 endpoint: change.endpoint.clone(),
                 incarnation: change.incarnation,
                 running: 0,
                 memory: Tokens::ZERO,
             }),
             (Some(index), _) => {
-                self.servers.remove(index);
+                self.endpoints.remove(index);
             }
             (None, _) => {}
         }
@@ -105,14 +105,14 @@
 
     fn try_start(&mut self, request: RequestId) -> Option<Decision> {
         let entry = self.requests.get_mut(&request)?;
-        let index = self.picker.pick(&self.servers)?;
+        let index = self.picker.pick(&self.endpoints)?;
         entry.attempt += 1;
-        entry.endpoint = Some(self.servers[index].endpoint.clone());
-        self.servers[index].running += 1;
+        entry.endpoint = Some(self.endpoints[index].endpoint.clone());
+        self.endpoints[index].running += 1;
         Some(Decision::Start(Start {
             request,
             attempt: entry.attempt,
-            shards: spread(&self.servers, index, entry.req.footprint()),
+            shards: spread(&self.endpoints, index, entry.req.footprint()),
             priority: Priority::default(),
         }))
     }
@@ -123,8 +123,8 @@
         else {
             return;
         };
-        if let Some(server) = self.servers.iter_mut().find(|server| server.endpoint == endpoint) {
-            server.running = server.running.saturating_sub(1);
+        if let Some(target) = self.endpoints.iter_mut().find(|target| target.endpoint == endpoint) {
+            target.running = target.running.saturating_sub(1);
         }
     }
 
@@ -178,7 +178,7 @@
         endpoints: &[EndpointChange],
         _now: Time,
     ) {
-        self.servers.retain(|server| endpoints.iter().any(|e| e.endpoint == server.endpoint));
+        self.endpoints.retain(|target| endpoints.iter().any(|e| e.endpoint == target.endpoint));
         for change in endpoints {
             self.apply_change(change);
         }
@@ -222,9 +222,9 @@
             }
             Event::Endpoint(change) => self.apply_change(&change),
             Event::Load(report) => {
-                let server = self.servers.iter_mut().find(|s| s.endpoint == report.endpoint);
-                if let Some(server) = server {
-                    server.memory = report.kv_total;
+                let target = self.endpoints.iter_mut().find(|s| s.endpoint == report.endpoint);
+                if let Some(target) = target {
+                    target.memory = report.kv_total;
                 }
             }
             Event::FirstToken { .. }
@@ -243,16 +243,16 @@
 }
 
 /// The chosen endpoint, and as many of those after it as the footprint needs.
-fn spread(servers: &[BaselineEndpoint], first: usize, footprint: Tokens) -> Vec<Shard> {
+fn spread(endpoints: &[BaselineEndpoint], first: usize, footprint: Tokens) -> Vec<Shard> {
     let mut remaining = footprint;
     let mut shards = Vec::new();
-    for server in servers.iter().cycle().skip(first).take(servers.len()) {
-        let fits = server.memory == Tokens::ZERO || server.memory >= remaining;
-        let tokens = if fits { remaining } else { server.memory };
+    for target in endpoints.iter().cycle().skip(first).take(endpoints.len()) {
+        let fits = target.memory == Tokens::ZERO || target.memory >= remaining;
+        let tokens = if fits { remaining } else { target.memory };
         remaining -= tokens;
         shards.push(Shard {
-            endpoint: server.endpoint.clone(),
-            incarnation: server.incarnation,
+            endpoint: target.endpoint.clone(),
+            incarnation: target.incarnation,
             tokens,
         });
         if remaining == Tokens::ZERO {
--- a/crates/policy/src/health/silence.rs
+++ b/crates/policy/src/health/silence.rs
@@ -46,8 +46,8 @@
         SilenceDetector::default()
     }
 
-    /// Reports that a connection to `endpoint` is silent past its deadline. `last_activity` is when it
-    /// was last active, or opened.
+    /// Reports that a connection to `endpoint` is silent past its deadline. `last_activity` is when
+    /// it was last active, or opened.
     pub fn silent(
         &mut self,
         endpoint: &EndpointId,
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -77,7 +77,7 @@
     assert!(!quarantine.may_run(Fingerprint(2), &endpoint(2), 1, now));
     let later = at(10) + LAST_ENDPOINT_GRACE_PERIOD;
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(2), 1, later), "a single endpoint");
-    assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 1, later), "still apart");
+    assert!(!quarantine.may_run(Fingerprint(2), &endpoint(1), 1, later), "still isolated");
     assert!(quarantine.may_run(Fingerprint(3), &endpoint(1), 1, now), "no suspect, no bounds");
     quarantine.record_stop(Fingerprint(1));
     assert!(quarantine.may_run(Fingerprint(2), &endpoint(1), 3, now));
