--- a/crates/daemon/src/active.rs
+++ b/crates/daemon/src/active.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::Clock,
     deployment::DeploymentState,
-    endpoint::{Endpoint, Place},
+    endpoint::{Endpoint, EndpointConfig},
 };
 
 /// The hash of a workspace's key.
@@ -24,7 +24,7 @@
 
 /// The configuration in force. Requests keep the one they began with.
 #[derive(Debug, Default)]
-pub struct Active {
+pub struct ActiveConfig {
     /// Its version; zero where none is in force yet.
     pub version: Version,
     /// As published.
@@ -47,7 +47,7 @@
     pub rules: Arc<DeploymentRules>,
 }
 
-impl Active {
+impl ActiveConfig {
     /// Whose key this is.
     pub fn workspace(&self, key: &[u8]) -> Option<&Workspace> {
         self.keys.get(&KeyHash::from(Sha256::digest(key)))
@@ -73,14 +73,14 @@
         &'a self,
         endpoint: &'a Endpoint,
     ) -> impl Iterator<Item = &'a Arc<AnyDeployment>> {
-        let group = &endpoint.place.group;
+        let group = &endpoint.config.group;
         let routes = self.deployments.values().filter(move |route| route.rules.group == *group);
         routes.map(|route| &route.deployment)
     }
 }
 
 /// What building a new [`Active`] needs to know of the instance.
-pub struct Builder<'a, F> {
+pub struct ActiveConfigBuilder<'a, F> {
     /// The instance's data centre.
     pub data_centre: &'a DataCentre,
     /// The instance's clock.
@@ -89,11 +89,11 @@
     pub scheduler: F,
 }
 
-impl<F: Fn(&DeploymentRules) -> AnyScheduler> Builder<'_, F> {
+impl<F: Fn(&DeploymentRules) -> AnyScheduler> ActiveConfigBuilder<'_, F> {
     /// The state for `config`. Endpoints and schedulers of `old` are kept where they serve on,
     /// so that requests under way and all that was learned stay.
-    pub fn build(&self, config: Config, version: Version, old: &Active) -> Active {
-        let mut active = Active { version, config, ..Active::default() };
+    pub fn build(&self, config: Config, version: Version, old: &ActiveConfig) -> ActiveConfig {
+        let mut active = ActiveConfig { version, config, ..ActiveConfig::default() };
         self.add_endpoints(&mut active, old);
         self.add_deployments(&mut active, old);
         for (workspace, rules) in &active.config.workspaces {
@@ -104,24 +104,24 @@
         active
     }
 
-    fn add_endpoints(&self, active: &mut Active, old: &Active) {
-        let here = active.config.data_centres.clone();
+    fn add_endpoints(&self, active: &mut ActiveConfig, old: &ActiveConfig) {
+        let data_centres = active.config.data_centres.clone();
         for (id, rules) in &active.config.endpoints {
             let Some(kind) = kind_of(&active.config, &rules.group) else { continue };
-            let distance = distance(&here, self.data_centre, &rules.data_centre);
-            let place = place(id, rules, kind, distance);
+            let distance = distance(&data_centres, self.data_centre, &rules.data_centre);
+            let config = endpoint_config(id, rules, kind, distance);
             let endpoint = match old.endpoints.get(id) {
-                Some(known) if known.place == place => known.clone(),
-                Some(known) if known.place.address == place.address => {
-                    Arc::new(known.with_place(place))
+                Some(known) if known.config == config => known.clone(),
+                Some(known) if known.config.address == config.address => {
+                    Arc::new(known.with_config(config))
                 }
-                _ => Arc::new(Endpoint::new(place)),
+                _ => Arc::new(Endpoint::new(config)),
             };
             active.endpoints.insert(id.clone(), endpoint);
         }
     }
 
-    fn add_deployments(&self, active: &mut Active, old: &Active) {
+    fn add_deployments(&self, active: &mut ActiveConfig, old: &ActiveConfig) {
         for (name, rules) in &active.config.deployments {
             let kept = old.deployments.get(name).filter(|route| {
                 route.rules.policy == rules.policy && route.rules.kind == rules.kind
@@ -129,7 +129,7 @@
             let state = kept.map(|route| route.deployment.clone()).unwrap_or_else(|| {
                 DeploymentState::new(name.clone(), (self.scheduler)(rules), self.clock)
             });
-            let group = active.endpoints.values().filter(|e| e.place.group == rules.group);
+            let group = active.endpoints.values().filter(|e| e.config.group == rules.group);
             let changes: Vec<_> = group.map(|endpoint| endpoint.change()).collect();
             state.configure(rules, &active.config.workspaces, &changes);
             let route = Route { deployment: state, rules: Arc::new(rules.clone()) };
@@ -148,8 +148,13 @@
     }
 }
 
-fn place(id: &EndpointId, rules: &EndpointRules, kind: EndpointKind, distance: Duration) -> Place {
-    Place {
+fn endpoint_config(
+    id: &EndpointId,
+    rules: &EndpointRules,
+    kind: EndpointKind,
+    distance: Duration,
+) -> EndpointConfig {
+    EndpointConfig {
         id: id.clone(),
         group: rules.group.clone(),
         kind,
@@ -172,8 +177,10 @@
     if from == to {
         return Duration::ZERO;
     }
-    let stated = |a, b| table.get(a).and_then(|rules| rules.distance_ms.get(b)).copied();
-    let millis = stated(from, to).or_else(|| stated(to, from)).unwrap_or(DataCentreRules::FAR_MS);
+    let configured_ms = |a, b| table.get(a).and_then(|rules| rules.distance_ms.get(b)).copied();
+    let millis = configured_ms(from, to)
+        .or_else(|| configured_ms(to, from))
+        .unwrap_or(DataCentreRules::FAR_MS);
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -129,12 +129,12 @@
     let shares: Vec<_> =
         deployments.clone().flat_map(|deployment| deployment.digest().endpoints).collect();
     let endpoints = active.endpoints.values().map(|endpoint| {
-        let own = shares.iter().filter(|share| share.endpoint == endpoint.place.id);
+        let own = shares.iter().filter(|share| share.endpoint == endpoint.config.id);
         EndpointStatus {
-            endpoint: endpoint.place.id.clone(),
-            group: endpoint.place.group.clone(),
-            data_centre: endpoint.place.data_centre.clone(),
-            incarnation: endpoint.life().incarnation,
+            endpoint: endpoint.config.id.clone(),
+            group: endpoint.config.group.clone(),
+            data_centre: endpoint.config.data_centre.clone(),
+            incarnation: endpoint.lifecycle().incarnation,
             state: endpoint.change().state,
             running: own.clone().map(|share| share.running).sum(),
             prefill_rate: own.clone().map(|share| share.prefill_rate.0).fold(0.0, f64::max),
@@ -148,7 +148,7 @@
         config_version: active.version,
         ready: shared.is_ready(),
         stage: stage_name(shared.stage()).to_owned(),
-        under_way: deployments.map(|deployment| deployment.under_way()).sum(),
+        under_way: deployments.map(|deployment| deployment.in_flight_requests()).sum(),
         endpoints: endpoints.collect(),
         peers: peers(shared),
         ledgers: ledgers(shared),
--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -11,41 +11,43 @@
 
 /// The most bytes of bodies held at once: two hundred prompts of a million tokens. More than that
 /// many can't meet their deadlines on a fleet of today's size anyway.
-pub const BODY_BYTES: usize = 1 << 30;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 30;
 
 /// Counts what is held.
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
-    held: Arc<AtomicUsize>,
+pub struct BodyBudget {
+    used_bytes: Arc<AtomicUsize>,
 }
 
 /// Bytes taken from a budget; dropping it gives them back.
 #[derive(Debug)]
-pub struct Share {
-    budget: Budget,
+pub struct BodyPermit {
+    budget: BodyBudget,
     bytes: usize,
 }
 
-impl Budget {
+impl BodyBudget {
     /// Takes `bytes`, or none where that would pass [`BODY_BYTES`].
-    pub fn take(&self, bytes: usize) -> Option<Share> {
-        let grown = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= BODY_BYTES);
-        self.held.fetch_update(Ordering::AcqRel, Ordering::Acquire, grown).ok()?;
-        Some(Share { budget: self.clone(), bytes })
+    pub fn try_acquire(&self, bytes: usize) -> Option<BodyPermit> {
+        let grown = |used_bytes: usize| {
+            used_bytes.checked_add(bytes).filter(|sum| *sum <= MAX_BUFFERED_BODY_BYTES)
+        };
+        self.used_bytes.fetch_update(Ordering::AcqRel, Ordering::Acquire, grown).ok()?;
+        Some(BodyPermit { budget: self.clone(), bytes })
     }
 }
 
-impl Share {
+impl BodyPermit {
     /// Gives back what is above `bytes`.
-    pub fn shrink(&mut self, bytes: usize) {
+    pub fn shrink_to(&mut self, bytes: usize) {
         let over = self.bytes.saturating_sub(bytes);
-        self.budget.held.fetch_sub(over, Ordering::AcqRel);
+        self.budget.used_bytes.fetch_sub(over, Ordering::AcqRel);
         self.bytes -= over;
     }
 }
 
-impl Drop for Share {
+impl Drop for BodyPermit {
     fn drop(&mut self) {
-        self.shrink(0);
+        self.shrink_to(0);
     }
 }
--- a/crates/daemon/src/controller/cache.rs
+++ b/crates/daemon/src/controller/cache.rs
@@ -50,7 +50,7 @@
     }
     for run in runs(&page.events) {
         let events = CacheEvents {
-            endpoint: endpoint.place.id.clone(),
+            endpoint: endpoint.config.id.clone(),
             incarnation: page.incarnation,
             from: run[0].sequence,
             events: run.iter().map(|event| (event.block, event.stored)).collect(),
--- a/crates/daemon/src/controller/load.rs
+++ b/crates/daemon/src/controller/load.rs
@@ -14,7 +14,7 @@
 use smol::Timer;
 
 use crate::{
-    endpoint::{Endpoint, Life},
+    endpoint::{Endpoint, LifecycleState},
     shared::Shared,
 };
 
@@ -42,7 +42,7 @@
                 failing = true;
             }
         }
-        known.set_asked();
+        known.set_load_queried();
         drop((shared, known));
         // Jitter, so that instances started together don't poll together for ever.
         Timer::after(PERIOD.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
@@ -50,20 +50,20 @@
 }
 
 async fn ask(endpoint: &Endpoint) -> Option<Load> {
-    match endpoint.place.kind {
+    match endpoint.config.kind {
         EndpointKind::Engine => endpoint.engine().load().await.ok(),
-        EndpointKind::Service => HttpService::new(endpoint.place.address).load().await.ok(),
+        EndpointKind::Service => HttpService::new(endpoint.config.address).load().await.ok(),
     }
 }
 
 fn report(shared: &Arc<Shared>, endpoint: &Endpoint, load: &Load) {
-    let life = Life { incarnation: load.incarnation, leaving: load.leaving };
-    shared.heard(endpoint, life);
+    let lifecycle = LifecycleState { incarnation: load.incarnation, leaving: load.leaving };
+    shared.record_lifecycle(endpoint, lifecycle);
     let age = Duration::from_millis(load.age_ms);
     let now = shared.clock.now();
     let taken = policy::Time(now.0.saturating_sub(age.as_micros() as u64));
     let report = LoadReport {
-        endpoint: endpoint.place.id.clone(),
+        endpoint: endpoint.config.id.clone(),
         incarnation: load.incarnation,
         taken,
         kv_total: load.kv_total,
@@ -76,6 +76,6 @@
 }
 
 fn probe(shared: &Arc<Shared>, endpoint: &Endpoint, healthy: bool) {
-    let event = Event::Probe { endpoint: endpoint.place.id.clone(), healthy };
+    let event = Event::Probe { endpoint: endpoint.config.id.clone(), healthy };
     shared.tell(endpoint, &event);
 }
--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -53,7 +53,7 @@
             false
         };
         let nudge = async {
-            known.nudged().await;
+            known.wait_for_abandoned().await;
             true
         };
         let nudged = nudge.or(pause).await;
@@ -78,12 +78,12 @@
     let page = match listing::held(&endpoint.engine()).await {
         Ok(page) => page,
         Err(e) => {
-            let unwanted = endpoint.holdings().unwanted().len();
-            log::warn!(endpoint = endpoint.place.id.as_str(), error:% = e, unwanted; "memory_not_listed");
+            let unwanted = endpoint.holdings().abandoned().len();
+            log::warn!(endpoint = endpoint.config.id.as_str(), error:% = e, unwanted; "memory_not_listed");
             return released.and(Err(e));
         }
     };
-    endpoint.holdings().listed(&page, asked);
+    endpoint.holdings().record_listing(&page, asked);
     let left = left_over(shared, endpoint, &page);
     release(endpoint, &left, "listing").await?;
     released.map(|()| left.len())
@@ -92,7 +92,7 @@
 /// Releases what this instance let go, by the ids that it remembers.
 async fn release_unwanted(endpoint: &Endpoint) -> Result<(), EngineError> {
     endpoint.holdings().expire(Instant::now());
-    let ids = endpoint.holdings().unwanted();
+    let ids = endpoint.holdings().abandoned();
     release(endpoint, &ids, "id").await
 }
 
@@ -110,26 +110,26 @@
                 continue;
             }
             Err(e) => {
-                log::warn!(endpoint = endpoint.place.id.as_str(), error:% = e, by, unwanted = rest.len(); "memory_not_released");
+                log::warn!(endpoint = endpoint.config.id.as_str(), error:% = e, by, unwanted = rest.len(); "memory_not_released");
                 return Err(e);
             }
         }
-        endpoint.holdings().released(some);
+        endpoint.holdings().record_release(some);
         rest = others;
     }
     if !ids.is_empty() {
-        log::info!(endpoint = endpoint.place.id.as_str(), count = ids.len(), by; "memory_released");
+        log::info!(endpoint = endpoint.config.id.as_str(), count = ids.len(), by; "memory_released");
     }
     Ok(())
 }
 
 async fn renew(shared: &Shared, endpoint: &Endpoint) {
-    let ids = endpoint.holdings().renewed();
+    let ids = endpoint.holdings().ids_to_renew();
     let lease_ms = LEASE.as_millis() as u64;
     for some in ids.chunks(IDS_AT_ONCE) {
         // The next sweep renews again.
         if let Err(e) = endpoint.engine().renew(&shared.owner, some, lease_ms).await {
-            log::info!(endpoint = endpoint.place.id.as_str(), error:% = e, count = some.len(); "memory_not_renewed");
+            log::info!(endpoint = endpoint.config.id.as_str(), error:% = e, count = some.len(); "memory_not_renewed");
         }
     }
 }
@@ -137,11 +137,11 @@
 /// What the engine lists and nobody wants.
 fn left_over(shared: &Shared, endpoint: &Endpoint, page: &HeldPage) -> Vec<String> {
     let owner = &shared.owner;
-    let foreign = super::chosen(shared, endpoint.place.id.as_str());
+    let foreign = super::chosen(shared, endpoint.config.id.as_str());
     // What this life wants is noted before it is sent, so that nothing which is about to be wanted
     // can look like something let go.
     let unwanted = |held: &&Held| match held.owner == *owner {
-        true => !endpoint.holdings().wants(&held.id),
+        true => !endpoint.holdings().is_wanted(&held.id),
         false => is_predecessor(owner, &held.owner) || foreign && is_gone(shared, &held.owner),
     };
     page.held.iter().filter(unwanted).map(|held| held.id.clone()).collect()
--- a/crates/daemon/src/controller/mod.rs
+++ b/crates/daemon/src/controller/mod.rs
@@ -22,7 +22,7 @@
 pub fn start(shared: &Arc<Shared>, endpoint: &Arc<Endpoint>) {
     let weak = Arc::downgrade(endpoint);
     shared.spawn(load::run(Arc::downgrade(shared), weak.clone()));
-    if endpoint.place.kind == EndpointKind::Engine {
+    if endpoint.config.kind == EndpointKind::Engine {
         shared.spawn(cache::run(Arc::downgrade(shared), weak.clone()));
         shared.spawn(memory::run(Arc::downgrade(shared), weak));
     }
--- a/crates/daemon/src/controller/orders.rs
+++ b/crates/daemon/src/controller/orders.rs
@@ -21,7 +21,7 @@
 use smol::Timer;
 
 use crate::{
-    active::{Active, Route},
+    active::{ActiveConfig, Route},
     endpoint::Endpoint,
     shared::Shared,
 };
@@ -44,8 +44,8 @@
     }
 }
 
-async fn look_after(shared: &Shared, active: &Active, route: &Route, serve: &ServeRules) {
-    let engines = active.endpoints.values().filter(|e| e.place.group == route.rules.group);
+async fn look_after(shared: &Shared, active: &ActiveConfig, route: &Route, serve: &ServeRules) {
+    let engines = active.endpoints.values().filter(|e| e.config.group == route.rules.group);
     let wanted = order(serve, active.version);
     let mut replicas = Vec::new();
     for engine in engines {
@@ -88,7 +88,7 @@
     let is_current =
         known.is_some_and(|known| Order { fencing: wanted.fencing, ..known.clone() } == *wanted);
     Replica {
-        endpoint: engine.place.id.clone(),
+        endpoint: engine.config.id.clone(),
         is_current,
         ready: state.ready,
         fencing: Version(known.map_or(0, |known| known.fencing)),
@@ -115,7 +115,7 @@
     let result = engine.engine().order(wanted).await;
     // Whatever came of it, the next look compares again.
     log::info!(
-        endpoint = engine.place.id.as_str(),
+        endpoint = engine.config.id.as_str(),
         model = wanted.model.as_str(),
         version = wanted.version.as_str(),
         fencing = wanted.fencing,
--- a/crates/daemon/src/controller/peers.rs
+++ b/crates/daemon/src/controller/peers.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     controller::ledgers,
-    endpoint::Life,
+    endpoint::LifecycleState,
     peer::{EndpointNews, Message, PeerEvent},
     shared::Shared,
 };
@@ -102,10 +102,10 @@
     if active.version > Version(0) {
         tell(shared, peer, Message::ConfigVersion(active.version));
     }
-    for endpoint in active.endpoints.values().filter(|endpoint| endpoint.life().leaving) {
+    for endpoint in active.endpoints.values().filter(|endpoint| endpoint.lifecycle().leaving) {
         let endpoint = EndpointNews {
-            endpoint: endpoint.place.id.clone(),
-            incarnation: endpoint.life().incarnation,
+            endpoint: endpoint.config.id.clone(),
+            incarnation: endpoint.lifecycle().incarnation,
             state: EndpointState::Leaving,
         };
         tell(shared, peer, Message::Endpoint(endpoint));
@@ -145,7 +145,10 @@
     let active = shared.active();
     let Some(endpoint) = active.endpoints.get(&news.endpoint) else { return };
     if news.state == EndpointState::Leaving {
-        shared.heard(endpoint, Life { incarnation: news.incarnation, leaving: true });
+        shared.record_lifecycle(
+            endpoint,
+            LifecycleState { incarnation: news.incarnation, leaving: true },
+        );
     }
 }
 
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -21,11 +21,11 @@
 
 /// Decisions that may wait for one request's driver. A request has one attempt under way, and
 /// each needs a start, a cancel and perhaps the end; more than this is a fault of the scheduler.
-const DECISIONS: usize = 16;
+const MAX_QUEUED_DECISIONS: usize = 16;
 
 /// The longest pause between two polls of the scheduler, so that a wake-up it forgot to ask for
 /// costs a caller at most this.
-const MAX_PAUSE: Duration = Duration::from_millis(250);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// One deployment's scheduler and the requests it decides about.
 #[derive(Debug)]
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 struct Inner<S> {
     scheduler: S,
-    calls: IndexMap<RequestId, Sender<Decision>>,
+    decision_txs: IndexMap<RequestId, Sender<Decision>>,
 }
 
 impl<S: Scheduler + 'static> DeploymentState<S> {
     /// A deployment decided by `scheduler`.
     pub fn new(name: Deployment, scheduler: S, clock: Clock) -> Arc<Self> {
         let (wake, woken) = bounded(1);
-        let inner = Mutex::new(Inner { scheduler, calls: IndexMap::new() });
+        let inner = Mutex::new(Inner { scheduler, decision_txs: IndexMap::new() });
         Arc::new(DeploymentState { name, clock, inner, wake, woken })
     }
 
@@ -62,7 +62,7 @@
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
         inner.scheduler.configure(rules, workspaces, endpoints, now);
-        inner.decide(now);
+        inner.poll_and_deliver(now);
         self.wake.try_send(()).ok();
     }
 
@@ -78,9 +78,9 @@
         if let Admission::Refused(refusal) = inner.scheduler.offer(spec, now) {
             return Err(refusal);
         }
-        let (tx, rx) = bounded(DECISIONS);
-        inner.calls.insert(id, tx);
-        inner.decide(now);
+        let (tx, rx) = bounded(MAX_QUEUED_DECISIONS);
+        inner.decision_txs.insert(id, tx);
+        inner.poll_and_deliver(now);
         // The timer has to look at the new request's wake-up.
         self.wake.try_send(()).ok();
         Ok(rx)
@@ -91,10 +91,10 @@
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
         if let Event::Ended { request, .. } = &event {
-            inner.calls.swap_remove(request);
+            inner.decision_txs.swap_remove(request);
         }
         inner.scheduler.observe(event, now);
-        inner.decide(now);
+        inner.poll_and_deliver(now);
         self.wake.try_send(()).ok();
     }
 
@@ -104,8 +104,8 @@
     }
 
     /// Requests that the scheduler has admitted and that haven't ended.
-    pub fn under_way(&self) -> usize {
-        lock(&self.inner).calls.len()
+    pub fn in_flight_requests(&self) -> usize {
+        lock(&self.inner).decision_txs.len()
     }
 
     /// Polls the scheduler whenever it asks for it, until the deployment is dropped.
@@ -128,33 +128,33 @@
     fn poll(&self) -> Duration {
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
-        inner.decide(now);
+        inner.poll_and_deliver(now);
         let wakeup = inner.scheduler.next_wakeup(now).unwrap_or(Time::MAX);
         // At least a millisecond, so that a wake-up in the past can't keep a thread spinning.
-        wakeup.since(now).clamp(Duration::from_millis(1), MAX_PAUSE)
+        wakeup.since(now).clamp(Duration::from_millis(1), MAX_POLL_INTERVAL)
     }
 }
 
 impl<S: Scheduler> Inner<S> {
-    fn decide(&mut self, now: Time) {
+    fn poll_and_deliver(&mut self, now: Time) {
         for decision in self.scheduler.poll(now) {
-            self.pass_on(decision);
+            self.deliver(decision);
         }
     }
 
-    fn pass_on(&mut self, decision: Decision) {
+    fn deliver(&mut self, decision: Decision) {
         let request = match &decision {
             Decision::Start(start) => start.request,
             Decision::Fail { request, .. } | Decision::Cancel { request, .. } => *request,
         };
         let last = matches!(decision, Decision::Fail { .. });
-        if let Some(tx) = self.calls.get(&request)
+        if let Some(tx) = self.decision_txs.get(&request)
             && tx.try_send(decision).is_err()
         {
             log::warn!(request = request.0; "decision_lost");
         }
         if last {
-            self.calls.swap_remove(&request);
+            self.decision_txs.swap_remove(&request);
         }
     }
 }
--- a/crates/daemon/src/endpoint.rs
+++ b/crates/daemon/src/endpoint.rs
@@ -26,7 +26,7 @@
 
 /// What is known of an endpoint's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Life {
+pub struct LifecycleState {
     /// Its incarnation; zero where nothing was heard yet.
     pub incarnation: Incarnation,
     /// It said itself that it wants no new work.
@@ -35,7 +35,7 @@
 
 /// Where an endpoint stands and what the configuration says of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct EndpointConfig {
     /// Its name.
     pub id: EndpointId,
     /// The group it serves in.
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Endpoint {
     /// Where it stands.
-    pub place: Place,
+    pub config: EndpointConfig,
     state: Arc<State>,
 }
 
@@ -65,83 +65,83 @@
 #[derive(Debug)]
 struct State {
     /// Its load was asked for, whatever came of it.
-    asked: AtomicBool,
-    life: Mutex<Life>,
+    load_queried: AtomicBool,
+    lifecycle: Mutex<LifecycleState>,
     holdings: Mutex<Holdings>,
-    nudge: Sender<()>,
-    nudged: Receiver<()>,
-    listing: smol::lock::Mutex<Option<Listing>>,
+    abandoned_tx: Sender<()>,
+    abandoned_rx: Receiver<()>,
+    listing: smol::lock::Mutex<Option<CachedListing>>,
 }
 
 #[derive(Debug, Clone)]
-struct Listing {
-    taken: Instant,
+struct CachedListing {
+    queried_at: Instant,
     page: Result<Arc<HeldPage>, EngineError>,
 }
 
 impl Endpoint {
     /// An endpoint of which nothing was heard yet.
-    pub fn new(place: Place) -> Endpoint {
-        let (nudge, nudged) = bounded(1);
+    pub fn new(config: EndpointConfig) -> Endpoint {
+        let (abandoned_tx, abandoned_rx) = bounded(1);
         let state = State {
-            asked: AtomicBool::new(false),
-            life: Mutex::new(Life { incarnation: Incarnation(0), leaving: false }),
+            load_queried: AtomicBool::new(false),
+            lifecycle: Mutex::new(LifecycleState { incarnation: Incarnation(0), leaving: false }),
             holdings: Mutex::default(),
-            nudge,
-            nudged,
+            abandoned_tx,
+            abandoned_rx,
             listing: smol::lock::Mutex::default(),
         };
-        Endpoint { place, state: Arc::new(state) }
+        Endpoint { config, state: Arc::new(state) }
     }
 
     /// The same endpoint under a changed configuration.
-    pub fn with_place(&self, place: Place) -> Endpoint {
-        Endpoint { place, state: self.state.clone() }
+    pub fn with_config(&self, config: EndpointConfig) -> Endpoint {
+        Endpoint { config, state: self.state.clone() }
     }
 
     /// Its management interface, where it is an engine.
     pub fn engine(&self) -> HttpEngine {
-        HttpEngine::new(self.place.address)
+        HttpEngine::new(self.config.address)
     }
 
     /// What is known of its life.
-    pub fn life(&self) -> Life {
-        *lock(&self.state.life)
+    pub fn lifecycle(&self) -> LifecycleState {
+        *lock(&self.state.lifecycle)
     }
 
     /// Notes what an answer said of its life, and tells whether that was new. An answer of an
     /// older life arrives late and says nothing. Within one life, leaving is never taken back:
     /// reports lag, and an older one must not bring a leaving endpoint back into service.
-    pub fn heard(&self, mut life: Life) -> bool {
-        let mut known = lock(&self.state.life);
-        life.leaving |= known.leaving && life.incarnation == known.incarnation;
-        if life.incarnation < known.incarnation || life == *known {
+    pub fn record_lifecycle(&self, mut lifecycle: LifecycleState) -> bool {
+        let mut known = lock(&self.state.lifecycle);
+        lifecycle.leaving |= known.leaving && lifecycle.incarnation == known.incarnation;
+        if lifecycle.incarnation < known.incarnation || lifecycle == *known {
             return false;
         }
-        *known = life;
+        *known = lifecycle;
         true
     }
 
     /// Whether its load was asked for, whatever came of it.
-    pub fn was_asked(&self) -> bool {
-        self.state.asked.load(Ordering::Relaxed)
+    pub fn was_load_queried(&self) -> bool {
+        self.state.load_queried.load(Ordering::Relaxed)
     }
 
     /// Notes that its load was asked for.
-    pub fn set_asked(&self) {
-        self.state.asked.store(true, Ordering::Relaxed);
+    pub fn set_load_queried(&self) {
+        self.state.load_queried.store(true, Ordering::Relaxed);
     }
 
     /// The endpoint as the scheduler wants to hear of it.
     pub fn change(&self) -> EndpointChange {
-        let life = self.life();
-        let leaving = self.place.leaving || life.leaving;
+        let lifecycle = self.lifecycle();
+        let leaving = self.config.leaving || lifecycle.leaving;
         EndpointChange {
-            endpoint: self.place.id.clone(),
-            address: self.place.address,
-            data_centre: self.place.data_centre.clone(),
-            distance: self.place.distance,
-            incarnation: life.incarnation,
+            endpoint: self.config.id.clone(),
+            address: self.config.address,
+            data_centre: self.config.data_centre.clone(),
+            distance: self.config.distance,
+            incarnation: lifecycle.incarnation,
             state: if leaving { EndpointState::Leaving } else { EndpointState::Live },
         }
     }
@@ -149,8 +149,8 @@
     /// Notes that this instance is about to hold memory there under `id`, until the result is
     /// dropped.
     pub fn hold(self: &Arc<Self>, id: String, kind: HeldKind) -> Holding {
-        lock(&self.state.holdings).hold(id.clone(), kind);
-        Holding { endpoint: self.clone(), id, may_remain: true }
+        lock(&self.state.holdings).insert(id.clone(), kind);
+        Holding { endpoint: self.clone(), id, may_remain_held: true }
     }
 
     /// What this instance holds there.
@@ -159,9 +159,9 @@
     }
 
     /// Waits until something that was held there is no longer wanted.
-    pub async fn nudged(&self) {
+    pub async fn wait_for_abandoned(&self) {
         // The sender lives in `self`, so the channel can't be closed.
-        self.state.nudged.recv().await.ok();
+        self.state.abandoned_rx.recv().await.ok();
     }
 
     /// The engine's listing of held memory, at most `max_age` old. Many silent streams ask at
@@ -173,13 +173,13 @@
     pub async fn listing(&self, max_age: Duration) -> Result<Arc<HeldPage>, EngineError> {
         let mut listing = self.state.listing.lock().await;
         if let Some(known) = &*listing
-            && known.taken.elapsed() <= max_age
+            && known.queried_at.elapsed() <= max_age
         {
             return known.page.clone();
         }
-        let taken = Instant::now();
+        let queried_at = Instant::now();
         let page = listing::held(&self.engine()).await.map(Arc::new);
-        *listing = Some(Listing { taken, page: page.clone() });
+        *listing = Some(CachedListing { queried_at, page: page.clone() });
         page
     }
 }
@@ -191,13 +191,13 @@
 pub struct Holding {
     endpoint: Arc<Endpoint>,
     id: String,
-    may_remain: bool,
+    may_remain_held: bool,
 }
 
 impl Holding {
     /// Ends a holding that the engine has ended as well, so that nothing has to be released.
     pub fn close(mut self) {
-        self.may_remain = false;
+        self.may_remain_held = false;
     }
 
     /// Its id on the engine.
@@ -213,11 +213,11 @@
 
 impl Drop for Holding {
     fn drop(&mut self) {
-        if !self.may_remain {
-            return self.endpoint.holdings().ended(&self.id);
+        if !self.may_remain_held {
+            return self.endpoint.holdings().record_ended(&self.id);
         }
-        self.endpoint.holdings().let_go(&self.id, Instant::now());
+        self.endpoint.holdings().abandon(&self.id, Instant::now());
         // A full channel already says it.
-        self.endpoint.state.nudge.try_send(()).ok();
+        self.endpoint.state.abandoned_tx.try_send(()).ok();
     }
 }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -69,14 +69,14 @@
 impl From<Refusal> for CallError {
     fn from(refusal: Refusal) -> Self {
         let (status, message) = refusal_text(refusal.reason);
-        let final_for_good =
+        let is_permanent =
             matches!(refusal.reason, RefusalReason::TooLarge | RefusalReason::Quarantined);
         CallError {
             status,
             code: refusal.reason.as_str(),
             message: message.to_owned(),
             ran: RunStatus::No,
-            retry_after: (!final_for_good).then_some(refusal.retry_after),
+            retry_after: (!is_permanent).then_some(refusal.retry_after),
         }
     }
 }
@@ -115,13 +115,13 @@
 impl From<Failure> for CallError {
     fn from(failure: Failure) -> Self {
         let (status, code, message) = failure_text(failure.cause);
-        let final_for_good = failure.cause == FailCause::Quarantined;
+        let is_permanent = failure.cause == FailCause::Quarantined;
         CallError {
             status,
             code,
             message: message.to_owned(),
             ran: failure.ran,
-            retry_after: (!final_for_good).then_some(failure.retry_after),
+            retry_after: (!is_permanent).then_some(failure.retry_after),
         }
     }
 }
--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -8,26 +8,26 @@
 use crate::{
     active::AnyDeployment,
     error::CallError,
-    filter::{Answer, Claim, Handler, Timed, Work},
+    filter::{Answer, CallDetails, Handler, RequestWithDeadline, SharedClaim},
 };
 
 /// An admitted request.
 #[derive(Debug)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     /// The request.
-    pub timed: Timed,
+    pub timed: RequestWithDeadline,
     /// What the scheduler knows of it.
     pub spec: Arc<RequestSpec>,
     /// Its place with the scheduler.
-    pub ticket: Ticket,
+    pub guard: AdmissionGuard,
     /// The right to run it, where it may not be repeated.
-    pub claim: Option<Claim>,
+    pub claim: Option<SharedClaim>,
 }
 
 /// An admitted request's place with the scheduler. Dropping it without [`Ticket::end`] says that
 /// the caller hung up, so that no request can stay admitted for ever.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct AdmissionGuard {
     /// The deployment.
     pub deployment: Arc<AnyDeployment>,
     /// What the scheduler decides about the request.
@@ -36,7 +36,7 @@
     ended: bool,
 }
 
-impl Ticket {
+impl AdmissionGuard {
     /// Tells the scheduler how the request ended.
     pub fn end(mut self, outcome: Outcome) {
         self.tell(outcome);
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         self.tell(Outcome::Cancelled);
     }
@@ -67,14 +67,14 @@
     }
 }
 
-impl<N: Handler<Admitted>> Handler<Timed> for Admission<N> {
-    async fn handle(&self, timed: Timed) -> Result<Answer, CallError> {
+impl<N: Handler<AdmittedRequest>> Handler<RequestWithDeadline> for Admission<N> {
+    async fn handle(&self, timed: RequestWithDeadline) -> Result<Answer, CallError> {
         let spec = Arc::new(spec(&timed));
         let deployment = timed.received.route.deployment.clone();
         let decisions =
             deployment.offer(spec.clone()).inspect_err(|refusal| note(&spec, refusal))?;
-        let ticket = Ticket { deployment, decisions, spec: spec.clone(), ended: false };
-        self.next.handle(Admitted { timed, spec, ticket, claim: None }).await
+        let guard = AdmissionGuard { deployment, decisions, spec: spec.clone(), ended: false };
+        self.next.handle(AdmittedRequest { timed, spec, guard, claim: None }).await
     }
 }
 
@@ -103,7 +103,7 @@
     );
 }
 
-fn spec(timed: &Timed) -> RequestSpec {
+fn spec(timed: &RequestWithDeadline) -> RequestSpec {
     let received = &timed.received;
     let common = RequestSpec {
         id: received.record.id,
@@ -119,8 +119,8 @@
         repeatable: true,
     };
     match &received.work {
-        Work::Service(work) => RequestSpec { repeatable: work.repeatable(), ..common },
-        Work::Model(work) => RequestSpec {
+        CallDetails::Service(work) => RequestSpec { repeatable: work.repeatable(), ..common },
+        CallDetails::Model(work) => RequestSpec {
             kind: CallKind::Model(work.model.clone()),
             prompt: work.scan.prompt.tokens,
             max_output: work.scan.max_output.unwrap_or(received.route.rules.limits.default_output),
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     error::CallError,
-    filter::{Admitted, Answer, Handler, Whole, Work},
+    filter::{AdmittedRequest, Answer, CallDetails, CompleteAnswer, Handler},
     ledger::{ClaimOutcome, ClaimRequest, RunClaim},
     shared::Shared,
 };
@@ -24,7 +24,7 @@
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 
 /// A claim that is shared between this filter and the one that sends.
-pub type Claim = Arc<RunClaim<HttpLog>>;
+pub type SharedClaim = Arc<RunClaim<HttpLog>>;
 
 /// Guards calls that may not be repeated.
 pub struct AtMostOnce<N> {
@@ -39,9 +39,9 @@
     }
 }
 
-impl<N: Handler<Admitted> + 'static> Handler<Admitted> for AtMostOnce<N> {
-    async fn handle(&self, admitted: Admitted) -> Result<Answer, CallError> {
-        let Work::Service(work) = &admitted.timed.received.work else {
+impl<N: Handler<AdmittedRequest> + 'static> Handler<AdmittedRequest> for AtMostOnce<N> {
+    async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
+        let CallDetails::Service(work) = &admitted.timed.received.work else {
             return self.next.handle(admitted).await;
         };
         if work.repeatable() {
@@ -49,7 +49,7 @@
         }
         let key = call_key(&admitted)?;
         let Some(ledgers) = self.shared.ledgers() else {
-            admitted.ticket.end(Outcome::Cancelled);
+            admitted.guard.end(Outcome::Cancelled);
             return Err(log_down());
         };
         let req = ClaimRequest {
@@ -59,26 +59,26 @@
             deadline: admitted.timed.deadline,
         };
         let outcome = ledgers.ledger_for(&key).claim(req).await;
-        let deployment = &admitted.ticket.deployment.name;
+        let deployment = &admitted.guard.deployment.name;
         self.shared.metrics.once_call(deployment, outcome.name());
         match outcome {
             ClaimOutcome::Run(claim) => self.run(admitted, claim).await,
             other => {
-                admitted.ticket.end(Outcome::Answered);
+                admitted.guard.end(Outcome::Answered);
                 without_run(other)
             }
         }
     }
 }
 
-impl<N: Handler<Admitted> + 'static> AtMostOnce<N> {
+impl<N: Handler<AdmittedRequest> + 'static> AtMostOnce<N> {
     /// Runs the call beside the connection.
     ///
     /// Guards against a caller that hangs up while its call runs and sends it again: the call goes
     /// on, and the answer is kept for the second time.
     async fn run(
         &self,
-        mut admitted: Admitted,
+        mut admitted: AdmittedRequest,
         claim: RunClaim<HttpLog>,
     ) -> Result<Answer, CallError> {
         let claim = Arc::new(claim);
@@ -96,18 +96,18 @@
 }
 
 /// Tells the ledger how a call ended, and the caller what the ledger makes true.
-fn settle(claim: Claim, result: Result<Answer, CallError>) -> Result<Answer, CallError> {
+fn settle(claim: SharedClaim, result: Result<Answer, CallError>) -> Result<Answer, CallError> {
     // The sending filter has dropped its share by now.
     let claim = Arc::into_inner(claim).ok_or_else(unknown)?;
     match result {
         // Such an answer is no proof that nothing ran, and none that it did.
-        Ok(Answer::Whole(whole)) if whole.status == 429 || whole.status >= 500 => {
+        Ok(Answer::Complete(whole)) if whole.status == 429 || whole.status >= 500 => {
             claim.mark_unknown();
-            Ok(Answer::Whole(whole))
+            Ok(Answer::Complete(whole))
         }
-        Ok(Answer::Whole(whole)) => {
+        Ok(Answer::Complete(whole)) => {
             claim.complete(kept(&whole));
-            Ok(Answer::Whole(whole))
+            Ok(Answer::Complete(whole))
         }
         Ok(stream) => {
             claim.mark_unknown();
@@ -124,7 +124,7 @@
     }
 }
 
-fn kept(whole: &Whole) -> KeptAnswer {
+fn kept(whole: &CompleteAnswer) -> KeptAnswer {
     let body = std::str::from_utf8(&whole.body).ok();
     KeptAnswer {
         status: whole.status,
@@ -133,7 +133,7 @@
     }
 }
 
-fn call_key(admitted: &Admitted) -> Result<CallKey, CallError> {
+fn call_key(admitted: &AdmittedRequest) -> Result<CallKey, CallError> {
     let received = &admitted.timed.received;
     let Some(text) = &received.head.idempotency_key else {
         return Err(CallError::malformed(
@@ -196,7 +196,7 @@
             retry_after: None,
         });
     };
-    Ok(Answer::Whole(Whole {
+    Ok(Answer::Complete(CompleteAnswer {
         status: answer.status,
         content_type: answer.content_type,
         headers: Vec::new(),
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -6,16 +6,16 @@
 
 use crate::{
     error::CallError,
-    filter::{Answer, Handler, Received, Work},
+    filter::{Answer, CallDetails, Handler, ReceivedRequest},
     server::connection::WRITE_GRACE,
     shared::Shared,
 };
 
 /// A request with its deadline.
 #[derive(Debug)]
-pub struct Timed {
+pub struct RequestWithDeadline {
     /// The request.
-    pub received: Received,
+    pub received: ReceivedRequest,
     /// When it has to have ended.
     pub deadline: Time,
 }
@@ -33,8 +33,8 @@
     }
 }
 
-impl<N: Handler<Timed>> Handler<Received> for Deadline<N> {
-    async fn handle(&self, received: Received) -> Result<Answer, CallError> {
+impl<N: Handler<RequestWithDeadline>> Handler<ReceivedRequest> for Deadline<N> {
+    async fn handle(&self, received: ReceivedRequest) -> Result<Answer, CallError> {
         let asked = received.head.deadline.or_else(|| route_timeout(&received.work));
         let span = received.route.rules.limits.deadline(asked);
         let deadline = received.record.arrived + span;
@@ -42,7 +42,7 @@
             return Err(expired(RunStatus::No));
         }
         received.conn.cut_at(deadline + WRITE_GRACE);
-        self.next.handle(Timed { received, deadline }).await
+        self.next.handle(RequestWithDeadline { received, deadline }).await
     }
 }
 
@@ -53,9 +53,9 @@
     Failure { cause: FailCause::Deadline, ran, retry_after }.into()
 }
 
-fn route_timeout(work: &Work) -> Option<Duration> {
+fn route_timeout(work: &CallDetails) -> Option<Duration> {
     match work {
-        Work::Model(_) => None,
-        Work::Service(work) => work.rules.as_ref()?.timeout_ms.map(Duration::from_millis),
+        CallDetails::Model(_) => None,
+        CallDetails::Service(work) => work.rules.as_ref()?.timeout_ms.map(Duration::from_millis),
     }
 }
--- a/crates/daemon/src/filter/dispatch/assemble.rs
+++ b/crates/daemon/src/filter/dispatch/assemble.rs
@@ -9,7 +9,7 @@
 };
 use serde::Serialize;
 
-use crate::filter::{ModelWork, Whole, parse::CHAT};
+use crate::filter::{CompleteAnswer, ModelCallDetails, parse::CHAT};
 
 /// What was generated so far, over all attempts.
 #[derive(Debug, Default)]
@@ -84,7 +84,7 @@
     }
 
     /// The answer as one JSON document.
-    pub(super) fn assemble(&self, id: &str, work: &ModelWork) -> Whole {
+    pub(super) fn assemble(&self, id: &str, work: &ModelCallDetails) -> CompleteAnswer {
         let chat = work.path == CHAT;
         let text = self.text.as_str();
         let message = chat.then_some(Message { role: "assistant", content: text });
@@ -110,6 +110,11 @@
         };
         // Plain strings and numbers can always be written.
         let body = serde_json::to_vec(&completion).unwrap_or_default();
-        Whole { status: 200, content_type: None, headers: Vec::new(), body: Bytes::from(body) }
+        CompleteAnswer {
+            status: 200,
+            content_type: None,
+            headers: Vec::new(),
+            body: Bytes::from(body),
+        }
     }
 }
--- a/crates/daemon/src/filter/dispatch/attempt.rs
+++ b/crates/daemon/src/filter/dispatch/attempt.rs
@@ -25,8 +25,8 @@
 };
 use crate::{
     controller::LEASE,
-    endpoint::{Endpoint, Life},
-    filter::relay::Reply,
+    endpoint::{Endpoint, LifecycleState},
+    filter::relay::RelayMessage,
 };
 
 /// Tokens between two reports of progress to the scheduler.
@@ -78,9 +78,9 @@
         let Place { start, head, endpoint, .. } = place;
         let attempt = self.name(start);
         self.runs += 1;
-        self.timed.received.record.note(|facts| {
-            facts.attempts += 1;
-            facts.endpoint = Some(head.endpoint.clone());
+        self.timed.received.record.update(|summary| {
+            summary.attempts += 1;
+            summary.endpoint = Some(head.endpoint.clone());
         });
         let id = attempt.to_string();
         let holding = endpoint.hold(id.clone(), HeldKind::Stream);
@@ -99,8 +99,9 @@
             }
             Err(cause) => return Err(failed(cause)),
         };
-        let life = Life { incarnation: running.incarnation, leaving: running.leaving };
-        self.shared.heard(endpoint, life);
+        let lifecycle =
+            LifecycleState { incarnation: running.incarnation, leaving: running.leaving };
+        self.shared.record_lifecycle(endpoint, lifecycle);
         if !is_expected(head, running.incarnation) {
             return Err(failed(FailCause::NotSent));
         }
@@ -112,7 +113,7 @@
 
     fn run_call(&self, place: &Place<'_>, attempt: AttemptId) -> Run {
         Run {
-            address: place.endpoint.place.address,
+            address: place.endpoint.config.address,
             path: self.work.path,
             attempt,
             priority: place.start.priority,
@@ -138,7 +139,7 @@
             RunError::Rejected(rejection) => {
                 let leaving = rejection.leaving;
                 if let Some(incarnation) = rejection.incarnation {
-                    self.shared.heard(endpoint, Life { incarnation, leaving });
+                    self.shared.record_lifecycle(endpoint, LifecycleState { incarnation, leaving });
                 }
                 failed(FailCause::Rejected)
             }
@@ -191,26 +192,26 @@
 
     async fn pass_on(&mut self, piece: Piece, event: SseEvent) {
         self.output.push(piece);
-        self.timed.received.record.note(|facts| facts.output = Tokens(self.output.offset));
+        self.timed.received.record.update(|summary| summary.output = Tokens(self.output.offset));
         if self.work.scan.stream {
             // A caller that is gone ends the request elsewhere.
-            self.replies.send(Reply::Event(event.data)).await.ok();
+            self.messages.send(RelayMessage::Event(event.data)).await.ok();
         }
     }
 
     fn first_token(&self, start: &Start, piece: &Piece) {
         let now = self.shared.clock.now();
-        self.timed.received.record.note(|facts| {
-            facts.first_token.get_or_insert(now);
+        self.timed.received.record.update(|summary| {
+            summary.first_token.get_or_insert(now);
         });
         let cached = piece.usage.and_then(|usage| usage.cached_tokens).map(Tokens);
         let (request, attempt) = (start.request, start.attempt);
-        self.ticket.deployment.observe(Event::FirstToken { request, attempt, cached });
+        self.guard.deployment.observe(Event::FirstToken { request, attempt, cached });
     }
 
     fn progress(&self, start: &Start, tokens: u64) {
         let (request, attempt, tokens) = (start.request, start.attempt, Tokens(tokens));
-        self.ticket.deployment.observe(Event::Progress { request, attempt, tokens });
+        self.guard.deployment.observe(Event::Progress { request, attempt, tokens });
     }
 }
 
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -11,17 +11,20 @@
 use super::assemble::Output;
 use crate::{
     error::CallError,
-    filter::{Admitted, ModelWork, Ticket, Timed, deadline::expired, relay::Reply},
+    filter::{
+        AdmissionGuard, AdmittedRequest, ModelCallDetails, RequestWithDeadline, deadline::expired,
+        relay::RelayMessage,
+    },
     shared::Shared,
 };
 
 /// Follows one completion.
 pub(super) struct Driver {
     pub(super) shared: Arc<Shared>,
-    pub(super) timed: Timed,
-    pub(super) ticket: Ticket,
-    pub(super) work: ModelWork,
-    pub(super) replies: Sender<Reply>,
+    pub(super) timed: RequestWithDeadline,
+    pub(super) guard: AdmissionGuard,
+    pub(super) work: ModelCallDetails,
+    pub(super) messages: Sender<RelayMessage>,
     pub(super) output: Output,
     /// Runs sent to engines.
     pub(super) runs: u32,
@@ -60,25 +63,25 @@
     /// A driver that passes the answer on by `replies`.
     pub(super) fn new(
         shared: Arc<Shared>,
-        admitted: Admitted,
-        work: ModelWork,
-        replies: Sender<Reply>,
+        admitted: AdmittedRequest,
+        work: ModelCallDetails,
+        messages: Sender<RelayMessage>,
     ) -> Self {
-        let Admitted { timed, ticket, .. } = admitted;
-        Driver { shared, timed, ticket, work, replies, output: Output::default(), runs: 0 }
+        let AdmittedRequest { timed, guard, .. } = admitted;
+        Driver { shared, timed, guard, work, messages, output: Output::default(), runs: 0 }
     }
 
     /// Follows the request to its end. The deadline and the caller's hang-up end it from outside,
     /// whatever engine and scheduler do or fail to do.
     pub(super) async fn run(mut self) {
         let (clock, deadline) = (self.shared.clock, self.timed.deadline);
-        let (conn, replies) = (self.timed.received.conn.clone(), self.replies.clone());
+        let (conn, messages) = (self.timed.received.conn.clone(), self.messages.clone());
         let late = async {
             clock.sleep_until(deadline).await;
             End::Expired
         };
         let hung_up = async {
-            conn.hung_up().or(replies.closed()).await;
+            conn.hung_up().or(messages.closed()).await;
             End::HungUp
         };
         let end = self.follow().or(hung_up).or(late).await;
@@ -86,7 +89,7 @@
     }
 
     async fn follow(&mut self) -> End {
-        let decisions = self.ticket.decisions.clone();
+        let decisions = self.guard.decisions.clone();
         let mut next = None;
         loop {
             let decision = match next.take() {
@@ -118,8 +121,8 @@
     }
 
     fn attempt_failed(&self, start: &Start, cause: FailCause) {
-        self.shared.metrics.attempt_failed(&self.ticket.deployment.name, cause);
-        self.timed.received.record.note(|facts| facts.last_failure = Some(cause));
+        self.shared.metrics.attempt_failed(&self.guard.deployment.name, cause);
+        self.timed.received.record.update(|summary| summary.last_failure = Some(cause));
         log::info!(
             request = start.request.0,
             attempt = start.attempt,
@@ -128,7 +131,7 @@
             passed_on = self.output.offset;
             "attempt_failed"
         );
-        self.ticket.deployment.observe(Event::AttemptFailed {
+        self.guard.deployment.observe(Event::AttemptFailed {
             request: start.request,
             attempt: start.attempt,
             cause,
@@ -139,7 +142,7 @@
     /// Tells the scheduler, the record and the caller, in this order: the scheduler may give the
     /// place away while a slow caller still takes the last bytes.
     async fn finish(self, end: End) {
-        let Driver { shared, timed, ticket, work, replies, output, runs } = self;
+        let Driver { shared, timed, guard, work, messages, output, runs } = self;
         let record = &timed.received.record;
         let ran = match (runs, output.offset) {
             (0, _) => RunStatus::No,
@@ -149,43 +152,48 @@
         let (outcome, reply) = match end {
             End::Finished => {
                 let mut id = String::new();
-                record.note(|facts| {
-                    (facts.outcome, facts.ran) = ("finished", RunStatus::Yes);
-                    id.clone_from(&facts.request_id);
+                record.update(|summary| {
+                    (summary.outcome, summary.ran) = ("finished", RunStatus::Yes);
+                    id.clone_from(&summary.request_id);
                 });
                 let prompt =
                     output.usage.map_or(work.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
                 let outcome =
                     Outcome::Finished { prompt: Tokens(prompt), output: Tokens(output.offset) };
                 let reply = match work.scan.stream {
-                    true => Reply::Done,
-                    false => Reply::Whole(output.assemble(&id, &work)),
+                    true => RelayMessage::Done,
+                    false => RelayMessage::Complete(output.assemble(&id, &work)),
                 };
                 (outcome, reply)
             }
-            End::Answered(answer) => (Outcome::Answered, Reply::Failed(refused(&answer))),
-            End::Failed(failure) => (Outcome::Cancelled, Reply::Failed(failure.into())),
-            End::Expired => (Outcome::Expired, Reply::Failed(expired(ran))),
+            End::Answered(answer) => (Outcome::Answered, RelayMessage::Failed(refused(&answer))),
+            End::Failed(failure) => (Outcome::Cancelled, RelayMessage::Failed(failure.into())),
+            End::Expired => (Outcome::Expired, RelayMessage::Failed(expired(ran))),
             End::HungUp => {
-                record.note(|facts| (facts.outcome, facts.ran) = ("hung_up", ran));
-                return ticket.end(Outcome::Cancelled);
+                record.update(|summary| (summary.outcome, summary.ran) = ("hung_up", ran));
+                return guard.end(Outcome::Cancelled);
             }
         };
-        ticket.end(outcome);
-        if let Reply::Failed(e) = &reply {
-            record.note(|facts| (facts.outcome, facts.ran) = (e.code, e.ran));
+        guard.end(outcome);
+        if let RelayMessage::Failed(e) = &reply {
+            record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
         }
-        pass_on(&shared, &timed, &replies, reply).await;
+        pass_on(&shared, &timed, &messages, reply).await;
     }
 }
 
 /// Passes the last reply on: at once where there is room, else before the deadline. A caller that
 /// still hasn't made room then is cut, which it can't take for the end of a whole answer.
-async fn pass_on(shared: &Shared, timed: &Timed, replies: &Sender<Reply>, reply: Reply) {
-    let Err(smol::channel::TrySendError::Full(reply)) = replies.try_send(reply) else { return };
+async fn pass_on(
+    shared: &Shared,
+    timed: &RequestWithDeadline,
+    messages: &Sender<RelayMessage>,
+    reply: RelayMessage,
+) {
+    let Err(smol::channel::TrySendError::Full(reply)) = messages.try_send(reply) else { return };
     let send = async {
         // A caller that is gone needs no reply.
-        replies.send(reply).await.ok();
+        messages.send(reply).await.ok();
     };
     send.or(shared.clock.sleep_until(timed.deadline)).await;
 }
--- a/crates/daemon/src/filter/dispatch/mod.rs
+++ b/crates/daemon/src/filter/dispatch/mod.rs
@@ -21,8 +21,8 @@
 use crate::{
     error::CallError,
     filter::{
-        Admitted, Answer, Handler, Work,
-        relay::{EventBody, Reply, WAITING_EVENTS},
+        AdmittedRequest, Answer, CallDetails, Handler,
+        relay::{EventBody, MAX_QUEUED_EVENTS, RelayMessage},
     },
     record::CallRecord,
     shared::Shared,
@@ -40,15 +40,15 @@
     }
 }
 
-impl Handler<Admitted> for Dispatch {
-    async fn handle(&self, admitted: Admitted) -> Result<Answer, CallError> {
+impl Handler<AdmittedRequest> for Dispatch {
+    async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
         match admitted.timed.received.work.clone() {
-            Work::Service(work) => {
+            CallDetails::Service(work) => {
                 // The larger kind of call must not make the other's future as large.
                 Box::pin(service::run(&self.shared, admitted, work)).await
             }
-            Work::Model(work) => {
-                let (tx, rx) = bounded(WAITING_EVENTS);
+            CallDetails::Model(work) => {
+                let (tx, rx) = bounded(MAX_QUEUED_EVENTS);
                 let record = admitted.timed.received.record.clone();
                 let driver = driver::Driver::new(self.shared.clone(), admitted, work, tx);
                 // A panic in a driver must not end a thread of the daemon; the caller then hears
@@ -66,13 +66,13 @@
     async fn relay<D>(
         &self,
         mut driver: Pin<Box<D>>,
-        replies: Receiver<Reply>,
+        messages: Receiver<RelayMessage>,
         record: Arc<CallRecord>,
     ) -> Result<Answer, CallError>
     where
         D: Future<Output: Send> + Send + 'static,
     {
-        let first = async { Some(first_reply(replies, record).await) };
+        let first = async { Some(first_reply(messages, record).await) };
         let ended = async {
             driver.as_mut().await;
             None
@@ -88,13 +88,13 @@
 
 /// Waits for the first reply, which decides between an answer and an error status.
 async fn first_reply(
-    replies: Receiver<Reply>,
+    messages: Receiver<RelayMessage>,
     record: Arc<CallRecord>,
 ) -> Result<Answer, CallError> {
-    match replies.recv().await {
-        Ok(Reply::Whole(whole)) => Ok(Answer::Whole(whole)),
-        Ok(Reply::Failed(e)) => Err(e),
-        Ok(first) => Ok(Answer::Stream(EventBody::new(&first, replies, record))),
+    match messages.recv().await {
+        Ok(RelayMessage::Complete(whole)) => Ok(Answer::Complete(whole)),
+        Ok(RelayMessage::Failed(e)) => Err(e),
+        Ok(first) => Ok(Answer::Stream(EventBody::new(&first, messages, record))),
         Err(_) => Err(driver_gone()),
     }
 }
--- a/crates/daemon/src/filter/dispatch/reserve.rs
+++ b/crates/daemon/src/filter/dispatch/reserve.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    active::Active,
+    active::ActiveConfig,
     controller::LEASE,
     endpoint::{Endpoint, Holding},
 };
@@ -27,7 +27,7 @@
 impl Reservations {
     /// Reserves on each of `shards` in order.
     pub(super) async fn take(
-        active: &Active,
+        active: &ActiveConfig,
         attempt: &AttemptId,
         shards: &[Shard],
     ) -> Result<Reservations, FailCause> {
@@ -49,7 +49,7 @@
         for holding in &self.holdings {
             let comma = if text.is_empty() { "" } else { "," };
             // Writing to a string can't fail.
-            write!(text, "{comma}{}@{}", holding.id(), holding.endpoint().place.address).ok();
+            write!(text, "{comma}{}@{}", holding.id(), holding.endpoint().config.address).ok();
         }
         text
     }
@@ -64,7 +64,7 @@
     let lease = LEASE.as_millis() as u64;
     let engine = endpoint.engine();
     match engine.reserve(id, &attempt.owner, shard.tokens, lease).await {
-        Ok(life) if is_expected(shard, life) => Ok(()),
+        Ok(lifecycle) if is_expected(shard, lifecycle) => Ok(()),
         // Nothing of the request was sent, whatever became of the reservation.
         Ok(_) | Err(EngineError::NotSent | EngineError::Unknown | EngineError::Broken) => {
             Err(FailCause::NotSent)
@@ -75,6 +75,6 @@
 }
 
 /// Whether `life` is the one that the scheduler chose; it chooses zero where it knows none.
-pub(super) fn is_expected(shard: &Shard, life: Incarnation) -> bool {
-    shard.incarnation == Incarnation(0) || shard.incarnation == life
+pub(super) fn is_expected(shard: &Shard, lifecycle: Incarnation) -> bool {
+    shard.incarnation == Incarnation(0) || shard.incarnation == lifecycle
 }
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -12,9 +12,12 @@
 };
 
 use crate::{
-    endpoint::Life,
+    endpoint::LifecycleState,
     error::CallError,
-    filter::{Admitted, Answer, ServiceWork, Ticket, Whole, deadline::expired},
+    filter::{
+        AdmissionGuard, AdmittedRequest, Answer, CompleteAnswer, ServiceCallDetails,
+        deadline::expired,
+    },
     ledger::RunClaim,
     shared::Shared,
 };
@@ -27,12 +30,12 @@
 /// Runs one call to its end. The caller's hang-up drops this future, and with it the ticket.
 pub(super) async fn run(
     shared: &Arc<Shared>,
-    admitted: Admitted,
-    work: ServiceWork,
+    admitted: AdmittedRequest,
+    work: ServiceCallDetails,
 ) -> Result<Answer, CallError> {
     let (clock, deadline) = (shared.clock, admitted.timed.deadline);
     let conn = admitted.timed.received.conn.clone();
-    let ticket = &admitted.ticket;
+    let guard = &admitted.guard;
     let mut call = Call { shared, admitted: &admitted, work: &work, sent: false, attempts: 0 };
     let late = async {
         clock.sleep_until(deadline).await;
@@ -48,18 +51,18 @@
         }
         End::HungUp
     };
-    let end = call.follow(ticket).or(hung_up).or(late).await;
+    let end = call.follow(guard).or(hung_up).or(late).await;
     let ran = if call.sent { RunStatus::Unknown } else { RunStatus::No };
     let record = admitted.timed.received.record.clone();
     match end {
         End::Answered(answer) => {
-            record.note(|facts| (facts.outcome, facts.ran) = ("finished", RunStatus::Yes));
-            admitted.ticket.end(Outcome::Finished { prompt: Tokens::ZERO, output: Tokens::ZERO });
-            Ok(Answer::Whole(whole(answer)))
+            record.update(|summary| (summary.outcome, summary.ran) = ("finished", RunStatus::Yes));
+            admitted.guard.end(Outcome::Finished { prompt: Tokens::ZERO, output: Tokens::ZERO });
+            Ok(Answer::Complete(whole(answer)))
         }
         End::Failed(failure) => Err(failure.into()),
         End::Expired => {
-            admitted.ticket.end(Outcome::Expired);
+            admitted.guard.end(Outcome::Expired);
             Err(expired(ran))
         }
         // Nobody reads this.
@@ -76,16 +79,16 @@
 
 struct Call<'a> {
     shared: &'a Arc<Shared>,
-    admitted: &'a Admitted,
-    work: &'a ServiceWork,
+    admitted: &'a AdmittedRequest,
+    work: &'a ServiceCallDetails,
     sent: bool,
     attempts: usize,
 }
 
 impl Call<'_> {
-    async fn follow(&mut self, ticket: &Ticket) -> End {
+    async fn follow(&mut self, guard: &AdmissionGuard) -> End {
         loop {
-            let start = match ticket.decisions.recv().await {
+            let start = match guard.decisions.recv().await {
                 Ok(Decision::Start(start)) => start,
                 Ok(Decision::Fail { failure, .. }) => return End::Failed(failure),
                 Ok(Decision::Cancel { .. }) => continue,
@@ -94,26 +97,26 @@
             };
             match self.attempt(&start).await {
                 Ok(answer) => return End::Answered(answer),
-                Err(cause) => self.failed(ticket, &start, cause),
+                Err(cause) => self.failed(guard, &start, cause),
             }
         }
     }
 
-    fn failed(&self, ticket: &Ticket, start: &Start, cause: FailCause) {
-        self.shared.metrics.attempt_failed(&ticket.deployment.name, cause);
-        self.admitted.timed.received.record.note(|facts| facts.last_failure = Some(cause));
+    fn failed(&self, guard: &AdmissionGuard, start: &Start, cause: FailCause) {
+        self.shared.metrics.attempt_failed(&guard.deployment.name, cause);
+        self.admitted.timed.received.record.update(|summary| summary.last_failure = Some(cause));
         let (request, attempt, passed_on) = (start.request, start.attempt, Tokens::ZERO);
         let event = Event::AttemptFailed { request, attempt, cause, passed_on };
-        ticket.deployment.observe(event);
+        guard.deployment.observe(event);
     }
 
     async fn attempt(&mut self, start: &Start) -> Result<ServiceAnswer, FailCause> {
         let active = self.shared.active();
         let shard = start.shards.first().ok_or(FailCause::NotSent)?;
         let endpoint = active.endpoints.get(&shard.endpoint).ok_or(FailCause::NotSent)?;
-        self.admitted.timed.received.record.note(|facts| {
-            facts.attempts += 1;
-            facts.endpoint = Some(shard.endpoint.clone());
+        self.admitted.timed.received.record.update(|summary| {
+            summary.attempts += 1;
+            summary.endpoint = Some(shard.endpoint.clone());
         });
         let call = self.call();
         // From here on the call may have run, unless the connection is known to have failed.
@@ -121,10 +124,11 @@
         self.attempts += 1;
         let claim = self.admitted.claim.as_deref();
         let may_send = || claim.is_none_or(RunClaim::try_begin_sending);
-        match HttpService::new(endpoint.place.address).call_if(call, may_send).await {
+        match HttpService::new(endpoint.config.address).call_if(call, may_send).await {
             Ok(answer) => {
                 let leaving = answer.leaving;
-                self.shared.heard(endpoint, Life { leaving, ..endpoint.life() });
+                self.shared
+                    .record_lifecycle(endpoint, LifecycleState { leaving, ..endpoint.lifecycle() });
                 judge(answer, self.work.repeatable())
             }
             Err(ServiceError::NotSent) => {
@@ -174,8 +178,8 @@
     }
 }
 
-fn whole(answer: ServiceAnswer) -> Whole {
-    Whole {
+fn whole(answer: ServiceAnswer) -> CompleteAnswer {
+    CompleteAnswer {
         status: answer.status,
         content_type: answer.content_type,
         headers: answer.headers,
--- a/crates/daemon/src/filter/dispatch/silence.rs
+++ b/crates/daemon/src/filter/dispatch/silence.rs
@@ -136,6 +136,6 @@
     }
 
     fn is_other_life(&self, reported: Incarnation) -> bool {
-        self.incarnation.is_some_and(|life| life != reported)
+        self.incarnation.is_some_and(|lifecycle| lifecycle != reported)
     }
 }
--- a/crates/daemon/src/filter/mod.rs
+++ b/crates/daemon/src/filter/mod.rs
@@ -20,11 +20,11 @@
 use http_types::{Request, Response, StatusCode};
 use protocols::service::Header;
 
-pub use admission::{Admitted, Ticket};
-pub use at_most_once::Claim;
-pub use deadline::Timed;
-pub use parse::{Head, Parsed, Target};
-pub use receive::{ModelWork, Received, ServiceWork, Work};
+pub use admission::{AdmissionGuard, AdmittedRequest};
+pub use at_most_once::SharedClaim;
+pub use deadline::RequestWithDeadline;
+pub use parse::{ParsedRequest, RequestHeaders, RequestTarget};
+pub use receive::{CallDetails, ModelCallDetails, ReceivedRequest, ServiceCallDetails};
 
 use crate::{
     error::CallError,
@@ -41,7 +41,7 @@
 
 /// A request as it came in.
 #[derive(Debug)]
-pub struct Inbound {
+pub struct InboundRequest {
     /// Head and body.
     pub req: Request,
     /// Its connection.
@@ -54,14 +54,14 @@
 #[derive(Debug)]
 pub enum Answer {
     /// An answer that is whole.
-    Whole(Whole),
+    Complete(CompleteAnswer),
     /// Server-sent events as they come.
     Stream(relay::EventBody),
 }
 
 /// An answer that is whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteAnswer {
     /// HTTP status.
     pub status: u16,
     /// Media type; JSON where absent.
@@ -103,10 +103,10 @@
     conn.cut_at(
         shared.clock.now() + receive::BODY_TIMEOUT + crate::server::connection::WRITE_GRACE,
     );
-    let inbound = Inbound { req, conn: conn.clone(), record: record.clone() };
+    let inbound = InboundRequest { req, conn: conn.clone(), record: record.clone() };
     let result = chain.handle(inbound).await;
     if let Err(e) = &result {
-        record.note(|facts| (facts.outcome, facts.ran) = (e.code, e.ran));
+        record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
         // Much of the body may be unread, and the library would read all of it.
         conn.cut_at(shared.clock.now() + crate::server::connection::WRITE_GRACE);
     }
@@ -115,9 +115,9 @@
     if closing {
         resp.insert_header("connection", "close");
     }
-    record.note(|facts| {
-        facts.status = resp.status().into();
-        resp.insert_header(respond::REQUEST_ID, facts.request_id.as_str());
+    record.update(|summary| {
+        summary.status = resp.status().into();
+        resp.insert_header(respond::REQUEST_ID, summary.request_id.as_str());
     });
     resp
 }
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     error::CallError,
-    filter::{Answer, Handler, Inbound},
+    filter::{Answer, Handler, InboundRequest},
     record::CallRecord,
     server::{connection::Connection, respond::REQUEST_ID, router},
     shared::{Shared, Stage},
@@ -28,11 +28,11 @@
 
 /// A request whose head was read.
 #[derive(Debug)]
-pub struct Parsed {
+pub struct ParsedRequest {
     /// What it asks for.
-    pub target: Target,
+    pub target: RequestTarget,
     /// The headers that govern it.
-    pub head: Head,
+    pub head: RequestHeaders,
     /// Its body, unread.
     pub body: Body,
     /// Its connection.
@@ -43,7 +43,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Target {
+pub enum RequestTarget {
     /// A completion at this path.
     Model(&'static str),
     /// A call to a plain service.
@@ -67,7 +67,7 @@
 
 /// The headers that govern a request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Head {
+pub struct RequestHeaders {
     /// The key of `Authorization: Bearer`.
     pub bearer: Option<String>,
     /// `x-deadline-ms`.
@@ -96,15 +96,15 @@
     }
 }
 
-impl<N: Handler<Parsed>> Handler<Inbound> for Parse<N> {
-    async fn handle(&self, mut inbound: Inbound) -> Result<Answer, CallError> {
+impl<N: Handler<ParsedRequest>> Handler<InboundRequest> for Parse<N> {
+    async fn handle(&self, mut inbound: InboundRequest) -> Result<Answer, CallError> {
         check_framing(&inbound.req)?;
         check_stage(&self.shared)?;
         let target = target(&inbound.req)?;
         let head = head(&inbound.req)?;
         let body = inbound.req.take_body();
         let (conn, record) = (inbound.conn, inbound.record);
-        self.next.handle(Parsed { target, head, body, conn, record }).await
+        self.next.handle(ParsedRequest { target, head, body, conn, record }).await
     }
 }
 
@@ -140,10 +140,10 @@
     Ok(())
 }
 
-fn target(req: &Request) -> Result<Target, CallError> {
+fn target(req: &Request) -> Result<RequestTarget, CallError> {
     let path = req.url().path();
     if let Some(rest) = path.strip_prefix("/services/") {
-        return service_target(req, rest).map(Target::Service);
+        return service_target(req, rest).map(RequestTarget::Service);
     }
     let path = match path {
         CHAT => CHAT,
@@ -151,7 +151,7 @@
         _ => return Err(router::not_found(path)),
     };
     match req.method() {
-        Method::Post => Ok(Target::Model(path)),
+        Method::Post => Ok(RequestTarget::Model(path)),
         method => Err(bad_method(method, path)),
     }
 }
@@ -185,8 +185,8 @@
     CallError::caller(StatusCode::MethodNotAllowed, "method_not_allowed", message)
 }
 
-fn head(req: &Request) -> Result<Head, CallError> {
-    Ok(Head {
+fn head(req: &Request) -> Result<RequestHeaders, CallError> {
+    Ok(RequestHeaders {
         bearer: super::workspace::bearer(req),
         deadline: deadline(req)?,
         idempotency_key: bounded_header(req, "idempotency-key")?,
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -10,14 +10,14 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::{
-    active::{Active, Route},
-    budget::Share,
+    active::{ActiveConfig, Route},
+    budget::BodyPermit,
     error::CallError,
     filter::{
-        Answer, Handler, Head, Parsed, Target,
+        Answer, Handler, ParsedRequest, RequestHeaders, RequestTarget,
         parse::{CHAT, ServiceTarget},
         scan::{PromptMember, Scan, scan},
-        workspace::Identified,
+        workspace::IdentifiedRequest,
     },
     record::CallRecord,
     server::connection::Connection,
@@ -37,23 +37,23 @@
 
 /// A request that came in whole.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// What it needs.
-    pub work: Work,
+    pub work: CallDetails,
     /// Its deployment.
     pub route: Route,
     /// Whose it is.
     pub workspace: Workspace,
     /// The headers that govern it.
-    pub head: Head,
+    pub head: RequestHeaders,
     /// Its body as it came.
     pub body: Bytes,
     /// Its part of the bytes that may be held at once.
-    pub share: Share,
+    pub body_permit: BodyPermit,
     /// Hash of the prompt, or of path and body for a plain service.
     pub fingerprint: Fingerprint,
     /// The configuration it began with.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// Its connection.
     pub conn: Arc<Connection>,
     /// Its record.
@@ -62,16 +62,16 @@
 
 /// What a request needs.
 #[derive(Debug, Clone)]
-pub enum Work {
+pub enum CallDetails {
     /// A completion.
-    Model(ModelWork),
+    Model(ModelCallDetails),
     /// A call to a plain service.
-    Service(ServiceWork),
+    Service(ServiceCallDetails),
 }
 
 /// A completion.
 #[derive(Debug, Clone)]
-pub struct ModelWork {
+pub struct ModelCallDetails {
     /// Its path.
     pub path: &'static str,
     /// The model.
@@ -82,14 +82,14 @@
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
-pub struct ServiceWork {
+pub struct ServiceCallDetails {
     /// What is called.
     pub target: ServiceTarget,
     /// The rules of its route, if any.
     pub rules: Option<RouteRules>,
 }
 
-impl ServiceWork {
+impl ServiceCallDetails {
     /// Whether the call is idempotent.
     pub fn repeatable(&self) -> bool {
         self.rules.as_ref().is_none_or(|rules| rules.repeatable)
@@ -109,42 +109,43 @@
     }
 }
 
-impl<N: Handler<Received>> Handler<Identified> for Receive<N> {
-    async fn handle(&self, identified: Identified) -> Result<Answer, CallError> {
-        let Identified { parsed, workspace, active } = identified;
-        let Parsed { target, head, body, conn, record } = parsed;
+impl<N: Handler<ReceivedRequest>> Handler<IdentifiedRequest> for Receive<N> {
+    async fn handle(&self, identified: IdentifiedRequest) -> Result<Answer, CallError> {
+        let IdentifiedRequest { parsed, workspace, active } = identified;
+        let ParsedRequest { target, head, body, conn, record } = parsed;
         let max = self.shared.settings.max_body;
         check_size(&body, max)?;
-        let mut share = self.shared.bodies.take(body.len().unwrap_or(max)).ok_or_else(full)?;
+        let mut body_permit =
+            self.shared.body_budget.try_acquire(body.len().unwrap_or(max)).ok_or_else(full)?;
         let body = read(body, max).await?;
-        share.shrink(body.len());
+        body_permit.shrink_to(body.len());
         let (work, route, fingerprint) = match target {
-            Target::Model(path) => {
+            RequestTarget::Model(path) => {
                 let scan = scan_body(path, body.clone()).await?;
                 let model = model(&scan)?;
                 let route = active.model_route(&model).cloned().ok_or_else(|| unknown(&model))?;
                 let fingerprint = scan.prompt.fingerprint;
-                (Work::Model(ModelWork { path, model, scan }), route, fingerprint)
+                (CallDetails::Model(ModelCallDetails { path, model, scan }), route, fingerprint)
             }
-            Target::Service(target) => {
+            RequestTarget::Service(target) => {
                 let route = active.service_route(&target.group).cloned();
                 let route = route.ok_or_else(|| unknown_group(&target))?;
                 let rules = route.rules.route(&target.path).cloned();
                 let fingerprint = fingerprint(&target.path, &body);
-                (Work::Service(ServiceWork { target, rules }), route, fingerprint)
+                (CallDetails::Service(ServiceCallDetails { target, rules }), route, fingerprint)
             }
         };
-        record.note(|facts| {
-            facts.deployment = Some(route.deployment.name.clone());
-            facts.prompt = prompt(&work);
+        record.update(|summary| {
+            summary.deployment = Some(route.deployment.name.clone());
+            summary.prompt = prompt(&work);
         });
-        let received = Received {
+        let received = ReceivedRequest {
             work,
             route,
             workspace,
             head,
             body,
-            share,
+            body_permit,
             fingerprint,
             active,
             conn,
@@ -236,9 +237,9 @@
     CallError::caller(StatusCode::NotFound, "unknown_service", message)
 }
 
-fn prompt(work: &Work) -> Tokens {
+fn prompt(work: &CallDetails) -> Tokens {
     match work {
-        Work::Model(work) => work.scan.prompt.tokens,
-        Work::Service(_) => Tokens::ZERO,
+        CallDetails::Model(work) => work.scan.prompt.tokens,
+        CallDetails::Service(_) => Tokens::ZERO,
     }
 }
--- a/crates/daemon/src/filter/relay.rs
+++ b/crates/daemon/src/filter/relay.rs
@@ -15,20 +15,20 @@
 use protocols::engine::wire::DONE;
 use smol::channel::Receiver;
 
-use crate::{error::CallError, filter::Whole, record::CallRecord};
+use crate::{error::CallError, filter::CompleteAnswer, record::CallRecord};
 
 /// Events that may wait for a slow caller. About a second of a fast model.
-pub const WAITING_EVENTS: usize = 64;
+pub const MAX_QUEUED_EVENTS: usize = 64;
 
 /// What a driver passes on.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
+pub enum RelayMessage {
     /// The content of one event.
     Event(Bytes),
     /// Every event was passed on.
     Done,
     /// The whole answer.
-    Whole(Whole),
+    Complete(CompleteAnswer),
     /// There won't be a whole answer.
     Failed(CallError),
 }
@@ -38,7 +38,7 @@
 /// answer that isn't whole never looks whole.
 #[derive(Debug)]
 pub struct EventBody {
-    replies: Pin<Box<Receiver<Reply>>>,
+    messages: Pin<Box<Receiver<RelayMessage>>>,
     frame: Bytes,
     ended: bool,
     // Keeps a stopping instance from closing before the last byte is read.
@@ -47,9 +47,13 @@
 
 impl EventBody {
     /// A body that begins with `first` and goes on with `replies`.
-    pub fn new(first: &Reply, replies: Receiver<Reply>, record: Arc<CallRecord>) -> Self {
+    pub fn new(
+        first: &RelayMessage,
+        messages: Receiver<RelayMessage>,
+        record: Arc<CallRecord>,
+    ) -> Self {
         let mut body = EventBody {
-            replies: Box::pin(replies),
+            messages: Box::pin(messages),
             frame: Bytes::new(),
             ended: false,
             _record: record,
@@ -58,14 +62,14 @@
         body
     }
 
-    fn take(&mut self, reply: &Reply) {
+    fn take(&mut self, reply: &RelayMessage) {
         self.frame = match reply {
-            Reply::Event(data) => frame(None, data),
-            Reply::Done => frame(None, DONE.as_bytes()),
-            Reply::Failed(e) => frame(Some("error"), &e.to_json()),
-            Reply::Whole(whole) => frame(None, &whole.body),
+            RelayMessage::Event(data) => frame(None, data),
+            RelayMessage::Done => frame(None, DONE.as_bytes()),
+            RelayMessage::Failed(e) => frame(Some("error"), &e.to_json()),
+            RelayMessage::Complete(whole) => frame(None, &whole.body),
         };
-        self.ended = !matches!(reply, Reply::Event(_));
+        self.ended = !matches!(reply, RelayMessage::Event(_));
     }
 }
 
@@ -90,7 +94,7 @@
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         while this.frame.is_empty() && !this.ended {
-            match ready!(this.replies.as_mut().poll_next(cx)) {
+            match ready!(this.messages.as_mut().poll_next(cx)) {
                 Some(reply) => this.take(&reply),
                 None => return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
             }
--- a/crates/daemon/src/filter/workspace.rs
+++ b/crates/daemon/src/filter/workspace.rs
@@ -6,22 +6,22 @@
 use policy::Workspace;
 
 use crate::{
-    active::Active,
+    active::ActiveConfig,
     error::CallError,
-    filter::{Answer, Handler, Parsed, parse::text_header},
+    filter::{Answer, Handler, ParsedRequest, parse::text_header},
     shared::Shared,
 };
 
 /// A request whose workspace is known. This comes before the body is read, so that nobody without
 /// a key can make an instance hold megabytes.
 #[derive(Debug)]
-pub struct Identified {
+pub struct IdentifiedRequest {
     /// The request.
-    pub parsed: Parsed,
+    pub parsed: ParsedRequest,
     /// Whose it is.
     pub workspace: Workspace,
     /// The configuration it began with.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
 }
 
 /// Finds the workspace.
@@ -37,12 +37,12 @@
     }
 }
 
-impl<N: Handler<Identified>> Handler<Parsed> for Identify<N> {
-    async fn handle(&self, parsed: Parsed) -> Result<Answer, CallError> {
+impl<N: Handler<IdentifiedRequest>> Handler<ParsedRequest> for Identify<N> {
+    async fn handle(&self, parsed: ParsedRequest) -> Result<Answer, CallError> {
         let active = self.shared.active();
         let workspace = identify(&active, parsed.head.bearer.as_deref())?;
-        parsed.record.note(|facts| facts.workspace = Some(workspace.clone()));
-        self.next.handle(Identified { parsed, workspace, active }).await
+        parsed.record.update(|summary| summary.workspace = Some(workspace.clone()));
+        self.next.handle(IdentifiedRequest { parsed, workspace, active }).await
     }
 }
 
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// 401 for a missing or unknown key.
-pub fn identify(active: &Active, key: Option<&str>) -> Result<Workspace, CallError> {
+pub fn identify(active: &ActiveConfig, key: Option<&str>) -> Result<Workspace, CallError> {
     let unauthorized =
         |message| CallError::caller(StatusCode::Unauthorized, "unauthorized", message);
     let key = key.ok_or_else(|| {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -10,7 +10,7 @@
 use policy::{Deployment, FailCause, Tokens, Workspace};
 use prometheus::{Registry, TextEncoder};
 
-use crate::record::Facts;
+use crate::record::RequestSummary;
 
 /// Bounds of the time histograms in seconds: from a refusal to the longest review.
 const SECONDS: [f64; 16] = [
@@ -76,16 +76,21 @@
     }
 
     /// Counts a request that ended.
-    pub fn request_ended(&self, facts: &Facts, first_token: Option<Duration>, total: Duration) {
-        let deployment = facts.deployment.as_ref().map_or("-", Deployment::as_str).to_owned();
-        let workspace = facts.workspace.as_ref().map_or("-", Workspace::as_str).to_owned();
+    pub fn request_ended(
+        &self,
+        summary: &RequestSummary,
+        first_token: Option<Duration>,
+        total: Duration,
+    ) {
+        let deployment = summary.deployment.as_ref().map_or("-", Deployment::as_str).to_owned();
+        let workspace = summary.workspace.as_ref().map_or("-", Workspace::as_str).to_owned();
         let deployment = KeyValue::new("deployment", deployment);
-        let outcome = KeyValue::new("outcome", facts.outcome);
+        let outcome = KeyValue::new("outcome", summary.outcome);
         let labels = [deployment.clone(), KeyValue::new("workspace", workspace), outcome.clone()];
         self.requests.add(1, &labels);
         self.duration.record(total.as_secs_f64(), &[deployment.clone(), outcome]);
         if let Some(first_token) = first_token {
-            let band = KeyValue::new("prompt", band(facts.prompt));
+            let band = KeyValue::new("prompt", band(summary.prompt));
             self.first_token.record(first_token.as_secs_f64(), &[deployment, band]);
         }
     }
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -13,27 +13,27 @@
 use crate::shared::{Shared, Unready};
 
 /// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// When it is told first what the instance waits for; then each time after twice as long.
-const FIRST_TOLD: Duration = Duration::from_secs(1);
+const FIRST_WARNING_AFTER: Duration = Duration::from_secs(1);
 
 /// Watches a start to its end.
 pub(crate) async fn watch(shared: Weak<Shared>) {
     let started = Instant::now();
-    let mut told_at = FIRST_TOLD;
+    let mut next_warning_after = FIRST_WARNING_AFTER;
     loop {
         let Some(unready) = shared.upgrade().map(|shared| shared.unready()) else { return };
         let since_ms = started.elapsed().as_millis() as u64;
         match unready {
             None => return log::info!(since_ms; "ready"),
             Some(Unready::Stopping) => return,
-            Some(why) if started.elapsed() >= told_at => {
-                log::warn!(since_ms, cause:% = why; "not_ready");
-                told_at *= 2;
+            Some(reason) if started.elapsed() >= next_warning_after => {
+                log::warn!(since_ms, cause:% = reason; "not_ready");
+                next_warning_after *= 2;
             }
             Some(_) => {}
         }
-        Timer::after(LOOK_PERIOD).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -8,7 +8,7 @@
 
 /// What is known of a request by now.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct RequestSummary {
     /// The request's id as the caller sees it.
     pub request_id: String,
     /// Whose it is, once known.
@@ -45,7 +45,7 @@
     pub arrived: Time,
     clock: Clock,
     metrics: Arc<Metrics>,
-    facts: Mutex<Facts>,
+    summary: Mutex<RequestSummary>,
     _open: Arc<()>,
 }
 
@@ -60,7 +60,7 @@
         open: Arc<()>,
     ) -> Self {
         metrics.under_way.add(1, &[]);
-        let facts = Facts {
+        let summary = RequestSummary {
             request_id,
             workspace: None,
             deployment: None,
@@ -75,38 +75,38 @@
             ran: RunStatus::No,
         };
         let arrived = clock.now();
-        CallRecord { id, arrived, clock, metrics, facts: Mutex::new(facts), _open: open }
+        CallRecord { id, arrived, clock, metrics, summary: Mutex::new(summary), _open: open }
     }
 
     /// The request's id as the caller sees it.
     pub fn request_id(&self) -> String {
-        lock(&self.facts).request_id.clone()
+        lock(&self.summary).request_id.clone()
     }
 
     /// Adds to what is known.
-    pub fn note(&self, change: impl FnOnce(&mut Facts)) {
-        change(&mut lock(&self.facts));
+    pub fn update(&self, change: impl FnOnce(&mut RequestSummary)) {
+        change(&mut lock(&self.summary));
     }
 }
 
 impl Drop for CallRecord {
     fn drop(&mut self) {
-        let facts = lock(&self.facts).clone();
+        let summary = lock(&self.summary).clone();
         let total = self.clock.now().since(self.arrived);
-        let first = facts.first_token.map(|time| time.since(self.arrived));
+        let first = summary.first_token.map(|time| time.since(self.arrived));
         self.metrics.under_way.add(-1, &[]);
-        self.metrics.request_ended(&facts, first, total);
+        self.metrics.request_ended(&summary, first, total);
         log::info!(
-            id = facts.request_id.as_str(),
-            workspace = facts.workspace.as_ref().map_or("-", Workspace::as_str),
-            deployment = facts.deployment.as_ref().map_or("-", Deployment::as_str),
-            status = facts.status,
-            outcome = facts.outcome,
-            ran:? = facts.ran,
-            prompt = facts.prompt.0,
-            output = facts.output.0,
-            attempts = facts.attempts,
-            endpoint = facts.endpoint.as_ref().map_or("-", EndpointId::as_str),
+            id = summary.request_id.as_str(),
+            workspace = summary.workspace.as_ref().map_or("-", Workspace::as_str),
+            deployment = summary.deployment.as_ref().map_or("-", Deployment::as_str),
+            status = summary.status,
+            outcome = summary.outcome,
+            ran:? = summary.ran,
+            prompt = summary.prompt.0,
+            output = summary.output.0,
+            attempts = summary.attempts,
+            endpoint = summary.endpoint.as_ref().map_or("-", EndpointId::as_str),
             first_token_ms = first.map_or(-1.0, |first| first.as_secs_f64() * 1000.0),
             total_ms = total.as_secs_f64() * 1000.0;
             "request"
--- a/crates/daemon/src/server/connection.rs
+++ b/crates/daemon/src/server/connection.rs
@@ -149,7 +149,7 @@
                     a `Host` header, and at most 128 headers in 8 KB";
         let e = CallError::malformed(finding.unwrap_or_else(|| text.to_owned()));
         let record = service.shared.begin(None);
-        record.note(|facts| (facts.status, facts.outcome) = (e.status.into(), e.code));
+        record.update(|summary| (summary.status, summary.outcome) = (e.status.into(), e.code));
         let bytes = respond::raw(&e, Some(&record.request_id()));
         last_words::say(self.socket.clone(), &bytes).await;
     }
--- a/crates/daemon/src/server/respond.rs
+++ b/crates/daemon/src/server/respond.rs
@@ -14,10 +14,11 @@
 /// The response to a call.
 pub fn response(result: Result<Answer, CallError>) -> Response {
     match result {
-        Ok(Answer::Whole(whole)) => {
-            let status = StatusCode::try_from(whole.status).unwrap_or(StatusCode::BadGateway);
-            let mut resp = bytes(status, whole.content_type.as_deref().unwrap_or(JSON), whole.body);
-            for header in whole.headers {
+        Ok(Answer::Complete(answer)) => {
+            let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway);
+            let mut resp =
+                bytes(status, answer.content_type.as_deref().unwrap_or(JSON), answer.body);
+            for header in answer.headers {
                 resp.insert_header(header.name.as_str(), header.value);
             }
             resp
--- a/crates/daemon/src/server/router.rs
+++ b/crates/daemon/src/server/router.rs
@@ -35,7 +35,8 @@
     if req.method() == Method::Get && req.url().path() == "/v1/models" {
         let mut resp = models(service, &req);
         let record = service.shared.begin(parse::request_id(&req));
-        record.note(|facts| (facts.status, facts.outcome) = (resp.status().into(), "listed"));
+        record
+            .update(|summary| (summary.status, summary.outcome) = (resp.status().into(), "listed"));
         resp.insert_header(respond::REQUEST_ID, record.request_id());
         return Ok(resp);
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -18,15 +18,15 @@
 use smol::Executor;
 
 use crate::{
-    active::{Active, AnyDeployment, Builder},
+    active::{ActiveConfig, ActiveConfigBuilder, AnyDeployment},
     admin::fleet::Questions,
-    budget::Budget,
+    budget::BodyBudget,
     clock::Clock,
     controller::{
         self,
         configuration::{self, Publications},
     },
-    endpoint::{Endpoint, Life, lock},
+    endpoint::{Endpoint, LifecycleState, lock},
     ledger::Ledgers,
     metrics::Metrics,
     peer::{EndpointNews, Message, PeerMesh},
@@ -93,7 +93,7 @@
     executor: Weak<Executor<'static>>,
     /// Weak, because the mesh keeps the executor.
     mesh: OnceLock<Weak<PeerMesh>>,
-    active: RwLock<Arc<Active>>,
+    active: RwLock<Arc<ActiveConfig>>,
     publications: OnceLock<Arc<Publications<HttpLog>>>,
     ledgers: OnceLock<Ledgers<HttpLog>>,
     /// Held while a new configuration is built, so that two can't overtake one another.
@@ -107,7 +107,7 @@
     /// Questions to other instances that are under way.
     pub questions: Questions,
     /// Bodies of requests under way.
-    pub bodies: Budget,
+    pub body_budget: BodyBudget,
     /// Open connections of callers and operators.
     pub connections: Registry,
 }
@@ -136,13 +136,13 @@
             next_request: AtomicU64::new(1),
             open_requests: Arc::default(),
             questions: Questions::default(),
-            bodies: Budget::default(),
+            body_budget: BodyBudget::default(),
             connections: Registry::default(),
         }
     }
 
     /// The configuration in force.
-    pub fn active(&self) -> Arc<Active> {
+    pub fn active(&self) -> Arc<ActiveConfig> {
         self.active.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -160,7 +160,7 @@
             AnyScheduler::new(rules.policy, owner.instance, owner.incarnation, seed)
         };
         let data_centre = &self.settings.data_centre;
-        let builder = Builder { data_centre, clock: self.clock, scheduler };
+        let builder = ActiveConfigBuilder { data_centre, clock: self.clock, scheduler };
         let active = Arc::new(builder.build(config, version, &old));
         *self.active.write().unwrap_or_else(PoisonError::into_inner) = active.clone();
         self.start_new(&active, &old);
@@ -190,7 +190,7 @@
 
     /// The first configuration in force says how the ledgers are kept, and no later one changes
     /// what matters to them.
-    fn start_ledgers(&self, active: &Active) {
+    fn start_ledgers(&self, active: &ActiveConfig) {
         let Some(address) = self.settings.log else { return };
         if self.ledgers.get().is_some() {
             return;
@@ -204,7 +204,7 @@
         }
     }
 
-    fn start_new(self: &Arc<Self>, active: &Active, old: &Active) {
+    fn start_new(self: &Arc<Self>, active: &ActiveConfig, old: &ActiveConfig) {
         for (name, route) in &active.deployments {
             let kept = old
                 .deployments
@@ -262,9 +262,9 @@
         if self.warm.load(Ordering::Relaxed) {
             return None;
         }
-        let mut unknown = active.endpoints.values().filter(|endpoint| !endpoint.was_asked());
+        let mut unknown = active.endpoints.values().filter(|endpoint| !endpoint.was_load_queried());
         let first: Vec<EndpointId> =
-            unknown.by_ref().take(NAMED).map(|endpoint| endpoint.place.id.clone()).collect();
+            unknown.by_ref().take(NAMED).map(|endpoint| endpoint.config.id.clone()).collect();
         let count = first.len() + unknown.count();
         self.warm.fetch_or(count == 0, Ordering::Relaxed);
         (count > 0).then_some(Unready::Endpoints { count, first })
@@ -284,18 +284,18 @@
     }
 
     /// Notes what an endpoint's answer said of its life, and tells the schedulers if that is new.
-    pub fn heard(&self, endpoint: &Endpoint, life: Life) {
-        if !endpoint.heard(life) {
+    pub fn record_lifecycle(&self, endpoint: &Endpoint, lifecycle: LifecycleState) {
+        if !endpoint.record_lifecycle(lifecycle) {
             return;
         }
         log::info!(
-            endpoint = endpoint.place.id.as_str(),
-            incarnation = life.incarnation.0,
-            leaving = life.leaving;
+            endpoint = endpoint.config.id.as_str(),
+            incarnation = lifecycle.incarnation.0,
+            leaving = lifecycle.leaving;
             "endpoint_changed"
         );
         let change = endpoint.change();
-        if life.leaving {
+        if lifecycle.leaving {
             self.broadcast(Message::Endpoint(EndpointNews {
                 endpoint: change.endpoint.clone(),
                 incarnation: change.incarnation,
--- a/crates/daemon/tests/holdings.rs
+++ b/crates/daemon/tests/holdings.rs
@@ -6,7 +6,7 @@
 
 use daemon::{
     controller::LEASE,
-    holdings::{Holdings, MAX_UNWANTED},
+    holdings::{Holdings, MAX_ABANDONED_IDS},
 };
 use policy::{Incarnation, Tokens};
 use protocols::engine::wire::{Held, HeldKind, HeldPage};
@@ -26,22 +26,22 @@
 /// Holds `kept` and `left`, and lets go of the second.
 fn one_let_go(now: Instant) -> Holdings {
     let mut holdings = Holdings::default();
-    holdings.hold("kept".to_owned(), HeldKind::Reservation);
-    holdings.hold("left".to_owned(), HeldKind::Reservation);
-    holdings.let_go("left", now);
+    holdings.insert("kept".to_owned(), HeldKind::Reservation);
+    holdings.insert("left".to_owned(), HeldKind::Reservation);
+    holdings.abandon("left", now);
     holdings
 }
 
 /// Names each case by what it guards against.
 macro_rules! remembers {
-    ($($(#[$line:meta])* $case:ident($holdings:ident, $now:ident) $body:block => $unwanted:expr;)*) => {$(
+    ($($(#[$line:meta])* $case:ident($holdings:ident, $now:ident) $body:block => $abandoned:expr;)*) => {$(
         $(#[$line])*
         #[test]
         fn $case() {
             let $now = Instant::now();
             let mut $holdings = one_let_go($now);
             $body
-            assert_eq!($holdings.unwanted(), $unwanted as [&str; _]);
+            assert_eq!($holdings.abandoned(), $abandoned as [&str; _]);
         }
     )*};
 }
@@ -49,25 +49,25 @@
 remembers! {
     /// Guards against memory that nobody releases after the first try failed.
     until_the_engine_shows_that_it_is_gone(holdings, now) {
-        holdings.listed(&listing(&["kept", "left"]), now + Duration::from_secs(1));
+        holdings.record_listing(&listing(&["kept", "left"]), now + Duration::from_secs(1));
         holdings.expire(now + 100 * LEASE);
     } => ["left"];
     /// Guards against ids that pile up.
     no_longer_than_that(holdings, now) {
-        holdings.listed(&listing(&["kept"]), now + Duration::from_secs(1));
+        holdings.record_listing(&listing(&["kept"]), now + Duration::from_secs(1));
     } => [];
     /// Guards against a listing that was on its way when the memory was let go.
     beyond_an_older_listing(holdings, now) {
-        holdings.listed(&listing(&[]), now);
+        holdings.record_listing(&listing(&[]), now);
     } => ["left"];
     /// Guards against a release that overtakes the run that takes the memory.
     beyond_its_release(holdings, now) {
-        holdings.released(&["left".to_owned()]);
+        holdings.record_release(&["left".to_owned()]);
         holdings.expire(now + LEASE);
     } => ["left"];
     /// Guards against ids that pile up where no listing can be read.
     released_only_as_long_as_its_lease(holdings, now) {
-        holdings.released(&["left".to_owned()]);
+        holdings.record_release(&["left".to_owned()]);
         holdings.expire(now + 2 * LEASE);
     } => [];
 }
@@ -76,18 +76,18 @@
 #[test]
 fn only_wanted_reservations_are_renewed() {
     let mut holdings = one_let_go(Instant::now());
-    holdings.hold("stream".to_owned(), HeldKind::Stream);
-    assert_eq!(holdings.renewed(), ["kept"]);
+    holdings.insert("stream".to_owned(), HeldKind::Stream);
+    assert_eq!(holdings.ids_to_renew(), ["kept"]);
 }
 
 /// Guards against memory of the instance's own that grows while an engine can't be reached.
 #[test]
 fn what_is_remembered_is_bounded() {
     let (mut holdings, now) = (Holdings::default(), Instant::now());
-    for number in 0..MAX_UNWANTED + 10 {
-        holdings.hold(number.to_string(), HeldKind::Stream);
-        holdings.let_go(&number.to_string(), now);
+    for number in 0..MAX_ABANDONED_IDS + 10 {
+        holdings.insert(number.to_string(), HeldKind::Stream);
+        holdings.abandon(&number.to_string(), now);
     }
-    assert_eq!(holdings.unwanted().len(), MAX_UNWANTED);
-    assert_eq!(holdings.unwanted()[0], "10");
+    assert_eq!(holdings.abandoned().len(), MAX_ABANDONED_IDS);
+    assert_eq!(holdings.abandoned()[0], "10");
 }
