--- a/crates/daemon/examples/ledger_rate.rs
+++ b/crates/daemon/examples/ledger_rate.rs
@@ -26,14 +26,14 @@
 use standin::{LogConfig, LogService};
 
 /// Appends that the log takes in a second.
-const APPENDS: usize = 300;
+const APPENDS_PER_SECOND: usize = 300;
 /// How long each measurement runs.
-const SPAN: Duration = Duration::from_secs(6);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
 /// The first part of a measurement, which isn't counted: the paces find their balance.
-const WARM_UP: Duration = Duration::from_secs(2);
+const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
 /// One measurement.
-struct Measured {
+struct Measurement {
     claims: usize,
     refused: usize,
     delays: Vec<Duration>,
@@ -43,42 +43,45 @@
     let mut out = io::stdout().lock();
     writeln!(out, "ledgers  callers  claims/s  median ms  p99 ms  worst ms  refused  appends/s")?;
     for (ledgers, callers) in [(1, 1), (1, 64), (4, 16), (16, 4), (1, 512), (4, 128), (16, 32)] {
-        let log =
-            LogService::start(LogConfig { appends_per_second: APPENDS, ..LogConfig::default() })?;
-        let mut measured = measure(&log, ledgers, callers);
-        measured.delays.sort();
+        let log = LogService::start(LogConfig {
+            appends_per_second: APPENDS_PER_SECOND,
+            ..LogConfig::default()
+        })?;
+        let mut measurement = measure(&log, ledgers, callers);
+        measurement.delays.sort();
         let at = |share: f64| {
-            let index = (measured.delays.len() as f64 * share) as usize;
-            let delay = measured.delays.get(index.min(measured.delays.len().saturating_sub(1)));
+            let index = (measurement.delays.len() as f64 * share) as usize;
+            let delay =
+                measurement.delays.get(index.min(measurement.delays.len().saturating_sub(1)));
             delay.copied().unwrap_or_default().as_secs_f64() * 1e3
         };
-        let seconds = (SPAN - WARM_UP).as_secs_f64();
+        let seconds = (MEASUREMENT_TIME - WARM_UP_TIME).as_secs_f64();
         writeln!(
             out,
             "{ledgers:>7}  {:>7}  {:>8.0}  {:>9.1}  {:>6.1}  {:>8.1}  {:>7}  {:>9.0}",
             ledgers * callers,
-            measured.claims as f64 / seconds,
+            measurement.claims as f64 / seconds,
             at(0.5),
             at(0.99),
             at(1.0),
-            measured.refused,
-            log.appends() as f64 / SPAN.as_secs_f64(),
+            measurement.refused,
+            log.appends() as f64 / MEASUREMENT_TIME.as_secs_f64(),
         )?;
         log.close();
     }
     Ok(())
 }
 
-fn measure(log: &LogService, ledgers: usize, callers: usize) -> Measured {
+fn measure(log: &LogService, ledgers: usize, callers: usize) -> Measurement {
     let stop = Arc::new(AtomicBool::new(false));
     let threads = (0..ledgers).map(|index| {
         let (address, stop) = (log.address(), stop.clone());
-        thread::spawn(move || drive(HttpLog::new(address), index, callers, &stop))
+        thread::spawn(move || run_ledger(HttpLog::new(address), index, callers, &stop))
     });
     let threads: Vec<_> = threads.collect();
-    thread::sleep(SPAN);
+    thread::sleep(MEASUREMENT_TIME);
     stop.store(true, Ordering::Relaxed);
-    let mut all = Measured { claims: 0, refused: 0, delays: Vec::new() };
+    let mut all = Measurement { claims: 0, refused: 0, delays: Vec::new() };
     for thread in threads {
         let Ok(part) = thread.join() else { continue };
         all.claims += part.claims;
@@ -89,10 +92,10 @@
 }
 
 /// One ledger with its callers, each of which claims, ends the call at once, and claims again.
-fn drive(log: HttpLog, index: usize, callers: usize, stop: &AtomicBool) -> Measured {
+fn run_ledger(log: HttpLog, index: usize, callers: usize, stop: &AtomicBool) -> Measurement {
     let clock = Clock::start();
     let Ok(instance) = InstanceId::new(&format!("entry-{index}")) else {
-        return Measured { claims: 0, refused: 0, delays: Vec::new() };
+        return Measurement { claims: 0, refused: 0, delays: Vec::new() };
     };
     let cfg = LedgerConfig {
         stream: "ledger-0".to_owned(),
@@ -104,9 +107,9 @@
     executor.spawn(ledger.clone().run()).detach();
     let start = Instant::now();
     let tasks: Vec<_> = (0..callers)
-        .map(|caller| executor.spawn(call(&ledger, clock, index, caller, start, stop)))
+        .map(|caller| executor.spawn(run_caller(&ledger, clock, index, caller, start, stop)))
         .collect();
-    let mut all = Measured { claims: 0, refused: 0, delays: Vec::new() };
+    let mut all = Measurement { claims: 0, refused: 0, delays: Vec::new() };
     block_on(executor.run(async {
         for task in tasks {
             let part = task.await;
@@ -118,31 +121,31 @@
     all
 }
 
-async fn call(
+async fn run_caller(
     ledger: &Ledger<HttpLog>,
     clock: Clock,
     index: usize,
     caller: usize,
     start: Instant,
     stop: &AtomicBool,
-) -> Measured {
-    let mut part = Measured { claims: 0, refused: 0, delays: Vec::new() };
+) -> Measurement {
+    let mut part = Measurement { claims: 0, refused: 0, delays: Vec::new() };
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
         number += 1;
         let Some(req) = request(clock, &format!("{index}-{caller}-{number}")) else { return part };
         let began = Instant::now();
         let outcome = ledger.claim(req).await;
-        let counts = start.elapsed() > WARM_UP;
+        let is_measured = start.elapsed() > WARM_UP_TIME;
         if let ClaimOutcome::Run(claim) = outcome {
-            if counts {
+            if is_measured {
                 part.claims += 1;
                 part.delays.push(began.elapsed());
             }
             claim.try_begin_sending();
             claim.complete(Answer { status: 200, content_type: None, body: Some("{}".to_owned()) });
         } else {
-            part.refused += usize::from(counts);
+            part.refused += usize::from(is_measured);
             Timer::after(Duration::from_millis(10)).await;
         }
     }
--- a/crates/daemon/src/checkpoint.rs
+++ b/crates/daemon/src/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Writes checkpoints of a stream before the log drops what the last one doesn't cover.
+//! Writes a checkpoint of a stream before the log drops records that the previous one doesn't
+//! cover.
 
 use std::time::Duration;
 
@@ -9,43 +10,44 @@
 
 use crate::clock::Clock;
 
-/// Time between the parts of a checkpoint, so that other appends aren't held up behind them.
+/// Delay between the parts of a checkpoint, so that other appends aren't held up behind them.
 const PART_INTERVAL: Duration = Duration::from_millis(50);
-/// How often it is looked whether a checkpoint is due, as a part of the log's retention.
+/// Number of checks, during the log's retention, whether a checkpoint is due.
 const CHECKS_PER_RETENTION: u32 = 40;
-/// The longest time between two looks. When the log has dropped what no checkpoint covers, new
-/// instances wait for one and refuse calls that may not be repeated.
+/// Upper bound on the interval between two checks. If the log has dropped records that no
+/// checkpoint covers, new instances wait for a checkpoint and refuse calls that may not be
+/// repeated.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a checkpoint may take to be read back before an urgent one is written again.
+/// How long to wait for a checkpoint to be read back before an urgent one is written again.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
-/// After which part of the log's retention the next checkpoint is due. Three quarters are left for
-/// an outage and for instances that follow late.
+/// Number of checkpoints due within the log's retention. Three quarters of the retention remain for
+/// an outage and for instances that read late.
 const CHECKPOINTS_PER_RETENTION: u32 = 4;
 
-/// A state that is kept by checkpoints.
+/// A state that is saved by checkpoints.
 pub trait CheckpointSource {
-    /// Up to where the last checkpoint seen in the stream goes.
+    /// The offset up to which the last checkpoint in the stream covers it.
     fn covered_offset(&self) -> Option<Offset>;
 
-    /// Whether the log has dropped what no checkpoint covers.
+    /// Whether the log has dropped records that no checkpoint covers.
     fn is_urgent(&self) -> bool;
 
-    /// The records of a checkpoint of the present state; none while it isn't whole.
+    /// Encodes a checkpoint of the current state as records; none while the state is incomplete.
     fn records(&self, id: &str) -> Option<Vec<Vec<u8>>>;
 }
 
-/// Where and how often checkpoints are written.
+/// Where and how often to write checkpoints.
 pub struct Schedule<'a> {
-    /// The stream.
+    /// Name of the stream.
     pub stream: &'a str,
-    /// How long the log keeps records.
+    /// The log's retention of records.
     pub log_retention: Duration,
-    /// Names the writer, so that no two checkpoints have the same name.
+    /// Identifies the writer, so that checkpoint ids are unique.
     pub writer: String,
 }
 
-/// Writes checkpoints for as long as it is polled. Each instance would write one, and the first to
-/// do it spares the others theirs.
+/// Writes checkpoints for as long as it is polled. Every instance runs this; a checkpoint written
+/// by one of them postpones the others'.
 pub async fn run<L: Log>(
     log: &L,
     clock: Clock,
@@ -53,7 +55,7 @@
     source: &impl CheckpointSource,
 ) {
     let log_retention = schedule.log_retention;
-    // Without this all instances would write theirs at once.
+    // Jitter; otherwise all instances would write theirs at the same time.
     let due = (log_retention / CHECKPOINTS_PER_RETENTION).mul_f64(0.75 + 0.5 * fastrand::f64());
     let (mut last_covered, mut covered_at) = (None, clock.now());
     let mut written_at = None;
@@ -83,7 +85,7 @@
 async fn write<L: Log>(log: &L, stream: &str, records: Vec<Vec<u8>>) -> bool {
     for record in records {
         if log.append(stream, Bytes::from(record)).await.is_err() {
-            // Parts are of no use without the others; the next look writes a new one.
+            // A part is useless without the others; a later check writes a new checkpoint.
             return false;
         }
         Timer::after(PART_INTERVAL).await;
--- a/crates/daemon/src/ledger/claim.rs
+++ b/crates/daemon/src/ledger/claim.rs
@@ -1,4 +1,4 @@
-//! The right to run one call, held by whoever sends it.
+//! Handle to the exclusive right to run one call, held by the task that sends it.
 
 use std::fmt;
 
@@ -11,8 +11,9 @@
 use super::{Ledger, wake_all};
 use crate::endpoint::lock;
 
-/// The right to run one call. It ends by [`RunClaim::complete`], [`RunClaim::mark_unknown`] or
-/// [`RunClaim::abandon`]; dropping it tells the others what can still be told truthfully.
+/// The exclusive right to run one call. It ends by [`RunClaim::complete`],
+/// [`RunClaim::mark_unknown`] or [`RunClaim::abandon`]. Dropping it records the strongest outcome
+/// that is still certain.
 pub struct RunClaim<L: Log> {
     ledger: Option<Ledger<L>>,
     key: CallKey,
@@ -29,50 +30,51 @@
         RunClaim { ledger: Some(ledger), key }
     }
 
-    /// The claim's place in the stream, for endpoints that check fencing numbers.
+    /// The claim's offset in the stream, for endpoints that check fencing numbers.
     pub fn fencing_number(&self) -> Offset {
         let ledger = self.ledger.as_ref();
         ledger.map_or(Offset(0), |ledger| lock(&ledger.core.state).fencing_number(&self.key))
     }
 
-    /// Asks for the right to send the first byte, right before it is sent. It is
-    /// asked for once a connection stands, because a refused one proves that nothing was sent.
+    /// Requests permission to send the first byte; must be called immediately before sending. It is
+    /// called after the connection is established, because a refused connection proves that nothing
+    /// was sent.
     pub fn try_begin_sending(&self) -> bool {
         let Some(ledger) = &self.ledger else { return false };
         let now = ledger.core.clock.now();
         lock(&ledger.core.state).try_begin_sending(&self.key, now)
     }
 
-    /// The call ran and was answered.
+    /// Records that the call ran and was answered.
     pub fn complete(mut self, answer: Answer) {
         self.finish(|key, claim| Entry::Done { key, claim, answer });
     }
 
-    /// Something was sent and no whole answer came.
+    /// Records that something was sent and no complete answer arrived.
     pub fn mark_unknown(mut self) {
         self.finish(|key, claim| Entry::Unknown { key, claim });
     }
 
-    /// Gives the call up. What the caller may be told of it.
+    /// Abandons the call. Returns what can truthfully be reported to the caller.
     pub fn abandon(mut self) -> RunStatus {
-        match self.give_up() {
+        match self.release() {
             Some(AbandonOutcome::NotRun) => RunStatus::No,
             _ => RunStatus::Unknown,
         }
     }
 
-    /// The claim has ended without this handle.
+    /// Drops the handle without an effect, because the claim has already ended.
     pub(super) fn disarm(mut self) {
         self.ledger = None;
     }
 
-    fn give_up(&mut self) -> Option<AbandonOutcome> {
+    fn release(&mut self) -> Option<AbandonOutcome> {
         let ledger = self.ledger.take()?;
         let now = ledger.core.clock.now();
-        let (given_up, waiters) = lock(&ledger.core.state).give_up(&self.key, now);
+        let (outcome, waiters) = lock(&ledger.core.state).abandon(&self.key, now);
         wake_all(&waiters);
         ledger.core.wake_tx.try_send(()).ok();
-        Some(given_up)
+        Some(outcome)
     }
 
     fn finish(&mut self, entry: impl FnOnce(CallKey, policy::ledger::ClaimId) -> Entry) {
@@ -83,9 +85,9 @@
 }
 
 impl<L: Log> Drop for RunClaim<L> {
-    /// A caller that hangs up drops its call wherever it stands. Before the first byte the claim
-    /// is given up, so that the call can be sent again; after it the outcome is unknown.
+    /// A caller that disconnects drops its call at any stage. Before the first byte the claim is
+    /// abandoned, so that the call can be repeated; after it the outcome is unknown.
     fn drop(&mut self) {
-        self.give_up();
+        self.release();
     }
 }
--- a/crates/daemon/src/ledger/decide.rs
+++ b/crates/daemon/src/ledger/decide.rs
@@ -1,22 +1,23 @@
-//! What a call does next, by what is known of its key.
+//! Decides the next step of a call by the state of its key.
 
 use policy::ledger::{Answer, KeyState, Ledger, Phase};
 use smol::channel::Receiver;
 
 use super::{ClaimOutcome, ClaimRequest};
 
-/// What a call does next.
+/// The next step of a call.
 pub(super) enum NextStep {
     Finish(OutcomeWithoutRun),
-    /// Another call with its key is under way.
+    /// Wait: another call with the same key is in flight.
     Wait(Receiver<()>),
-    /// The stream hasn't been read to its end yet.
+    /// Wait: the stream hasn't been read to its end yet.
     Read(Receiver<()>),
-    /// Its own claim has been put in the queue.
+    /// Wait for the call's own claim, which has been queued.
     Claim(Receiver<()>),
 }
 
-/// How a call ends without running.
+/// Outcome of a call that ends without running here. The variants are described at
+/// [`ClaimOutcome`].
 pub(super) enum OutcomeWithoutRun {
     Answer(Answer),
     Unknown,
@@ -30,8 +31,8 @@
 }
 
 impl<L: protocols::log::Log> From<OutcomeWithoutRun> for ClaimOutcome<L> {
-    fn from(ended: OutcomeWithoutRun) -> Self {
-        match ended {
+    fn from(outcome: OutcomeWithoutRun) -> Self {
+        match outcome {
             OutcomeWithoutRun::Answer(answer) => ClaimOutcome::Answer(answer),
             OutcomeWithoutRun::Unknown => ClaimOutcome::Unknown,
             OutcomeWithoutRun::BodyDiffers => ClaimOutcome::BodyDiffers,
@@ -45,14 +46,15 @@
     }
 }
 
-/// What a known key means for a call.
+/// What a call must do if its key is in the ledger.
 pub(super) enum KeyDecision {
     Claim(u32),
     Wait,
     Finish(OutcomeWithoutRun),
 }
 
-/// Judges a call by what its key's stream says.
+/// Decides on a call whose key is in the ledger. `waited` means that the call arrived before the
+/// present state of the key.
 pub(super) fn decide_by_key_state(
     key_state: &KeyState,
     ledger: &Ledger,
@@ -66,10 +68,10 @@
         return KeyDecision::Finish(OutcomeWithoutRun::Answer(answer.clone()));
     }
     if let Some(attempt) = key_state.next_attempt(req.deduplicates, ledger.now_ms()) {
-        // A caller of this key has heard "not run", and only a call that came after that may make
-        // it untrue.
-        let spent = waited && key_state.phase == Phase::NotRun;
-        return if spent {
+        // A caller with this key was told "not run". Only a call that arrived after that reply may
+        // run.
+        let must_not_run = waited && key_state.phase == Phase::NotRun;
+        return if must_not_run {
             KeyDecision::Finish(OutcomeWithoutRun::NotRun)
         } else {
             KeyDecision::Claim(attempt)
--- a/crates/daemon/src/ledger/mod.rs
+++ b/crates/daemon/src/ledger/mod.rs
@@ -1,8 +1,9 @@
-//! Calls that may not be repeated: the instance's side of the ledger stream.
+//! The instance's side of the ledger, for calls that may not be repeated.
 //!
-//! What claims mean is decided by [`policy::ledger`]; here they are appended, read back and waited
-//! for. One append carries every claim that came while the last append was under way, because the
-//! log takes a few hundred appends a second. `docs/decisions/ledger.md` has the measurements.
+//! [`policy::ledger`] defines what claims mean; this module appends them, reads them back and waits
+//! for them. One append contains all claims that arrived while the previous append was in flight,
+//! because the log accepts only a few hundred appends a second. `docs/decisions/ledger.md` contains
+//! the measurements.
 
 mod append_rate;
 mod claim;
@@ -35,18 +36,18 @@
 
 use crate::{clock::Clock, endpoint::lock};
 
-/// How a ledger is kept.
+/// Settings of one ledger stream.
 #[derive(Debug, Clone)]
 pub struct LedgerConfig {
-    /// The stream.
+    /// Name of the stream.
     pub stream: String,
-    /// How long keys are remembered.
+    /// How long keys are retained.
     pub window: Duration,
-    /// How long the log keeps records.
+    /// The log's retention of records.
     pub log_retention: Duration,
 }
 
-/// One ledger stream as this instance sees it.
+/// This instance's view of one ledger stream. Clones share their state.
 pub struct Ledger<L> {
     core: Arc<Core<L>>,
 }
@@ -57,14 +58,14 @@
     }
 }
 
-/// All ledger streams. A key's stream follows from its hash and never changes, because the count
-/// of streams is fixed once a configuration was published.
+/// All ledger streams. A key's stream is determined by its hash and never changes, because the
+/// number of streams is fixed once a configuration has been published.
 pub struct Ledgers<L> {
     streams: Vec<Ledger<L>>,
 }
 
 impl<L: Log + Clone + 'static> Ledgers<L> {
-    /// Ledgers that have read nothing yet.
+    /// Creates the ledgers, which have read nothing yet.
     pub fn new(log: &L, rules: LedgerRules, writer: &Writer, clock: Clock) -> Self {
         let streams = (0..rules.streams.max(1)).map(|index| {
             let cfg = LedgerConfig {
@@ -77,14 +78,14 @@
         Ledgers { streams: streams.collect() }
     }
 
-    /// The ledger of a key.
+    /// The ledger whose stream stores `key`.
     pub fn ledger_for(&self, key: &CallKey) -> &Ledger<L> {
         let hash = xxh3_64(key.to_string().as_bytes());
         let index = usize::try_from(hash % self.streams.len() as u64).unwrap_or(0);
         &self.streams[index]
     }
 
-    /// All ledgers, each of which has to be run.
+    /// Iterates over all ledgers; each must be run.
     pub fn iter(&self) -> impl Iterator<Item = &Ledger<L>> {
         self.streams.iter()
     }
@@ -95,51 +96,51 @@
     cfg: LedgerConfig,
     clock: Clock,
     state: Mutex<State>,
-    /// Tells the writer that there is something to append.
+    /// Notifies the writer that there is something to append.
     wake_tx: Sender<()>,
     wake_rx: Receiver<()>,
 }
 
-/// A call that wants to run.
+/// A call that requests the right to run.
 #[derive(Debug, Clone)]
 pub struct ClaimRequest {
-    /// Its key.
+    /// Key of the call.
     pub key: CallKey,
-    /// Hash of what it asks for.
+    /// Hash of the request body.
     pub fingerprint: Fingerprint,
-    /// Whether the endpoint answers a repeated key with its first answer.
+    /// Whether the endpoint deduplicates: it answers a repeated key with its first answer.
     pub deduplicates: bool,
-    /// How long its caller waits.
+    /// When the call's deadline ends.
     pub deadline: Time,
 }
 
-/// What is to be done with a call.
+/// Result of requesting the right to run a call.
 pub enum ClaimOutcome<L: Log> {
-    /// It has the right to run, once.
+    /// The call has the exclusive right to run, once.
     Run(RunClaim<L>),
-    /// It ran before; this is its answer.
+    /// The call ran before; this is its answer.
     Answer(Answer),
-    /// Its outcome can't be told.
+    /// The outcome of the call can't be determined.
     Unknown,
-    /// The key was used for another call.
+    /// The key was already used with a different request body.
     BodyDiffers,
-    /// An earlier call with this key was given up before it ran, while this one waited for it.
+    /// An earlier call with this key, for which this one waited, was abandoned before it ran.
     NotRun,
-    /// The log can't be used, and no call with this key is known: it was not run.
+    /// The log is unavailable and no call with this key is known: the call was not run.
     LogDown,
-    /// The log can't be used, and what it holds isn't known here: it can't be told whether an
-    /// earlier call with this key ran.
+    /// The log is unavailable and has records that weren't read here: an earlier call with this key
+    /// may have run.
     Behind,
-    /// Too many calls wait for the log; it was not run.
+    /// Too many calls wait for the log, or too many keys are retained; the call was not run.
     Full,
-    /// The key is older than what is remembered.
+    /// The key's timestamp is older than the retention window.
     KeyTooOld,
-    /// The key says that it was made in the future.
+    /// The key's timestamp is in the future.
     KeyFromTheFuture,
 }
 
 impl<L: Log> ClaimOutcome<L> {
-    /// The outcome as it stands in metrics.
+    /// The outcome's label in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             ClaimOutcome::Run(_) => "run",
@@ -157,14 +158,14 @@
 }
 
 impl<L: Log + 'static> Ledger<L> {
-    /// A ledger that has read nothing yet. [`Ledger::run`] has to be polled for it to do anything.
+    /// Creates a ledger that has read nothing yet. It does nothing until [`Ledger::run`] is polled.
     pub fn new(log: L, cfg: LedgerConfig, writer: Writer, clock: Clock) -> Self {
         let (wake_tx, wake_rx) = bounded(1);
         let state = Mutex::new(State::new(writer, cfg.window));
         Ledger { core: Arc::new(Core { log, cfg, clock, state, wake_tx, wake_rx }) }
     }
 
-    /// Reads, appends and writes checkpoints for as long as it is polled.
+    /// Reads the stream, appends batches and writes checkpoints for as long as it is polled.
     pub async fn run(self) {
         let reading = reader::run(&self.core);
         let writing = writer::run(&self.core);
@@ -172,39 +173,40 @@
         reading.or(writing).or(checkpoints).await;
     }
 
-    /// Whether the whole stream has been read and the log takes appends.
+    /// Whether the whole stream has been read and the log accepts appends.
     pub fn is_ready(&self) -> bool {
         let state = lock(&self.core.state);
         state.is_complete() && !state.is_down(self.core.clock.now())
     }
 
-    /// How many calls wait for the log or for another call with their key.
+    /// Number of calls that wait for the log or for another call with the same key.
     pub fn waiting_calls(&self) -> usize {
         lock(&self.core.state).waiting_calls()
     }
 
-    /// Whether the log has taken all that this instance had to say.
+    /// Whether the log has accepted everything that this instance had to append.
     pub fn is_flushed(&self) -> bool {
         lock(&self.core.state).is_flushed()
     }
 
-    /// The offset that will be read next, which other instances may compare with theirs.
+    /// The next offset to read. Other instances compare it with theirs.
     pub fn next_offset(&self) -> policy::Offset {
         lock(&self.core.state).next_offset()
     }
 
-    /// Takes note of how far another instance has read. An instance that is behind can't say that
-    /// an unknown key has not run.
+    /// Records the offset up to which another instance has read. An instance that has read less
+    /// can't report that a call with an unknown key has not run.
     pub fn record_stream_end(&self, next: policy::Offset) {
         lock(&self.core.state).record_stream_end(next);
     }
 
-    /// How many keys are remembered.
+    /// Number of retained keys.
     pub fn key_count(&self) -> usize {
         lock(&self.core.state).key_count()
     }
 
-    /// Claims the right to run a call, or finds out what became of it. Ends by the deadline.
+    /// Claims the right to run a call, or determines its earlier outcome. Returns at the call's
+    /// deadline at the latest.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimOutcome<L> {
         let mut waited = false;
         loop {
@@ -228,7 +230,7 @@
                 NextStep::Claim(changed) => changed,
             };
             self.core.wake_tx.try_send(()).ok();
-            // Dropped with this future when the caller hangs up, which gives the claim up.
+            // Dropped with this future when the caller disconnects, which abandons the claim.
             let claim = RunClaim::new(self.clone(), req.key.clone());
             match self.wait_for_claim(&req, &changed).await {
                 ClaimResult::Won => return ClaimOutcome::Run(claim),
@@ -250,15 +252,15 @@
         loop {
             let in_time = self.completes_by(req.deadline, changed.recv()).await;
             let now = self.core.clock.now();
-            let step = lock(&self.core.state).own_claim_result(&req.key, in_time, now);
+            let result = lock(&self.core.state).own_claim_result(&req.key, in_time, now);
             self.core.wake_tx.try_send(()).ok();
-            if let Some(own) = step {
-                return own;
+            if let Some(result) = result {
+                return result;
             }
         }
     }
 
-    /// Waits for `event`; whether it came by `deadline`.
+    /// Waits for `event` until `deadline`, and returns whether it occurred in time.
     async fn completes_by<T>(&self, deadline: Time, event: impl Future<Output = T>) -> bool {
         let event = async {
             event.await;
@@ -274,17 +276,17 @@
 
 fn wake_all(waiters: &[Sender<()>]) {
     for waiter in waiters {
-        // A waiter that was woken already needs no second call.
+        // The channel is full if the waiter was already notified.
         waiter.try_send(()).ok();
     }
 }
 
-/// What became of an own claim.
+/// Result of a claim of this instance.
 enum ClaimResult {
     Won,
     Lost,
-    /// Given up while it may stand in the log.
+    /// Abandoned although the log may contain it.
     Abandoned,
-    /// The log took no appends, and this one certainly not.
+    /// The log was unavailable and certainly doesn't contain the claim.
     NotAppended,
 }
--- a/crates/daemon/src/ledger/outbox.rs
+++ b/crates/daemon/src/ledger/outbox.rs
@@ -1,4 +1,4 @@
-//! What an instance has to append: batches, and what happens to them while the log fails.
+//! Batches to append to the ledger stream, and their handling while the log fails.
 
 use std::mem;
 
@@ -10,30 +10,30 @@
 
 use super::state::{State, is_claim_of};
 
-/// The most entries of one append. A claim takes about 300 bytes.
+/// Limit on the entries of one append. A claim takes about 300 bytes.
 const MAX_BATCH_ENTRIES: usize = 1_000;
 
-/// How an append failed.
+/// Kind of a failed append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AppendFailure {
-    /// The log's rate is used up; nothing was appended.
+    /// The log's rate limit is reached; nothing was appended.
     Busy,
-    /// Nothing was appended.
+    /// The log refused or didn't receive the append; nothing was appended.
     Refused,
-    /// It may have been appended.
+    /// The batch may have been appended.
     Ambiguous,
 }
 
-/// A batch whose append is under way.
+/// The batch whose append is in flight.
 pub(super) struct InFlight {
     pub(super) batch: Batch,
-    /// Whether one of its appends got no answer, so that it may stand in the log.
+    /// Whether one of its appends got no reply, so that the log may contain the batch.
     maybe_appended: bool,
 }
 
 impl State {
-    /// The batch to append now: the one under way, or a new one of what waits. While the log
-    /// fails, an empty one serves as a probe.
+    /// The batch to append now: the one in flight, or a new one made of the queued entries. While
+    /// the log fails, an empty batch serves as a probe.
     pub(super) fn batch(&mut self) -> Option<Batch> {
         if let Some(in_flight) = &self.in_flight {
             return Some(in_flight.batch.clone());
@@ -57,22 +57,22 @@
         Some(batch)
     }
 
-    /// Whether there is nothing to append.
+    /// Whether nothing is queued or in flight.
     pub(super) fn is_flushed(&self) -> bool {
         self.queue.is_empty() && self.in_flight.is_none()
     }
 
-    /// The log took the batch under way.
+    /// Records that the log accepted the batch in flight.
     pub(super) fn appended(&mut self, sequence: u64, offset: Offset) {
-        if self.in_flight.as_ref().is_some_and(|known| known.batch.sequence == sequence) {
+        if self.in_flight.as_ref().is_some_and(|in_flight| in_flight.batch.sequence == sequence) {
             self.in_flight = None;
         }
         self.record_stream_end(Offset(offset.0 + 1));
         (self.appends_failing_since, self.busy_since) = (None, None);
     }
 
-    /// An append failed. Gives those whose calls are refused because the log has failed for too
-    /// long.
+    /// Records a failed append. Returns the waiters of calls that are refused because the log has
+    /// failed for too long.
     pub(super) fn append_failed(&mut self, failure: AppendFailure, now: Time) -> Vec<Sender<()>> {
         match failure {
             AppendFailure::Busy => self.busy_since.get_or_insert(now),
@@ -88,8 +88,9 @@
         self.refuse_waiting_claims(now)
     }
 
-    /// Takes back a batch that certainly isn't in the log. Its number isn't used again: a mark that
-    /// names a claim of it would otherwise name another one.
+    /// Returns the entries of a batch that certainly isn't in the log to the queue. Its sequence
+    /// number isn't reused: an entry that refers to one of its claims would otherwise refer to a
+    /// different claim.
     fn withdraw_batch(&mut self) {
         let Some(in_flight) = self.in_flight.take_if(|in_flight| !in_flight.maybe_appended) else {
             return;
@@ -100,20 +101,20 @@
             let id = ClaimId { sequence, index };
             if let Entry::Claim(claim) = &entry {
                 let call = self.own_calls.get_mut(&claim.key).filter(|call| call.id == Some(id));
-                // A call that was given up in the meantime must not be claimed after all.
+                // A call that was abandoned in the meantime must not be claimed any more.
                 let Some(call) = call else { continue };
                 call.id = None;
             }
             entries.push(entry);
         }
-        // Nobody has seen the claims, so nobody needs to hear that they were given up.
+        // No reader has seen these claims, so entries that end them aren't needed.
         self.queue.retain(|entry| !refers_to_batch(entry, sequence));
         entries.append(&mut self.queue);
         self.queue = entries;
     }
 
-    /// Lets go of the claims that wait for a log that is down. What is being appended just now is
-    /// left to the append's own end.
+    /// Refuses the claims that wait for a log that is down. Claims of the append in flight are
+    /// settled when that append ends.
     pub(super) fn refuse_waiting_claims(&mut self, now: Time) -> Vec<Sender<()>> {
         let appending = self.in_flight.as_ref().filter(|in_flight| !in_flight.maybe_appended);
         let appending = appending.map(|in_flight| in_flight.batch.sequence);
@@ -126,8 +127,8 @@
         let mut waiters = Vec::new();
         for (key, maybe_appended) in keys {
             if maybe_appended {
-                // It may stand in the log, and another claim before it.
-                waiters.extend(self.give_up(&key, now).1);
+                // The log may contain this claim, and another one before it.
+                waiters.extend(self.abandon(&key, now).1);
                 continue;
             }
             self.queue.retain(|entry| !is_claim_of(entry, &key));
@@ -140,7 +141,7 @@
     }
 }
 
-/// Whether an entry is the mark of a claim in the batch `sequence`.
+/// Whether an entry ends a claim of the batch `sequence`.
 fn refers_to_batch(entry: &Entry, sequence: u64) -> bool {
     match entry {
         Entry::Claim(_) => false,
--- a/crates/daemon/src/ledger/reader.rs
+++ b/crates/daemon/src/ledger/reader.rs
@@ -1,4 +1,4 @@
-//! Follows the ledger stream and folds it.
+//! Reads the ledger stream continuously and applies its pages.
 
 use std::time::Duration;
 
@@ -8,12 +8,13 @@
 use super::{Core, wake_all};
 use crate::endpoint::lock;
 
-/// Records in one read. A page of large answers stays below the client's limit of 16 MB.
+/// Limit on the records of one read. A page of large answers stays below the client's limit of 16
+/// MB.
 const MAX_PAGE_RECORDS: usize = 200;
-/// How long a read waits for a record. A connection that went silent is noticed a second after,
-/// which has to be well within a caller's deadline.
+/// How long a read waits for a record. A connection that went silent is detected one second later,
+/// which must be well within a caller's deadline.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
-/// Time between reads while the log can't be read.
+/// Delay between reads while the log is unavailable.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn run<L: Log>(core: &Core<L>) {
@@ -22,7 +23,7 @@
             let state = lock(&core.state);
             (state.next_offset(), state.reached_end())
         };
-        // At the start it has to be known at once where the stream ends.
+        // The first reads must find the end of the stream without waiting.
         let wait = if at_end { LONG_POLL_WAIT } else { Duration::ZERO };
         match core.log.read(&core.cfg.stream, from, MAX_PAGE_RECORDS, wait).await {
             Ok(page) => {
--- a/crates/daemon/src/ledger/state.rs
+++ b/crates/daemon/src/ledger/state.rs
@@ -1,4 +1,5 @@
-//! What an instance knows of a ledger stream, and its own claims. One lock guards all of it.
+//! State of one ledger stream at this instance, including its own claims. A single lock guards all
+//! of it.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -20,25 +21,27 @@
 };
 use crate::clock;
 
-/// The most claims that wait for an append. At 20 appends a second, the slowest pace, a hundred
+/// Limit on the claims that wait for an append. At 20 appends a second, a low rate, a hundred
 /// thousand would wait for longer than any caller does.
 const MAX_WAITING_CLAIMS: usize = 10_000;
-/// The most keys of one stream. A key takes about 400 bytes besides its answer; a caller that makes
-/// up keys without end would otherwise fill the memory of every instance for a whole window.
+/// Limit on the keys of one stream. A key takes about 400 bytes besides its answer; otherwise a
+/// caller that keeps generating new keys would fill the memory of every instance for a whole
+/// retention window.
 const MAX_KEYS: usize = 1_000_000;
-/// How long appends may fail before new claims are refused at once. Long enough for a single lost
-/// connection, short enough that callers hear of an outage at once.
+/// How long appends or reads may fail before new claims are refused. It is long enough for a single
+/// lost connection and short enough for callers to learn of an outage quickly.
 const FAILURE_GRACE_PERIOD: Duration = Duration::from_millis(400);
-/// How long the log may be busy before new claims are refused. Its limit is over a second, so that
-/// a full one passes within that, and the paces settle within the next.
+/// How long the log may be busy before new claims are refused. Its rate limit applies to each
+/// second, so a reached limit passes within one second, and the instances' append rates settle
+/// within the next.
 const BUSY_GRACE_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// One own call between its claim and its end.
+/// A call of this instance between its claim and its end.
 pub(super) struct OwnCall {
     pub(super) claim: Claim,
     pub(super) id: Option<ClaimId>,
     pub(super) claimant: Claimant,
-    /// The log certainly didn't take it.
+    /// The log certainly doesn't contain the claim, which was refused.
     pub(super) refused: bool,
 }
 
@@ -46,15 +49,15 @@
     pub(super) writer: Writer,
     pub(super) window: Duration,
     pub(super) replay: Replay<Ledger>,
-    /// Whether the end of the stream was reached once.
+    /// Whether the end of the stream has been reached once.
     pub(super) reached_end: bool,
-    /// One past the last record that any witness knows of.
+    /// One past the last record known to this instance or reported by another one.
     pub(super) known_end: Offset,
     pub(super) appends_failing_since: Option<Time>,
     pub(super) busy_since: Option<Time>,
     pub(super) reads_failing_since: Option<Time>,
     pub(super) own_calls: HashMap<CallKey, OwnCall>,
-    /// Answers of own calls that don't stand in the log yet.
+    /// Answers of this instance's calls that the folded log doesn't contain yet.
     pub(super) answers: HashMap<CallKey, (Fingerprint, Answer)>,
     pub(super) queue: Vec<Entry>,
     pub(super) sequence: u64,
@@ -99,25 +102,26 @@
         self.waiters.values().map(open).sum()
     }
 
-    /// Whether the end of the stream was reached once.
+    /// Whether the end of the stream has been reached once.
     pub(super) fn reached_end(&self) -> bool {
         self.reached_end
     }
 
-    /// Whether the whole stream has been folded.
+    /// Whether the whole stream has been applied.
     pub(super) fn is_complete(&self) -> bool {
         self.reached_end && self.replay.state().is_some()
     }
 
-    /// Whether appends or reads have failed for longer than a refusal by rate takes. Without
-    /// reads no claim can be known as won.
+    /// Whether appends or reads have failed for longer than their grace period. Without reads no
+    /// claim can be confirmed as won.
     pub(super) fn is_down(&self, now: Time) -> bool {
         let failing = [self.appends_failing_since, self.reads_failing_since];
         let busy = self.busy_since.is_some_and(|since| now.since(since) > BUSY_GRACE_PERIOD);
         busy || failing.into_iter().flatten().any(|since| now.since(since) > FAILURE_GRACE_PERIOD)
     }
 
-    /// Decides what a call does next. `waited` says that it came before what it finds now.
+    /// Decides the next step of a call. `waited` means that the call has waited for another claim,
+    /// so that it arrived before the state that is examined now.
     pub(super) fn next_step(&mut self, req: &ClaimRequest, waited: bool, now: Time) -> NextStep {
         match req.key.check_age(self.window, clock::wall_ms()) {
             KeyAge::TooOld => return NextStep::Finish(OutcomeWithoutRun::KeyTooOld),
@@ -163,11 +167,11 @@
         NextStep::Claim(self.add_waiter(&req.key))
     }
 
-    /// What a call hears that can't be claimed while the log is down.
+    /// Outcome of a call that can't be claimed while the log is down.
     ///
-    /// Guards against a false "not run" for a call that was sent before to another instance, which
-    /// claimed it and ran it: where any witness knows of records that aren't folded here, nothing
-    /// is said about an unknown key.
+    /// Guards against a false "not run" for a call that was first sent to another instance, which
+    /// claimed and ran it: if records are known to exist that weren't applied here, nothing can be
+    /// said about an unknown key.
     fn unavailable_outcome(&self) -> OutcomeWithoutRun {
         match self.known_end > self.replay.next() {
             true => OutcomeWithoutRun::Behind,
@@ -198,7 +202,8 @@
         rx
     }
 
-    /// What became of an own claim; none while it waits. Past its time it is given up.
+    /// Result of a claim of this instance; none while it is pending. The claim is abandoned if it
+    /// is still pending after its deadline.
     pub(super) fn own_claim_result(
         &mut self,
         key: &CallKey,
@@ -222,7 +227,7 @@
             }
             ClaimantState::Waiting if in_time => None,
             _ => {
-                let _ = self.give_up(key, now);
+                let _ = self.abandon(key, now);
                 Some(ClaimResult::Abandoned)
             }
         }
@@ -236,8 +241,9 @@
         self.own_calls.get_mut(key).is_some_and(|call| call.claimant.try_begin_sending(now))
     }
 
-    /// Gives an own call up, and tells the others what is true of it.
-    pub(super) fn give_up(
+    /// Abandons a call of this instance, and queues an entry that tells the other instances what is
+    /// certain about it.
+    pub(super) fn abandon(
         &mut self,
         key: &CallKey,
         now: Time,
@@ -245,17 +251,17 @@
         let Some(mut call) = self.own_calls.remove(key) else {
             return (AbandonOutcome::Unknown, Vec::new());
         };
-        let given_up = call.claimant.abandon(now);
+        let outcome = call.claimant.abandon(now);
         let key = key.clone();
         match call.id {
-            // It was never put in a batch, so nobody can have seen it.
+            // The claim was never part of a batch, so no reader has seen it.
             None => self.queue.retain(|entry| !is_claim_of(entry, &key)),
-            Some(claim) if given_up == AbandonOutcome::Sending => {
+            Some(claim) if outcome == AbandonOutcome::Sending => {
                 self.queue.push(Entry::Unknown { key: key.clone(), claim });
             }
             Some(claim) => self.queue.push(Entry::NotRun { key: key.clone(), claim }),
         }
-        (given_up, self.waiters.remove(&key).unwrap_or_default())
+        (outcome, self.waiters.remove(&key).unwrap_or_default())
     }
 
     pub(super) fn finish(&mut self, key: &CallKey, entry: impl FnOnce(CallKey, ClaimId) -> Entry) {
@@ -268,7 +274,7 @@
         self.queue.push(entry);
     }
 
-    /// Folds a page. Gives those that wait for what it changed.
+    /// Applies a page. Returns the waiters of the calls that it changed.
     pub(super) fn apply_page(&mut self, page: &Page) -> Vec<Sender<()>> {
         self.reads_failing_since = None;
         let records = page.records.iter().map(|record| LogRecord {
@@ -289,7 +295,7 @@
         if self
             .in_flight
             .as_ref()
-            .is_some_and(|known| known.batch.sequence <= self.last_folded_sequence())
+            .is_some_and(|in_flight| in_flight.batch.sequence <= self.last_folded_sequence())
         {
             self.in_flight = None;
             (self.appends_failing_since, self.busy_since) = (None, None);
@@ -324,7 +330,7 @@
         self.replay.state().map_or(0, |ledger| ledger.sequence(&self.writer))
     }
 
-    /// A read failed. Gives those whose calls are refused because of it.
+    /// Records a failed read. Returns the waiters of calls that are refused because of it.
     pub(super) fn read_failed(&mut self, now: Time) -> Vec<Sender<()>> {
         self.reads_failing_since.get_or_insert(now);
         if !self.is_down(now) {
@@ -332,23 +338,23 @@
         }
         let mut waiters = self.refuse_waiting_claims(now);
         if !self.is_complete() {
-            // These wait for the first reading, which may not come for minutes.
+            // These calls wait for the stream's end to be reached, which may take minutes.
             waiters.extend(self.waiters.drain().flat_map(|(_, waiters)| waiters));
         }
         waiters
     }
 
-    /// A checkpoint's records, if the state is whole.
+    /// Encodes a checkpoint as records; none while the state is incomplete.
     pub(super) fn checkpoint(&self, id: &str) -> Option<Vec<Vec<u8>>> {
         self.replay.checkpoint(id).filter(|_| self.is_complete() && self.replay.next() > Offset(0))
     }
 
-    /// Whether the log has dropped what no checkpoint covers.
+    /// Whether the log has dropped records that no checkpoint covers.
     pub(super) fn needs_checkpoint(&self) -> bool {
         self.replay.needs_checkpoint()
     }
 
-    /// Up to where the last checkpoint seen in the stream goes.
+    /// The offset up to which the last checkpoint in the stream covers it.
     pub(super) fn last_checkpoint(&self) -> Option<Offset> {
         self.replay.last_checkpoint().map(|position| position.offset)
     }
@@ -358,7 +364,7 @@
     }
 }
 
-/// Whether an entry claims `key`.
+/// Whether `entry` is a claim of `key`.
 pub(super) fn is_claim_of(entry: &Entry, key: &CallKey) -> bool {
     matches!(entry, Entry::Claim(claim) if claim.key == *key)
 }
--- a/crates/daemon/src/ledger/writer.rs
+++ b/crates/daemon/src/ledger/writer.rs
@@ -1,4 +1,4 @@
-//! Appends batches and checkpoints.
+//! Appends batches and checkpoints to the ledger stream.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
     endpoint::lock,
 };
 
-/// Time between probes of a log that is down.
+/// Interval between appends that probe a log that is down.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a writer sleeps at most before it looks again whether there is something to append.
+/// How long a writer sleeps at most before it checks again whether there is something to append.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Appends what waits, one batch at a time.
+/// Appends the queued entries, one batch at a time.
 pub(super) async fn run<L: Log>(core: &Core<L>) {
     let mut append_rate = AppendRate::new();
     loop {
@@ -55,7 +55,7 @@
     wake_all(&waiters);
 }
 
-/// Writes checkpoints.
+/// Writes checkpoints of the ledger.
 pub(super) async fn checkpoints<L: Log>(core: &Core<L>) {
     let writer = lock(&core.state).writer().to_string();
     let stream = core.cfg.stream.as_str();
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -17,20 +17,25 @@
 use standin::{AppendFault, LogConfig, LogService, Outage};
 
 const STREAM: &str = "ledger-0";
-const PATIENCE: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One instance's ledger on a thread of its own, which ends with it.
-struct Node {
+struct TestInstance {
     ledger: Ledger<HttpLog>,
     clock: Clock,
     _stop: smol::channel::Sender<()>,
 }
 
-fn node(log: &LogService, name: &str, life: u64) -> Node {
-    node_with(log, name, life, Duration::from_secs(3_600))
+fn start_instance(log: &LogService, name: &str, incarnation: u64) -> TestInstance {
+    start_instance_with(log, name, incarnation, Duration::from_secs(3_600))
 }
 
-fn node_with(log: &LogService, name: &str, life: u64, log_retention: Duration) -> Node {
+fn start_instance_with(
+    log: &LogService,
+    name: &str,
+    incarnation: u64,
+    log_retention: Duration,
+) -> TestInstance {
     let clock = Clock::start();
     let cfg = LedgerConfig {
         stream: STREAM.to_owned(),
@@ -38,7 +43,7 @@
         log_retention,
     };
     let instance = InstanceId::new(name).unwrap();
-    let writer = Writer { instance, incarnation: Incarnation(life) };
+    let writer = Writer { instance, incarnation: Incarnation(incarnation) };
     let ledger = Ledger::new(HttpLog::new(log.address()), cfg, writer, clock);
     let (stop, stopped) = bounded::<()>(1);
     let running = ledger.clone();
@@ -47,10 +52,10 @@
             stopped.recv().await.ok();
         }));
     });
-    Node { ledger, clock, _stop: stop }
+    TestInstance { ledger, clock, _stop: stop }
 }
 
-impl Node {
+impl TestInstance {
     fn claim_for(&self, key: &str, body: u128, wait: Duration) -> ClaimOutcome<HttpLog> {
         let workspace = Workspace::new("desk").unwrap();
         let group = EndpointGroup::new("register").unwrap();
@@ -63,16 +68,16 @@
     }
 
     fn claim(&self, key: &str) -> ClaimOutcome<HttpLog> {
-        self.claim_for(key, 1, PATIENCE)
+        self.claim_for(key, 1, CALL_TIMEOUT)
     }
 
     fn wait_ready(&self) {
-        until(|| self.ledger.is_ready());
+        wait_until(|| self.ledger.is_ready());
     }
 }
 
-fn until(mut done: impl FnMut() -> bool) {
-    let end = std::time::Instant::now() + PATIENCE;
+fn wait_until(mut done: impl FnMut() -> bool) {
+    let end = std::time::Instant::now() + CALL_TIMEOUT;
     while !done() {
         assert!(std::time::Instant::now() < end, "it never came");
         thread::sleep(Duration::from_millis(5));
@@ -83,14 +88,14 @@
     Answer { status: 201, content_type: None, body: Some(text.to_owned()) }
 }
 
-fn won(outcome: ClaimOutcome<HttpLog>) -> RunClaim<HttpLog> {
+fn expect_run(outcome: ClaimOutcome<HttpLog>) -> RunClaim<HttpLog> {
     match outcome {
         ClaimOutcome::Run(claim) => claim,
-        other => panic!("expected the right to run, got {}", name(&other)),
+        other => panic!("expected the right to run, got {}", describe(&other)),
     }
 }
 
-fn name(outcome: &ClaimOutcome<HttpLog>) -> String {
+fn describe(outcome: &ClaimOutcome<HttpLog>) -> String {
     match outcome {
         ClaimOutcome::Run(_) => "run".to_owned(),
         ClaimOutcome::Answer(answer) => format!("answer {}", answer.body.as_deref().unwrap_or("")),
@@ -105,8 +110,8 @@
     }
 }
 
-fn run(node: &Node, key: &str, text: &str) {
-    let claim = won(node.claim(key));
+fn run(instance: &TestInstance, key: &str, text: &str) {
+    let claim = expect_run(instance.claim(key));
     assert!(claim.try_begin_sending());
     claim.complete(answer(text));
 }
@@ -115,11 +120,11 @@
 #[test]
 fn a_call_sent_again_gets_the_first_answer_from_any_instance() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
     run(&a, "k", "entered");
-    assert_eq!(name(&a.claim("k")), "answer entered");
-    assert_eq!(name(&b.claim("k")), "answer entered");
-    assert_eq!(name(&b.claim_for("k", 2, PATIENCE)), "body differs");
+    assert_eq!(describe(&a.claim("k")), "answer entered");
+    assert_eq!(describe(&b.claim("k")), "answer entered");
+    assert_eq!(describe(&b.claim_for("k", 2, CALL_TIMEOUT)), "body differs");
 }
 
 /// Two instances get the same call at once, twenty times over. One of them runs it, and the other
@@ -127,17 +132,17 @@
 #[test]
 fn of_two_instances_one_runs_the_call() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let nodes = Arc::new([node(&log, "a", 1), node(&log, "b", 1)]);
+    let instances = Arc::new([start_instance(&log, "a", 1), start_instance(&log, "b", 1)]);
     for round in 0..20 {
         let tasks = [0, 1].map(|i| {
-            let nodes = nodes.clone();
-            thread::spawn(move || match nodes[i].claim(&format!("k{round}")) {
+            let instances = instances.clone();
+            thread::spawn(move || match instances[i].claim(&format!("k{round}")) {
                 ClaimOutcome::Run(claim) => {
                     assert!(claim.try_begin_sending());
                     claim.complete(answer("x"));
                     "run".to_owned()
                 }
-                other => name(&other),
+                other => describe(&other),
             })
         });
         let mut outcomes = tasks.map(|task| task.join().unwrap());
@@ -152,13 +157,13 @@
         #[test]
         fn $case() {
             let log = LogService::start(LogConfig::default()).unwrap();
-            let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
+            let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
             a.wait_ready();
             log.plan_fault(STREAM, $fault);
             run(&a, "k", "x");
-            assert_eq!(name(&b.claim("k")), "answer x");
+            assert_eq!(describe(&b.claim("k")), "answer x");
             run(&a, "k2", "y");
-            assert_eq!(name(&b.claim("k2")), "answer y");
+            assert_eq!(describe(&b.claim("k2")), "answer y");
         }
     )*};
 }
@@ -175,15 +180,15 @@
 #[test]
 fn a_call_whose_claimant_died_stays_unknown() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    let claim = won(a.claim("k"));
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    let claim = expect_run(a.claim("k"));
     assert!(claim.try_begin_sending());
     std::mem::forget(claim);
     drop(a);
-    let a = node(&log, "a", 2);
-    for node in [&a, &b] {
+    let a = start_instance(&log, "a", 2);
+    for instance in [&a, &b] {
         let wait = Duration::from_millis(300);
-        assert_eq!(name(&node.claim_for("k", 1, wait)), "unknown");
+        assert_eq!(describe(&instance.claim_for("k", 1, wait)), "unknown");
     }
 }
 
@@ -191,9 +196,9 @@
 #[test]
 fn a_call_given_up_before_it_was_sent_may_run_later() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    assert_eq!(won(a.claim("k")).abandon(), RunStatus::No);
-    until(|| match b.claim_for("k", 1, PATIENCE) {
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    assert_eq!(expect_run(a.claim("k")).abandon(), RunStatus::No);
+    wait_until(|| match b.claim_for("k", 1, CALL_TIMEOUT) {
         ClaimOutcome::Run(claim) => {
             assert!(claim.try_begin_sending());
             claim.complete(answer("x"));
@@ -201,9 +206,9 @@
         }
         // It had come before the first caller's "not run" stood in the log.
         ClaimOutcome::NotRun => false,
-        other => panic!("{}", name(&other)),
+        other => panic!("{}", describe(&other)),
     });
-    assert_eq!(name(&a.claim("k")), "answer x");
+    assert_eq!(describe(&a.claim("k")), "answer x");
 }
 
 /// Two callers send one registration at once; the one that runs it gives up before it has sent
@@ -211,14 +216,14 @@
 #[test]
 fn a_call_that_waited_hears_not_run_as_well() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    let claim = won(a.claim("k"));
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    let claim = expect_run(a.claim("k"));
     // The second one knows of the first before it comes.
-    until(|| b.ledger.key_count() == 1);
+    wait_until(|| b.ledger.key_count() == 1);
     let b = Arc::new(b);
     let second = b.clone();
-    let waiting = thread::spawn(move || name(&second.claim("k")));
-    until(|| b.ledger.waiting_calls() == 1);
+    let waiting = thread::spawn(move || describe(&second.claim("k")));
+    wait_until(|| b.ledger.waiting_calls() == 1);
     assert_eq!(claim.abandon(), RunStatus::No);
     assert_eq!(waiting.join().unwrap(), "not run");
     run(&b, "k", "x");
@@ -228,9 +233,9 @@
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let a = node(&log, "a", 1);
+    let a = start_instance(&log, "a", 1);
     a.wait_ready();
-    let claim = won(a.claim_for("k", 1, Duration::from_millis(500)));
+    let claim = expect_run(a.claim_for("k", 1, Duration::from_millis(500)));
     thread::sleep(Duration::from_millis(600));
     assert!(!claim.try_begin_sending());
 }
@@ -240,17 +245,17 @@
 #[test]
 fn a_log_outage_refuses_calls_at_once() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let a = node(&log, "a", 1);
+    let a = start_instance(&log, "a", 1);
     run(&a, "before", "x");
     for outage in [Outage::Refuses, Outage::Silent] {
         log.set_outage(outage);
-        let first = name(&a.claim("during"));
+        let first = describe(&a.claim("during"));
         // An append that stays silent may have taken effect.
         let expected = if outage == Outage::Refuses { "log down" } else { "unknown" };
         assert_eq!(first, expected);
-        until(|| !a.ledger.is_ready());
-        assert_eq!(name(&a.claim("during too")), "log down");
-        assert_eq!(name(&a.claim("before")), "answer x");
+        wait_until(|| !a.ledger.is_ready());
+        assert_eq!(describe(&a.claim("during too")), "log down");
+        assert_eq!(describe(&a.claim("before")), "answer x");
         log.set_outage(Outage::Up);
         a.wait_ready();
     }
@@ -263,8 +268,8 @@
 fn an_instance_that_has_read_nothing_never_says_not_run() {
     let log = LogService::start(LogConfig::default()).unwrap();
     log.set_outage(Outage::Refuses);
-    let a = node(&log, "a", 1);
-    assert_eq!(name(&a.claim("k")), "behind");
+    let a = start_instance(&log, "a", 1);
+    assert_eq!(describe(&a.claim("k")), "behind");
 }
 
 /// The log drops all but a few records, a checkpoint among them. An instance that starts now still
@@ -273,13 +278,13 @@
 fn a_trimmed_log_loses_no_answer() {
     let cfg = LogConfig { keep: 60, ..LogConfig::default() };
     let log = LogService::start(cfg).unwrap();
-    let a = node_with(&log, "a", 1, Duration::from_millis(400));
+    let a = start_instance_with(&log, "a", 1, Duration::from_millis(400));
     run(&a, "first", "x");
     for i in 0..120 {
         run(&a, &format!("k{i}"), "y");
     }
-    let b = node(&log, "b", 1);
-    assert_eq!(name(&b.claim("first")), "answer x");
+    let b = start_instance(&log, "b", 1);
+    assert_eq!(describe(&b.claim("first")), "answer x");
     run(&b, "k", "z");
-    assert_eq!(name(&a.claim("k")), "answer z");
+    assert_eq!(describe(&a.claim("k")), "answer z");
 }
--- a/crates/policy/tests/ledger_model.rs
+++ b/crates/policy/tests/ledger_model.rs
@@ -40,9 +40,9 @@
     Search { states: states.get(), counterexample }
 }
 
-static TURN: Mutex<()> = Mutex::new(());
+static SEARCH_LOCK: Mutex<()> = Mutex::new(());
 
-const FEW: Limits = Limits { calls: 2, mishaps: 1 };
+const SMALL_LIMITS: Limits = Limits { calls: 2, faults: 1 };
 
 /// Each case: what may happen, and the least number of states that must have been looked at.
 macro_rules! runs_at_most_once {
@@ -50,7 +50,7 @@
         #[test]
         fn $case() {
             // One at a time: the larger search keeps two million states, about 1 GB.
-            let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+            let _turn = SEARCH_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
             let found = search(Protocol::Claim, $limits);
             println!("{} states", found.states);
             assert_eq!(found.counterexample, None);
@@ -60,15 +60,15 @@
 }
 
 runs_at_most_once! {
-    two_calls_and_two_mishaps: Limits { calls: 2, mishaps: 2 }, 1_500_000;
-    three_calls_and_one_mishap: Limits { calls: 3, mishaps: 1 }, 1_900_000;
+    two_calls_and_two_faults: Limits { calls: 2, faults: 2 }, 1_500_000;
+    three_calls_and_one_fault: Limits { calls: 3, faults: 1 }, 1_900_000;
 }
 
 /// A holder claims with a lease, pauses, the lease lapses, another instance claims and runs, and
 /// the holder wakes up and runs as well.
 #[test]
 fn a_lease_is_caught_running_a_call_twice() {
-    let trace = search(Protocol::Lease, FEW).counterexample.unwrap();
+    let trace = search(Protocol::Lease, SMALL_LIMITS).counterexample.unwrap();
     println!("{}", trace.join("\n"));
     assert!(trace.last().unwrap().contains("ran twice"), "{trace:#?}");
 }
@@ -76,7 +76,7 @@
 /// Two instances look, neither sees a run, and both run.
 #[test]
 fn check_then_run_is_caught_running_a_call_twice() {
-    let trace = search(Protocol::CheckThenRun, FEW).counterexample.unwrap();
+    let trace = search(Protocol::CheckThenRun, SMALL_LIMITS).counterexample.unwrap();
     println!("{}", trace.join("\n"));
     assert!(trace.last().unwrap().contains("ran twice"), "{trace:#?}");
 }
@@ -85,7 +85,7 @@
 /// instance's claim stood before it, and had run.
 #[test]
 fn saying_not_run_before_the_claim_is_read_back_is_caught() {
-    let trace = search(Protocol::HastyRefusal, FEW).counterexample.unwrap();
+    let trace = search(Protocol::EarlyNotRun, SMALL_LIMITS).counterexample.unwrap();
     println!("{}", trace.join("\n"));
     assert!(trace.last().unwrap().contains("not run"), "{trace:#?}");
 }
--- a/crates/policy/tests/ledger_model/state.rs
+++ b/crates/policy/tests/ledger_model/state.rs
@@ -32,8 +32,8 @@
 pub(crate) struct Instance {
     pub(crate) incarnation: u64,
     /// The first record that it read, and one past the last.
-    pub(crate) from: u8,
-    pub(crate) upto: u8,
+    pub(crate) read_start: u8,
+    pub(crate) read_end: u8,
     pub(crate) sequence: u64,
     /// Entries by number.
     pub(crate) queue: Vec<u16>,
@@ -48,26 +48,26 @@
     /// Records by number; those below `first` are dropped.
     pub(crate) log: Vec<u16>,
     pub(crate) first: u8,
-    pub(crate) late: Vec<u16>,
+    pub(crate) late_appends: Vec<u16>,
     pub(crate) instances: [Instance; 2],
     /// Calls that were sent and haven't reached the endpoint.
-    pub(crate) wire: Vec<u8>,
-    pub(crate) runs: u8,
+    pub(crate) sent_calls: Vec<u8>,
+    pub(crate) run_count: u8,
     /// How many calls had arrived when one last heard "not run" after its claim was won.
     pub(crate) not_run_heard_by: u8,
-    pub(crate) sends: u8,
+    pub(crate) send_count: u8,
     /// The answer that some instance has read, by number.
-    pub(crate) stored: Option<u16>,
+    pub(crate) stored_answer: Option<u16>,
     pub(crate) calls: u8,
     pub(crate) crashes: u8,
     pub(crate) faulty_appends: u8,
-    pub(crate) trims: u8,
+    pub(crate) log_truncations: u8,
     pub(crate) violation: Option<&'static str>,
 }
 
 impl State {
-    pub(crate) fn mishaps(&self) -> u8 {
-        self.trims + self.crashes + self.faulty_appends
+    pub(crate) fn faults(&self) -> u8 {
+        self.log_truncations + self.crashes + self.faulty_appends
     }
 }
 
@@ -97,8 +97,8 @@
     pub(crate) fn start() -> Self {
         let instance = Instance {
             incarnation: 1,
-            from: 0,
-            upto: 0,
+            read_start: 0,
+            read_end: 0,
             sequence: 1,
             queue: Vec::new(),
             in_flight: None,
@@ -108,17 +108,17 @@
         let state = State {
             log: Vec::new(),
             first: 0,
-            late: Vec::new(),
+            late_appends: Vec::new(),
             instances: [instance.clone(), instance],
-            wire: Vec::new(),
-            runs: 0,
+            sent_calls: Vec::new(),
+            run_count: 0,
             not_run_heard_by: 0,
-            sends: 0,
-            stored: None,
+            send_count: 0,
+            stored_answer: None,
             calls: 0,
             crashes: 0,
             faulty_appends: 0,
-            trims: 0,
+            log_truncations: 0,
             violation: None,
         };
         Node { state: Rc::new(state), step: "start", instance: 0 }
--- a/crates/policy/tests/ledger_model/world.rs
+++ b/crates/policy/tests/ledger_model/world.rs
@@ -25,7 +25,7 @@
     /// Look whether it ran, run it, note it.
     CheckThenRun,
     /// As the daemon does it, but a call given up before its claim is read back hears "not run".
-    HastyRefusal,
+    EarlyNotRun,
 }
 
 /// How much may happen in one history. Larger numbers give the same verdict in more time: the
@@ -35,14 +35,14 @@
     /// Calls under the one key.
     pub(crate) calls: u8,
     /// Crashes, lost answers, late appends and dropped records together.
-    pub(crate) mishaps: u8,
+    pub(crate) faults: u8,
 }
 
 const MAX_CRASHES: u8 = 1;
-const MAX_TRIMS: u8 = 1;
+const MAX_LOG_TRUNCATIONS: u8 = 1;
 
 const DEADLINE: Time = Time::from_millis(1_000);
-const IN_TIME: Time = Time::from_millis(500);
+const BEFORE_DEADLINE: Time = Time::from_millis(500);
 
 type FoldCache = HashMap<(Vec<u16>, u8), Option<Rc<Ledger>>>;
 
@@ -79,48 +79,48 @@
         if node.state.violation.is_some() {
             return out;
         }
-        self.steps_of_the_log(node, &mut out);
-        self.steps_of_the_endpoint(node, &mut out);
+        self.log_steps(node, &mut out);
+        self.endpoint_steps(node, &mut out);
         for i in 0..2 {
-            self.steps_of_calls(node, i, &mut out);
-            self.steps_of_appends(node, i, &mut out);
-            self.steps_of_reading(node, i, &mut out);
+            self.call_steps(node, i, &mut out);
+            self.append_steps(node, i, &mut out);
+            self.read_steps(node, i, &mut out);
         }
         out
     }
 
-    fn steps_of_the_log(&self, node: &Node, out: &mut Vec<Node>) {
+    fn log_steps(&self, node: &Node, out: &mut Vec<Node>) {
         let state = &node.state;
-        for at in 0..state.late.len() {
+        for at in 0..state.late_appends.len() {
             push(out, state, 0, "a late append takes effect", |state| {
-                let record = state.late.remove(at);
+                let record = state.late_appends.remove(at);
                 state.log.push(record);
             });
         }
-        if state.mishaps() < self.limits.mishaps
-            && state.trims < MAX_TRIMS
+        if state.faults() < self.limits.faults
+            && state.log_truncations < MAX_LOG_TRUNCATIONS
             && usize::from(state.first) < state.log.len()
         {
             push(out, state, 0, "the log drops all records but the last", |state| {
-                state.trims += 1;
+                state.log_truncations += 1;
                 state.first = state.log.len() as u8 - 1;
             });
         }
     }
 
-    fn steps_of_the_endpoint(&self, node: &Node, out: &mut Vec<Node>) {
-        for at in 0..node.state.wire.len() {
+    fn endpoint_steps(&self, node: &Node, out: &mut Vec<Node>) {
+        for at in 0..node.state.sent_calls.len() {
             push(out, &node.state, 0, "the endpoint runs the call", |state| {
-                state.wire.remove(at);
-                state.runs += 1;
-                if state.runs > 1 {
+                state.sent_calls.remove(at);
+                state.run_count += 1;
+                if state.run_count > 1 {
                     state.violation = Some("the call ran twice");
                 }
             });
         }
     }
 
-    fn steps_of_calls(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn call_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
         let Some(call) = &state.instances[i].call else {
             // The instances are alike, so the first call may as well come to the first one.
@@ -131,7 +131,7 @@
         };
         match call.claimant.state() {
             ClaimantState::Waiting | ClaimantState::Won => {
-                push(out, state, i, "the call is given up", |state| self.give_up(state, i));
+                push(out, state, i, "the call is given up", |state| self.abandon(state, i));
                 if call.claimant.state() == ClaimantState::Won {
                     push(out, state, i, "the call is sent", |state| self.send(state, i));
                 }
@@ -143,9 +143,9 @@
                         self.finish(state, i, None);
                     });
                 }
-                if state.runs > 0 {
+                if state.run_count > 0 {
                     push(out, state, i, "the answer comes", |state| {
-                        let body = Some(format!("answer {}", state.runs));
+                        let body = Some(format!("answer {}", state.run_count));
                         let answer = Answer { status: 200, content_type: None, body };
                         self.finish(state, i, Some(answer));
                     });
@@ -156,7 +156,7 @@
         }
     }
 
-    fn steps_of_appends(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn append_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
         let instance = &state.instances[i];
         let new = instance.in_flight.is_none() && !instance.queue.is_empty();
@@ -166,7 +166,7 @@
                 state.log.push(record);
             });
         }
-        if (new || instance.unanswered) && state.mishaps() < self.limits.mishaps {
+        if (new || instance.unanswered) && state.faults() < self.limits.faults {
             push(out, state, i, "appends, and the answer is lost", |state| {
                 let record = self.batch(state, i);
                 state.log.push(record);
@@ -175,32 +175,32 @@
             });
             push(out, state, i, "appends, and the append hangs", |state| {
                 let record = self.batch(state, i);
-                state.late.push(record);
+                state.late_appends.push(record);
                 state.faulty_appends += 1;
                 state.instances[i].unanswered = true;
             });
         }
-        if state.mishaps() < self.limits.mishaps
-            && state.trims < MAX_TRIMS
+        if state.faults() < self.limits.faults
+            && state.log_truncations < MAX_LOG_TRUNCATIONS
             && let Some(record) = self.checkpoint(state, i)
         {
             let step = "appends a checkpoint, and the log drops what it covers";
             push(out, state, i, step, |state| {
-                state.trims += 1;
-                state.first = state.instances[i].upto;
+                state.log_truncations += 1;
+                state.first = state.instances[i].read_end;
                 state.log.push(record);
             });
         }
         let busy = instance.call.is_some() || new || instance.in_flight.is_some();
-        if busy && state.mishaps() < self.limits.mishaps && state.crashes < MAX_CRASHES {
+        if busy && state.faults() < self.limits.faults && state.crashes < MAX_CRASHES {
             push(out, state, i, "crashes and restarts", |state| {
                 state.crashes += 1;
                 let instance = &mut state.instances[i];
-                let (from, incarnation) = (state.first, instance.incarnation + 1);
+                let (read_start, incarnation) = (state.first, instance.incarnation + 1);
                 *instance = Instance {
                     incarnation,
-                    from,
-                    upto: from,
+                    read_start,
+                    read_end: read_start,
                     sequence: 1,
                     queue: Vec::new(),
                     in_flight: None,
@@ -211,18 +211,18 @@
         }
     }
 
-    fn steps_of_reading(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn read_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
-        if usize::from(state.instances[i].upto) == state.log.len() {
+        if usize::from(state.instances[i].read_end) == state.log.len() {
             return;
         }
         push(out, state, i, "reads to the end", |state| {
             let (first, end) = (state.first, state.log.len() as u8);
             let instance = &mut state.instances[i];
-            if first > instance.upto {
-                instance.from = first;
+            if first > instance.read_end {
+                instance.read_start = first;
             }
-            instance.upto = end;
+            instance.read_end = end;
             self.observe(state, i);
         });
     }
@@ -248,9 +248,11 @@
         let Some(key_state) = ledger.key_state(&self.key) else { return };
         let Phase::Done(answer) = &key_state.phase else { return };
         let answer = intern(&mut self.answers.borrow_mut(), answer.clone());
-        match state.stored {
-            Some(stored) if stored != answer => state.violation = Some("a stored answer changed"),
-            _ => state.stored = Some(answer),
+        match state.stored_answer {
+            Some(stored_answer) if stored_answer != answer => {
+                state.violation = Some("a stored answer changed")
+            }
+            _ => state.stored_answer = Some(answer),
         }
     }
 
@@ -271,21 +273,21 @@
         let claimant = Claimant::new(DEADLINE, deduplicates);
         instance.call = Some(Call { number, attempt, id: None, claimant });
         if self.protocol == Protocol::CheckThenRun {
-            state.wire.push(number);
+            state.sent_calls.push(number);
             instance.call = None;
         }
     }
 
-    fn give_up(&self, state: &mut State, i: usize) {
+    fn abandon(&self, state: &mut State, i: usize) {
         let arrived = state.calls;
-        let sends = state.sends;
+        let send_count = state.send_count;
         let Some(call) = &mut state.instances[i].call else { return };
-        let given_up = call.claimant.abandon(IN_TIME);
+        let outcome = call.claimant.abandon(BEFORE_DEADLINE);
         let id = call.id;
-        let hasty = self.protocol == Protocol::HastyRefusal;
+        let early_not_run = self.protocol == Protocol::EarlyNotRun;
         // Of a lease only the double run is of interest here.
-        let hears_not_run =
-            (given_up == AbandonOutcome::NotRun || hasty) && self.protocol != Protocol::Lease;
+        let hears_not_run = (outcome == AbandonOutcome::NotRun || early_not_run)
+            && self.protocol != Protocol::Lease;
         let instance = &mut state.instances[i];
         instance.call = None;
         match id {
@@ -297,7 +299,7 @@
         }
         if hears_not_run {
             state.not_run_heard_by = arrived;
-            if sends > 0 {
+            if send_count > 0 {
                 state.violation = Some("a caller heard \"not run\" after the call was sent");
             }
         }
@@ -306,10 +308,10 @@
     fn send(&self, state: &mut State, i: usize) {
         let heard = state.not_run_heard_by;
         let Some(call) = &mut state.instances[i].call else { return };
-        assert!(call.claimant.try_begin_sending(IN_TIME));
+        assert!(call.claimant.try_begin_sending(BEFORE_DEADLINE));
         let number = call.number;
-        state.sends += 1;
-        state.wire.push(number);
+        state.send_count += 1;
+        state.sent_calls.push(number);
         // Only a call that came after it may run once a caller has heard "not run".
         if number <= heard {
             state.violation = Some("a call was sent although a later caller heard \"not run\"");
@@ -382,8 +384,9 @@
 
     fn ledger(&self, state: &State, i: usize) -> Option<Rc<Ledger>> {
         let instance = &state.instances[i];
-        let read = state.log[usize::from(instance.from)..usize::from(instance.upto)].to_vec();
-        let key = (read, instance.from);
+        let read =
+            state.log[usize::from(instance.read_start)..usize::from(instance.read_end)].to_vec();
+        let key = (read, instance.read_start);
         if let Some(fold) = self.folds.borrow().get(&key) {
             return fold.clone();
         }
@@ -396,12 +399,12 @@
         let instance = &state.instances[i];
         let mut replay = Replay::new(RetentionWindow(Duration::from_secs(86_400)));
         let records = self.records.borrow();
-        let read = (instance.from..instance.upto).map(|at| LogRecord {
+        let read = (instance.read_start..instance.read_end).map(|at| LogRecord {
             offset: Offset(at.into()),
             time_ms: u64::from(at) * 10_000,
             data: &records[usize::from(state.log[usize::from(at)])],
         });
-        replay.apply_page(Offset(instance.from.into()), read);
+        replay.apply_page(Offset(instance.read_start.into()), read);
         replay
     }
 }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -23,24 +23,24 @@
 }
 
 /// What a witness says, in seconds after the start.
-enum Word {
-    Says(u64, u64, MemberObservation),
+enum Report {
+    Observed(u64, u64, MemberObservation),
     Listed(u64, u64, bool),
     Unlisted(u64),
 }
 
 use MemberObservation::{Alive, Leaving, Operator, Stopped};
-use Word::{Listed, Says, Unlisted};
+use Report::{Listed, Observed, Unlisted};
 
-fn fold(words: &[Word]) -> Membership<InstanceId> {
+fn fold(reports: &[Report]) -> Membership<InstanceId> {
     let mut members = Membership::new(at(0));
-    for word in words {
-        match word {
-            Says(when, life, evidence) => {
-                members.observe(&id(), Incarnation(*life), *evidence, at(*when));
+    for report in reports {
+        match report {
+            Observed(when, incarnation, evidence) => {
+                members.observe(&id(), Incarnation(*incarnation), *evidence, at(*when));
             }
-            Listed(when, life, leaving) => {
-                let incarnation = Incarnation(*life);
+            Listed(when, incarnation, leaving) => {
+                let incarnation = Incarnation(*incarnation);
                 let line = ListEntry { member: id(), incarnation, leaving: *leaving };
                 members.apply_list(&[line], at(*when));
             }
@@ -51,10 +51,10 @@
 }
 
 macro_rules! state_is {
-    ($($case:ident: $words:expr, at $when:expr => $state:expr;)*) => {$(
+    ($($case:ident: $reports:expr, at $when:expr => $state:expr;)*) => {$(
         #[test]
         fn $case() {
-            assert_eq!(fold(&$words).state(&id(), at($when)), $state);
+            assert_eq!(fold(&$reports).state(&id(), at($when)), $state);
         }
     )*};
 }
@@ -62,48 +62,55 @@
 state_is! {
     nobody_said_anything: [], at 1 => MemberState::Dead;
     listed_and_not_yet_heard: [Listed(1, 0, false)], at 20 => MemberState::Live;
-    heard_and_not_listed: [Says(1, 5, Alive), Unlisted(2)], at 2 => MemberState::Live;
-    silent_for_a_while: [Says(1, 5, Alive)], at 5 => MemberState::Suspect;
-    silent_for_good: [Says(1, 5, Alive)], at 8 => MemberState::Dead;
-    silent_though_the_list_has_it: [Says(1, 5, Alive), Listed(9, 5, false)], at 9 => MemberState::Dead;
+    heard_and_not_listed: [Observed(1, 5, Alive), Unlisted(2)], at 2 => MemberState::Live;
+    silent_for_a_while: [Observed(1, 5, Alive)], at 5 => MemberState::Suspect;
+    silent_for_good: [Observed(1, 5, Alive)], at 8 => MemberState::Dead;
+    silent_though_the_list_has_it:
+        [Observed(1, 5, Alive), Listed(9, 5, false)], at 9 => MemberState::Dead;
     leaving_beats_a_later_live_of_the_list:
-        [Says(1, 5, Alive), Says(2, 5, Leaving), Listed(3, 5, false)], at 3 => MemberState::Leaving;
+        [Observed(1, 5, Alive), Observed(2, 5, Leaving), Listed(3, 5, false)],
+        at 3 => MemberState::Leaving;
     leaving_beats_a_later_heartbeat:
-        [Says(1, 5, Leaving), Says(2, 5, Alive)], at 3 => MemberState::Leaving;
-    leaving_of_an_older_life_is_void:
-        [Says(1, 6, Alive), Says(2, 5, Leaving)], at 3 => MemberState::Live;
-    a_new_life_ends_leaving: [Says(1, 5, Leaving), Says(2, 6, Alive)], at 3 => MemberState::Live;
-    a_late_heartbeat_of_an_old_life_is_void:
-        [Says(1, 6, Alive), Says(2, 6, Stopped), Says(3, 5, Alive)], at 3 => MemberState::Dead;
+        [Observed(1, 5, Leaving), Observed(2, 5, Alive)], at 3 => MemberState::Leaving;
+    leaving_of_an_older_incarnation_is_void:
+        [Observed(1, 6, Alive), Observed(2, 5, Leaving)], at 3 => MemberState::Live;
+    a_new_incarnation_ends_leaving:
+        [Observed(1, 5, Leaving), Observed(2, 6, Alive)], at 3 => MemberState::Live;
+    a_late_heartbeat_of_an_old_incarnation_is_void:
+        [Observed(1, 6, Alive), Observed(2, 6, Stopped), Observed(3, 5, Alive)],
+        at 3 => MemberState::Dead;
     the_operators_mark_outlives_a_restart:
-        [Says(1, 5, Operator { leaving: true }), Says(2, 6, Alive)], at 3 => MemberState::Leaving;
+        [Observed(1, 5, Operator { leaving: true }), Observed(2, 6, Alive)],
+        at 3 => MemberState::Leaving;
     the_operator_takes_it_back:
-        [Says(1, 5, Operator { leaving: true }), Says(2, 5, Operator { leaving: false }),
-         Says(2, 5, Alive)], at 3 => MemberState::Live;
-    a_list_without_lives_still_means_the_last_one:
-        [Says(1, 5, Alive), Says(2, 6, Alive), Listed(3, 0, true)], at 3 => MemberState::Live;
-    a_list_without_lives_means_this_one_after_its_lag:
-        [Says(1, 5, Alive), Says(2, 6, Alive), Listed(33, 0, true), Says(33, 6, Alive)],
+        [Observed(1, 5, Operator { leaving: true }), Observed(2, 5, Operator { leaving: false }),
+         Observed(2, 5, Alive)], at 3 => MemberState::Live;
+    a_list_without_incarnations_still_means_the_previous_one:
+        [Observed(1, 5, Alive), Observed(2, 6, Alive), Listed(3, 0, true)],
+        at 3 => MemberState::Live;
+    a_list_without_incarnations_means_this_one_after_its_lag:
+        [Observed(1, 5, Alive), Observed(2, 6, Alive), Listed(33, 0, true), Observed(33, 6, Alive)],
         at 33 => MemberState::Leaving;
     a_list_read_before_the_first_heartbeat_counts:
-        [Listed(1, 0, true), Says(2, 5, Alive)], at 3 => MemberState::Leaving;
+        [Listed(1, 0, true), Observed(2, 5, Alive)], at 3 => MemberState::Leaving;
     an_older_copy_of_the_list_takes_nothing_back:
-        [Says(1, 5, Alive), Listed(2, 0, true), Listed(3, 0, false)], at 3 => MemberState::Leaving;
+        [Observed(1, 5, Alive), Listed(2, 0, true), Listed(3, 0, false)],
+        at 3 => MemberState::Leaving;
     list_down_and_heartbeats_go_on:
-        [Listed(1, 5, false), Says(500, 5, Alive)], at 501 => MemberState::Live;
+        [Listed(1, 5, false), Observed(500, 5, Alive)], at 501 => MemberState::Live;
 }
 
-fn silent_since_one(list: &[Word]) -> Membership<InstanceId> {
-    let mut members = fold(&[Says(1, 5, Alive)]);
-    for word in list {
-        match word {
+fn silent_since_one(list: &[Report]) -> Membership<InstanceId> {
+    let mut members = fold(&[Observed(1, 5, Alive)]);
+    for report in list {
+        match report {
             Listed(when, ..) => {
                 let line = ListEntry { member: id(), incarnation: Incarnation(5), leaving: false };
                 members.apply_list(&[line], at(*when));
             }
             Unlisted(when) => members.apply_list(&[], at(*when)),
-            Says(when, life, evidence) => {
-                members.observe(&id(), Incarnation(*life), *evidence, at(*when));
+            Observed(when, incarnation, evidence) => {
+                members.observe(&id(), Incarnation(*incarnation), *evidence, at(*when));
             }
         }
     }
@@ -111,28 +118,32 @@
 }
 
 macro_rules! owner_is {
-    ($($case:ident: $words:expr, at $when:expr => $life:expr;)*) => {$(
+    ($($case:ident: $reports:expr, at $when:expr => $status:expr;)*) => {$(
         #[test]
         fn $case() {
-            let members = silent_since_one(&$words);
-            assert_eq!(members.owner(&id(), Incarnation(5), at($when)), $life);
+            let members = silent_since_one(&$reports);
+            assert_eq!(members.owner(&id(), Incarnation(5), at($when)), $status);
         }
     )*};
 }
 
 /// Silence since second 1 is proof with a list read this much later that lacks the owner.
-const PROVED: u64 = 1 + DEAD_TIMEOUT.as_secs() + MAX_LIST_LAG.as_secs();
-const LATE: u64 = PROVED + OWNER_GRACE_PERIOD.as_secs();
+const PROVED_AT_S: u64 = 1 + DEAD_TIMEOUT.as_secs() + MAX_LIST_LAG.as_secs();
+const RELEASE_AT_S: u64 = PROVED_AT_S + OWNER_GRACE_PERIOD.as_secs();
 
 owner_is! {
     a_live_owner: [], at 2 => OwnerStatus::Alive;
     a_silent_owner_while_the_list_is_down: [], at 10_000 => OwnerStatus::Unknown;
-    a_silent_owner_that_the_list_has: [Listed(LATE, 5, false)], at LATE => OwnerStatus::Unknown;
-    a_silent_owner_whom_an_early_list_lacks: [Unlisted(PROVED - 1)], at 10_000 => OwnerStatus::Unknown;
-    a_silent_owner_whom_a_late_list_lacks: [Unlisted(PROVED)], at LATE => OwnerStatus::Dead;
-    within_the_grace_period: [Unlisted(PROVED)], at LATE - 1 => OwnerStatus::Unknown;
-    a_restarted_owner: [Says(3, 6, Alive)], at 3 + OWNER_GRACE_PERIOD.as_secs() => OwnerStatus::Dead;
-    a_restarted_owner_within_grace: [Says(3, 6, Alive)], at 4 => OwnerStatus::Unknown;
+    a_silent_owner_that_the_list_has:
+        [Listed(RELEASE_AT_S, 5, false)], at RELEASE_AT_S => OwnerStatus::Unknown;
+    a_silent_owner_whom_an_early_list_lacks:
+        [Unlisted(PROVED_AT_S - 1)], at 10_000 => OwnerStatus::Unknown;
+    a_silent_owner_whom_a_late_list_lacks:
+        [Unlisted(PROVED_AT_S)], at RELEASE_AT_S => OwnerStatus::Dead;
+    within_the_grace_period: [Unlisted(PROVED_AT_S)], at RELEASE_AT_S - 1 => OwnerStatus::Unknown;
+    a_restarted_owner:
+        [Observed(3, 6, Alive)], at 3 + OWNER_GRACE_PERIOD.as_secs() => OwnerStatus::Dead;
+    a_restarted_owner_within_grace: [Observed(3, 6, Alive)], at 4 => OwnerStatus::Unknown;
 }
 
 #[test]
@@ -140,13 +151,13 @@
     let mut members: Membership<InstanceId> = Membership::new(at(0));
     members.apply_list(&[], at(5));
     assert_eq!(members.owner(&id(), Incarnation(1), at(9_000)), OwnerStatus::Unknown);
-    members.apply_list(&[], at(PROVED));
+    members.apply_list(&[], at(PROVED_AT_S));
     assert_eq!(members.owner(&id(), Incarnation(1), at(9_000)), OwnerStatus::Dead);
 }
 
 #[test]
 fn the_dead_are_remembered_for_a_while_and_then_forgotten() {
-    let mut members = fold(&[Says(1, 5, Alive)]);
+    let mut members = fold(&[Observed(1, 5, Alive)]);
     members.apply_list(&[], at(100));
     assert_eq!(members.incarnation(&id()), Some(Incarnation(5)));
     members.apply_list(&[], at(2) + DEAD_MEMBER_RETENTION + Duration::from_secs(1));
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -67,7 +67,7 @@
     Replay::new(RetentionWindow(WINDOW))
 }
 
-fn holder(replay: &Replay<Ledger>, text: &str) -> Option<String> {
+fn claim_holder(replay: &Replay<Ledger>, text: &str) -> Option<String> {
     let key_state = replay.state()?.key_state(&key(text))?;
     Some(key_state.writer.instance.to_string())
 }
@@ -78,7 +78,7 @@
     log.append(1, batch("b", 1, vec![claim("k", 1)]));
     log.append(2, batch("a", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
 /// An append hangs, its writer gives the call up under the next number, and then the append
@@ -90,7 +90,7 @@
     log.append(2, batch("a", 1, vec![claim("k", 1)]));
     log.append(3, batch("b", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
 #[test]
@@ -139,10 +139,10 @@
     log.append(0, batch("a", 1, vec![claim("k", 1)]));
     log.append(1_000_000, batch("b", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "a");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "a");
     log.append(1_000_001, batch("b", 2, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
 /// A claim of a UUIDv7 key surfaces after the key was forgotten. Its age shows it.
@@ -156,7 +156,7 @@
     let (mut log, mut replay) = (Log::default(), ledger());
     log.append(1_500_001, batch("a", 1, vec![claim(&made, 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, &made), None);
+    assert_eq!(claim_holder(&replay, &made), None);
 }
 
 #[test]
@@ -173,7 +173,7 @@
     log.feed(&mut first, 0);
     log.append(4, first.checkpoint("fresh").unwrap().remove(0));
     log.feed(&mut late, 2);
-    assert_eq!(holder(&late, "k2").unwrap(), "a");
+    assert_eq!(claim_holder(&late, "k2").unwrap(), "a");
 }
 
 #[test]
@@ -194,7 +194,7 @@
     assert_eq!(late.state().unwrap().len(), 500);
 }
 
-fn site(weight: u32) -> Vec<SourceFile> {
+fn source_files(weight: u32) -> Vec<SourceFile> {
     let key = "1".repeat(64);
     let text = format!(r#"{{"workspaces":{{"d":{{"key_sha256":["{key}"],"weight":{weight}}}}}}}"#);
     vec![SourceFile { name: "a.json".to_owned(), text }]
@@ -202,7 +202,7 @@
 
 fn change(id: &str, base: u64, weight: u32) -> Vec<u8> {
     let (id, by) = (id.to_owned(), "ana".to_owned());
-    let change = Change { id, base: Version(base), by, files: site(weight) };
+    let change = Change { id, base: Version(base), by, files: source_files(weight) };
     encode::<Publication>(&PublicationEntry::Change(change)).unwrap()
 }
 
@@ -254,10 +254,10 @@
 
 #[test]
 fn streams_and_window_are_fixed_once_published() {
-    let config = check_change(None, &site(1)).unwrap();
+    let config = check_change(None, &source_files(1)).unwrap();
     let text = r#"{"ledger":{"streams":2,"window_minutes":5}}"#.to_owned();
     let more = SourceFile { name: "b.json".to_owned(), text };
-    let files = [site(1), vec![more]].concat();
+    let files = [source_files(1), vec![more]].concat();
     let findings = check_change(Some(&config), &files).unwrap_err();
     let paths: Vec<_> = findings.iter().map(|finding| finding.path.as_str()).collect();
     assert_eq!(paths, ["ledger.streams", "ledger.window_minutes"]);
@@ -265,10 +265,10 @@
 
 #[test]
 fn a_difference_names_each_member() {
-    let changes = difference(&site(1), &site(2));
+    let changes = difference(&source_files(1), &source_files(2));
     let texts: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(texts, ["~ workspaces.d.weight: 1 -> 2"]);
-    assert!(difference(&site(1), &site(1)).is_empty());
+    assert!(difference(&source_files(1), &source_files(1)).is_empty());
 }
 
 /// Builds a stream of claims and their ends by two writers out of random numbers.
@@ -295,7 +295,7 @@
     log
 }
 
-fn same(a: &Replay<Ledger>, b: &Replay<Ledger>) -> bool {
+fn states_match(a: &Replay<Ledger>, b: &Replay<Ledger>) -> bool {
     let (Some(left), Some(right)) = (a.state(), b.state()) else { return false };
     left.len() == right.len()
         && (0..4).all(|i| {
@@ -325,7 +325,7 @@
         let (mut whole, mut late) = (ledger(), ledger());
         log.feed(&mut whole, 0);
         log.feed(&mut late, covered);
-        TestResult::from_bool(same(&whole, &late))
+        TestResult::from_bool(states_match(&whole, &late))
     }
 
     /// A log that gives records again changes nothing.
@@ -335,7 +335,7 @@
         log.feed(&mut once, 0);
         log.feed(&mut twice, 0);
         log.feed(&mut twice, 0);
-        same(&once, &twice)
+        states_match(&once, &twice)
     }
 
     /// Whatever stands in a stream, a reader goes on.
