--- a/crates/daemon/examples/control_cost.rs
+++ b/crates/daemon/examples/control_cost.rs
@@ -168,7 +168,9 @@
     /// Bytes sent and received, and links made.
     fn traffic(&self) -> (u64, u64, u64) {
         let traffic = self.meshes.iter().map(PeerMesh::traffic);
-        traffic.fold((0, 0, 0), |sum, t| (sum.0 + t.sent, sum.1 + t.received, sum.2 + t.links_made))
+        traffic.fold((0, 0, 0), |sum, t| {
+            (sum.0 + t.sent_bytes, sum.1 + t.received_bytes, sum.2 + t.links_established)
+        })
     }
 }
 
--- a/crates/daemon/src/admin/publish.rs
+++ b/crates/daemon/src/admin/publish.rs
@@ -13,7 +13,8 @@
 
 use super::json_with;
 use crate::{
-    controller::configuration::Published, drain, error::CallError, server::respond, shared::Shared,
+    controller::configuration::PublishOutcome, drain, error::CallError, server::respond,
+    shared::Shared,
 };
 
 /// The largest folder that is taken, in bytes, as JSON. The log's records have to hold it.
@@ -97,8 +98,9 @@
     let publications = shared.publications().ok_or_else(no_log)?;
     let asked: PublishRequest = read(req).await?;
     // Checked before it goes to the log, so that findings cost no record. The fold checks again.
-    let (version, current) =
-        publications.look(|fold| (fold.version(), fold.config().cloned())).ok_or_else(behind)?;
+    let (version, current) = publications
+        .with_state(|fold| (fold.version(), fold.config().cloned()))
+        .ok_or_else(behind)?;
     // A log that was emptied would number its versions anew, below the one in force, and none of
     // them would ever be put in force. A reader that lags behind its peers has caught up soon.
     if version < shared.active().version {
@@ -112,13 +114,14 @@
     let change = Change { id: asked.id, base, by: asked.by, files: asked.files };
     let published = publications.publish(&PublicationEntry::Change(change), PATIENCE).await;
     let answer = match published {
-        Published::NotAppended => PublishAnswer::NotAppended,
-        Published::Unknown => PublishAnswer::Unknown,
-        Published::Entry(entry) => match entry.verdict {
+        PublishOutcome::NotAppended => PublishAnswer::NotAppended,
+        PublishOutcome::Unknown => PublishAnswer::Unknown,
+        PublishOutcome::Entry(entry) => match entry.verdict {
             Verdict::Accepted(version) => PublishAnswer::Accepted(version),
             Verdict::Rejected(lines) => PublishAnswer::Rejected(lines),
             Verdict::Conflict(version) => {
-                let since = publications.look(|fold| fold.accepted_since(base).cloned().collect());
+                let since =
+                    publications.with_state(|fold| fold.accepted_since(base).cloned().collect());
                 PublishAnswer::Conflict { version, since: since.unwrap_or_default() }
             }
             Verdict::Noted => {
@@ -165,7 +168,7 @@
             text.parse().map_err(|_| CallError::malformed("`last`: expected a number"))?
         }
     };
-    let entries = publications.look(|fold| {
+    let entries = publications.with_state(|fold| {
         let mut entries: Vec<AuditEntry> = fold.audit().rev().take(last).cloned().collect();
         entries.reverse();
         entries
@@ -175,8 +178,10 @@
 
 fn configuration(shared: &Shared) -> Result<Response, CallError> {
     let publications = shared.publications().ok_or_else(no_log)?;
-    let page = publications
-        .look(|fold| ConfigurationPage { version: fold.version(), files: fold.files().to_vec() });
+    let page = publications.with_state(|fold| ConfigurationPage {
+        version: fold.version(),
+        files: fold.files().to_vec(),
+    });
     Ok(json_with(StatusCode::Ok, &page.ok_or_else(behind)?))
 }
 
--- a/crates/daemon/src/controller/configuration.rs
+++ b/crates/daemon/src/controller/configuration.rs
@@ -47,7 +47,7 @@
 
 /// What happened to an entry that was to be published.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Published {
+pub enum PublishOutcome {
     /// The log holds it, and this is what became of it.
     Entry(Box<AuditEntry>),
     /// The log took nothing; the entry has no effect.
@@ -84,19 +84,19 @@
     }
 
     /// Looks at the fold, if the stream has been read to its end.
-    pub fn look<T>(&self, look: impl FnOnce(&Publication) -> T) -> Option<T> {
+    pub fn with_state<T>(&self, look: impl FnOnce(&Publication) -> T) -> Option<T> {
         let state = lock(&self.state);
         state.replay.state().filter(|_| state.reached_end).map(look)
     }
 
     /// Appends an entry until the stream shows what became of it, or `patience` is over. An append
     /// without answer is repeated; the fold takes the first.
-    pub async fn publish(&self, entry: &PublicationEntry, patience: Duration) -> Published {
+    pub async fn publish(&self, entry: &PublicationEntry, patience: Duration) -> PublishOutcome {
         let id = match entry {
             PublicationEntry::Change(change) => change.id.as_str(),
             PublicationEntry::Note(note) => note.id.as_str(),
         };
-        let Ok(data) = encode::<Publication>(entry) else { return Published::NotAppended };
+        let Ok(data) = encode::<Publication>(entry) else { return PublishOutcome::NotAppended };
         let end = self.clock.now() + patience;
         let mut doubtful = false;
         while self.clock.now() < end {
@@ -107,10 +107,10 @@
                 }
             }
             if doubtful && let Some(entry) = self.read_back(id, READ_BACK).await {
-                return Published::Entry(Box::new(entry));
+                return PublishOutcome::Entry(Box::new(entry));
             }
         }
-        if doubtful { Published::Unknown } else { Published::NotAppended }
+        if doubtful { PublishOutcome::Unknown } else { PublishOutcome::NotAppended }
     }
 
     async fn read_back(&self, id: &str, patience: Duration) -> Option<AuditEntry> {
@@ -210,7 +210,7 @@
 }
 
 /// Keeps the configuration alive beyond the log's retention.
-pub async fn keep<L: Log>(publications: Arc<Publications<L>>, shared: Weak<Shared>) {
+pub async fn run_checkpoints<L: Log>(publications: Arc<Publications<L>>, shared: Weak<Shared>) {
     let Some(state) = shared.upgrade() else { return };
     let writer = state.owner.to_string();
     drop(state);
--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -25,13 +25,13 @@
 
 use crate::{endpoint::Endpoint, shared::Shared};
 
-/// Time between two sweeps when nothing was let go. A third of [`LEASE`], so that two renewals
+/// Time between two sweeps when nothing was let go. A third of [`RESERVATION_LEASE`], so that two renewals
 /// may fail before a reservation lapses.
 const PERIOD: Duration = Duration::from_secs(5);
 
 /// How long the engine keeps a stream without connection, or a reservation without renewal. Long
 /// enough for an instance that was paused by its machine for some seconds.
-pub const LEASE: Duration = Duration::from_secs(15);
+pub const RESERVATION_LEASE: Duration = Duration::from_secs(15);
 
 /// Time between two sweeps while the engine still lists what was released.
 const AGAIN: Duration = Duration::from_millis(200);
@@ -125,7 +125,7 @@
 
 async fn renew(shared: &Shared, endpoint: &Endpoint) {
     let ids = endpoint.holdings().ids_to_renew();
-    let lease_ms = LEASE.as_millis() as u64;
+    let lease_ms = RESERVATION_LEASE.as_millis() as u64;
     for some in ids.chunks(IDS_AT_ONCE) {
         // The next sweep renews again.
         if let Err(e) = endpoint.engine().renew(&shared.owner, some, lease_ms).await {
@@ -155,5 +155,5 @@
 /// Held by an instance that is proved to be gone, see [`policy::membership::owners`].
 fn is_gone(shared: &Shared, holder: &Owner) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
-    mesh.owner(&holder.instance, holder.incarnation) == OwnerStatus::Dead
+    mesh.owner_status(&holder.instance, holder.incarnation) == OwnerStatus::Dead
 }
--- a/crates/daemon/src/controller/mod.rs
+++ b/crates/daemon/src/controller/mod.rs
@@ -13,7 +13,7 @@
 use policy::{config::EndpointKind, membership::MemberState, rendezvous};
 use smol::channel::Receiver;
 
-pub use memory::LEASE;
+pub use memory::RESERVATION_LEASE;
 
 use crate::{endpoint::Endpoint, peer::PeerEvent, shared::Shared};
 
--- a/crates/daemon/src/controller/peers.rs
+++ b/crates/daemon/src/controller/peers.rs
@@ -18,7 +18,7 @@
 use crate::{
     controller::ledgers,
     endpoint::LifecycleState,
-    peer::{EndpointNews, Message, PeerEvent},
+    peer::{EndpointStateUpdate, Message, PeerEvent},
     shared::Shared,
 };
 
@@ -85,7 +85,7 @@
         PeerEvent::Leaving { instance, incarnation } => {
             log::info!(peer = instance.as_str(), incarnation = incarnation.0; "peer_leaving");
         }
-        PeerEvent::Gone { instance, incarnation } => {
+        PeerEvent::Removed { instance, incarnation } => {
             log::info!(peer = instance.as_str(), incarnation = incarnation.0; "peer_gone");
             for route in shared.active().deployments.values() {
                 let instance = instance.clone();
@@ -103,7 +103,7 @@
         tell(shared, peer, Message::ConfigVersion(active.version));
     }
     for endpoint in active.endpoints.values().filter(|endpoint| endpoint.lifecycle().leaving) {
-        let endpoint = EndpointNews {
+        let endpoint = EndpointStateUpdate {
             endpoint: endpoint.config.id.clone(),
             incarnation: endpoint.lifecycle().incarnation,
             state: EndpointState::Leaving,
@@ -141,7 +141,7 @@
 
 /// Another instance saw an endpoint leave. Only that is taken over: whether an endpoint is dead
 /// depends on the link to it, and each instance has its own.
-fn endpoint_news(shared: &Shared, news: &EndpointNews) {
+fn endpoint_news(shared: &Shared, news: &EndpointStateUpdate) {
     let active = shared.active();
     let Some(endpoint) = active.endpoints.get(&news.endpoint) else { return };
     if news.state == EndpointState::Leaving {
--- a/crates/daemon/src/filter/dispatch/attempt.rs
+++ b/crates/daemon/src/filter/dispatch/attempt.rs
@@ -24,7 +24,7 @@
     silence::Watch,
 };
 use crate::{
-    controller::LEASE,
+    controller::RESERVATION_LEASE,
     endpoint::{Endpoint, LifecycleState},
     filter::relay::RelayMessage,
 };
@@ -117,7 +117,7 @@
             path: self.work.path,
             attempt,
             priority: place.start.priority,
-            lease: LEASE,
+            lease: RESERVATION_LEASE,
             kv_shards: place.kv_shards.clone(),
             traceparent: self.timed.received.head.traceparent.clone(),
             body: self.body(),
--- a/crates/daemon/src/filter/dispatch/reserve.rs
+++ b/crates/daemon/src/filter/dispatch/reserve.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     active::ActiveConfig,
-    controller::LEASE,
+    controller::RESERVATION_LEASE,
     endpoint::{Endpoint, Holding},
 };
 
@@ -61,7 +61,7 @@
     attempt: &AttemptId,
     shard: &Shard,
 ) -> Result<(), FailCause> {
-    let lease = LEASE.as_millis() as u64;
+    let lease = RESERVATION_LEASE.as_millis() as u64;
     let engine = endpoint.engine();
     match engine.reserve(id, &attempt.owner, shard.tokens, lease).await {
         Ok(lifecycle) if is_expected(shard, lifecycle) => Ok(()),
--- a/crates/daemon/src/holdings.rs
+++ b/crates/daemon/src/holdings.rs
@@ -12,14 +12,14 @@
 use indexmap::IndexMap;
 use protocols::engine::wire::{HeldKind, HeldPage};
 
-use crate::controller::LEASE;
+use crate::controller::RESERVATION_LEASE;
 
 /// Ids that are remembered after they were let go. The oldest go first, and end with their leases.
 pub const MAX_ABANDONED_IDS: usize = 4_096;
 
 /// How long a released id is remembered while no listing shows that it is gone. By then its lease
 /// has ended it, because nobody renews it.
-const RELEASED_ID_RETENTION: Duration = LEASE.saturating_mul(2);
+const RELEASED_ID_RETENTION: Duration = RESERVATION_LEASE.saturating_mul(2);
 
 /// What is held on one engine, and what was let go and may still be there.
 #[derive(Debug, Default)]
--- a/crates/daemon/src/instance.rs
+++ b/crates/daemon/src/instance.rs
@@ -131,7 +131,7 @@
         drain::begin(&self.shared);
         block_on(drain::finished(&self.shared));
         block_on(drain::ledgers_written(&self.shared));
-        block_on(self.mesh.say_goodbye());
+        block_on(self.mesh.send_goodbye());
         log::info!("closed");
         self.abort();
     }
--- a/crates/daemon/src/peer/count.rs
+++ b/crates/daemon/src/peer/count.rs
@@ -17,19 +17,19 @@
 /// The counters of one mesh.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    sent: AtomicU64,
-    received: AtomicU64,
-    pub(super) links_made: AtomicU64,
-    pub(super) links_silent: AtomicU64,
+    sent_bytes: AtomicU64,
+    received_bytes: AtomicU64,
+    pub(super) links_established: AtomicU64,
+    pub(super) links_timed_out: AtomicU64,
 }
 
 impl Counters {
     pub(super) fn read(&self) -> Traffic {
         Traffic {
-            sent: self.sent.load(Relaxed),
-            received: self.received.load(Relaxed),
-            links_made: self.links_made.load(Relaxed),
-            links_silent: self.links_silent.load(Relaxed),
+            sent_bytes: self.sent_bytes.load(Relaxed),
+            received_bytes: self.received_bytes.load(Relaxed),
+            links_established: self.links_established.load(Relaxed),
+            links_timed_out: self.links_timed_out.load(Relaxed),
         }
     }
 }
@@ -47,7 +47,7 @@
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.counters.received.fetch_add(len as u64, Relaxed);
+        self.counters.received_bytes.fetch_add(len as u64, Relaxed);
         Poll::Ready(Ok(len))
     }
 }
@@ -59,7 +59,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.counters.sent.fetch_add(len as u64, Relaxed);
+        self.counters.sent_bytes.fetch_add(len as u64, Relaxed);
         Poll::Ready(Ok(len))
     }
 
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use h2::{RecvStream, SendStream};
 
-use crate::peer::message::{LENGTH, MAX_PACKET, Packet, PacketError, decode};
+use crate::peer::message::{LENGTH, MAX_PACKET_BYTES, Packet, PacketError, decode};
 
 /// Why a link ended.
 #[derive(Debug)]
@@ -72,7 +72,7 @@
             return Ok(None);
         };
         let len = u32::from_be_bytes(*prefix) as usize;
-        if len > MAX_PACKET {
+        if len > MAX_PACKET_BYTES {
             return Err(PacketError::TooLong(len));
         }
         if self.buf.len() < LENGTH + len {
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -25,7 +25,7 @@
             incarnation: self.me.incarnation,
             number: state.flood.next_number(),
         };
-        let packet = if message.is_for_all() {
+        let packet = if message.is_fleet_wide() {
             Packet::Flood { origin, message }
         } else {
             Packet::Direct(message)
@@ -136,7 +136,11 @@
         self.push(&mut state, &links, &Packet::Heartbeat { leaving: true }).ok();
     }
 
-    pub(super) fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
+    pub(super) fn owner_status(
+        &self,
+        instance: &InstanceId,
+        incarnation: Incarnation,
+    ) -> OwnerStatus {
         if *instance == self.me.instance && incarnation == self.me.incarnation {
             return OwnerStatus::Alive;
         }
@@ -157,7 +161,7 @@
             .collect()
     }
 
-    pub(super) fn say_goodbye(&self) {
+    pub(super) fn send_goodbye(&self) {
         let mut state = self.lock();
         let links: Vec<InstanceId> = state.links.keys().cloned().collect();
         // A goodbye is never too long.
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::peer::{
-    HELLO_WITHIN, PROTOCOL, PeerEvent,
+    HELLO_TIMEOUT, PROTOCOL_VERSION, PeerEvent,
     compact::{Heard, PartOfLoad, Spoken},
     frame::{FrameError, FrameReader, FrameWriter},
     message::{Hello, Message, Origin, Packet, PacketError, encode},
@@ -21,7 +21,7 @@
 
 /// How long a replaced link is still read: the other end takes up the new link within this time,
 /// and until then goes on writing to the old one.
-const LINGER: Duration = HELLO_WITHIN;
+const LINGER: Duration = HELLO_TIMEOUT;
 
 /// The id of all links that aren't kept.
 const NOT_KEPT: u64 = 0;
@@ -53,7 +53,7 @@
             HelloError::Frame(err) => write!(f, "no hello came: {err}"),
             HelloError::NoHello => write!(f, "the other end didn't begin with a hello in time"),
             HelloError::Protocol(theirs) => {
-                write!(f, "the other end speaks protocol {theirs}, not {PROTOCOL}")
+                write!(f, "the other end speaks protocol {theirs}, not {PROTOCOL_VERSION}")
             }
             HelloError::Rejected(Rejected::Myself) => write!(f, "it leads back to this instance"),
             HelloError::Rejected(Rejected::OldLife) => {
@@ -99,7 +99,7 @@
 
 async fn hear_hello(streams: &mut Streams) -> Result<Hello, HelloError> {
     match streams.reader.next().await? {
-        Some(Packet::Hello(hello)) if hello.protocol == PROTOCOL => Ok(hello),
+        Some(Packet::Hello(hello)) if hello.protocol == PROTOCOL_VERSION => Ok(hello),
         Some(Packet::Hello(hello)) => Err(HelloError::Protocol(hello.protocol)),
         Some(_) | None => Err(HelloError::NoHello),
     }
@@ -218,7 +218,7 @@
         shared.push(&mut state, std::slice::from_ref(&hello.instance), &packet).ok();
     }
     shared.choose_links(&mut state);
-    shared.traffic.links_made.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    shared.traffic.links_established.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let peer = Peer { link: id, hello: hello.clone() };
     Ok((Session { peer, outbox, stop }, events))
 }
@@ -333,7 +333,7 @@
 ) -> Vec<PeerEvent> {
     state.members.observe(instance, incarnation, MemberObservation::Stopped, now);
     state.announced.swap_remove(instance);
-    vec![PeerEvent::Gone { instance: instance.clone(), incarnation }]
+    vec![PeerEvent::Removed { instance: instance.clone(), incarnation }]
 }
 
 impl Shared {
--- a/crates/daemon/src/peer/listen.rs
+++ b/crates/daemon/src/peer/listen.rs
@@ -7,7 +7,7 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 use crate::peer::{
-    HELLO_WITHIN,
+    HELLO_TIMEOUT,
     count::Counted,
     frame::{FrameReader, FrameWriter},
     link::{self, HelloError, Streams},
@@ -104,13 +104,13 @@
     }
 }
 
-/// The future's output if it comes within [`HELLO_WITHIN`]; an error without content where it
+/// The future's output if it comes within [`HELLO_TIMEOUT`]; an error without content where it
 /// doesn't.
 pub(super) async fn within<T, E>(
     future: impl Future<Output = Result<T, E>>,
 ) -> Result<T, Option<E>> {
     let limit = async {
-        Timer::after(HELLO_WITHIN).await;
+        Timer::after(HELLO_TIMEOUT).await;
         Err(None)
     };
     or(async { future.await.map_err(Some) }, limit).await
--- a/crates/daemon/src/peer/message.rs
+++ b/crates/daemon/src/peer/message.rs
@@ -13,15 +13,15 @@
 /// The longest packet, in bytes. The largest content is a whole configuration: 3,600 endpoints and
 /// 2,300 workspaces are about 1 MB of JSON. A peer that claims more is broken or no peer at all,
 /// and nothing is allocated for it.
-pub const MAX_PACKET: usize = 4 << 20;
+pub const MAX_PACKET_BYTES: usize = 4 << 20;
 
 /// Raised with each change of the packets that older instances can't read.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
 /// The first packet in each direction of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The sender's [`PROTOCOL`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub protocol: u32,
     /// Who is at this end.
     pub instance: InstanceId,
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// An endpoint's state as seen by the sender. Told to all.
-    Endpoint(EndpointNews),
+    Endpoint(EndpointStateUpdate),
     /// The version of the configuration in force at the sender. Told to those with a link when it
     /// changes; each tells its own links once it has fetched it and put it in force, so that it
     /// reaches all instances and everyone has a neighbour to fetch it from.
@@ -70,7 +70,7 @@
 
 impl Message {
     /// Whether gateways pass the message on to data centres that the sender has no link to.
-    pub fn is_for_all(&self) -> bool {
+    pub fn is_fleet_wide(&self) -> bool {
         match self {
             Message::Endpoint(_) => true,
             Message::ConfigVersion(_)
@@ -85,7 +85,7 @@
 
 /// An endpoint's state as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointNews {
+pub struct EndpointStateUpdate {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The life that the news is about.
@@ -127,7 +127,7 @@
 /// Why a packet can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PacketError {
-    /// It is longer than [`MAX_PACKET`].
+    /// It is longer than [`MAX_PACKET_BYTES`].
     TooLong(usize),
     /// Its bytes are no packet.
     Malformed,
@@ -139,7 +139,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PacketError::TooLong(len) => {
-                write!(f, "the packet has {len} bytes, more than {MAX_PACKET}")
+                write!(f, "the packet has {len} bytes, more than {MAX_PACKET_BYTES}")
             }
             PacketError::Malformed => write!(f, "the bytes are no packet of this protocol"),
             PacketError::Truncated => write!(f, "the stream ended within a packet"),
@@ -159,7 +159,7 @@
     bincode::serde::encode_into_std_write(packet, &mut buf, bincode::config::standard())
         .map_err(|_| PacketError::Malformed)?;
     let len = buf.len() - LENGTH;
-    if len > MAX_PACKET {
+    if len > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong(len));
     }
     let prefix = u32::try_from(len).map_err(|_| PacketError::TooLong(len))?;
@@ -170,7 +170,7 @@
 /// Reads a packet without its length. The limit keeps a length within the packet from allocating
 /// more than the packet could hold.
 pub(super) fn decode(bytes: &[u8]) -> Result<Packet, PacketError> {
-    let config = bincode::config::standard().with_limit::<MAX_PACKET>();
+    let config = bincode::config::standard().with_limit::<MAX_PACKET_BYTES>();
     match bincode::serde::decode_from_slice(bytes, config) {
         Ok((packet, len)) if len == bytes.len() => Ok(packet),
         _ => Err(PacketError::Malformed),
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! Links between instances: h2 streams that carry [`Message`]s, heartbeats and load.
 //!
 //! Every pair of instances that [`policy::topology`] joins has one link, dialled by either side.
-//! A link that is silent for [`SILENT_AFTER`] is dropped and made anew before anyone is judged
+//! A link that is silent for [`LINK_SILENCE_TIMEOUT`] is dropped and made anew before anyone is judged
 //! dead, because open connections may go silent for good while new ones work; the judgement itself
 //! is [`policy::membership`]'s, which waits longer than a new connection takes. Queues towards
 //! peers are bounded: load that waits is merged, and a peer that doesn't keep up otherwise gets a
@@ -42,17 +42,19 @@
     channel::{Receiver, bounded},
 };
 
-pub use message::{EndpointNews, Hello, MAX_PACKET, Message, PROTOCOL, PacketError};
+pub use message::{
+    EndpointStateUpdate, Hello, MAX_PACKET_BYTES, Message, PROTOCOL_VERSION, PacketError,
+};
 use shared::Shared;
 
 /// A link without any sign of life for this long is dropped and dialled anew: three heartbeats.
-pub const SILENT_AFTER: Duration = policy::membership::SUSPECT_TIMEOUT;
+pub const LINK_SILENCE_TIMEOUT: Duration = policy::membership::SUSPECT_TIMEOUT;
 
 /// How long a new link may take until both sides have said hello.
-pub const HELLO_WITHIN: Duration = Duration::from_secs(1);
+pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long [`PeerMesh::close`] waits for what is still queued.
-pub const CLOSE_WITHIN: Duration = Duration::from_millis(500);
+pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Events that wait for their reader. When it is behind, links aren't read, and the peers' queues
 /// fill instead.
@@ -109,7 +111,7 @@
         incarnation: Incarnation,
     },
     /// A peer's life is over: it said so, was replaced, or stayed silent on new links as well.
-    Gone {
+    Removed {
         /// The instance.
         instance: InstanceId,
         /// The life that ended.
@@ -146,13 +148,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
     /// Bytes written to all links, with h2's own.
-    pub sent: u64,
+    pub sent_bytes: u64,
     /// Bytes read from all links, with h2's own.
-    pub received: u64,
+    pub received_bytes: u64,
     /// Links that were made.
-    pub links_made: u64,
+    pub links_established: u64,
     /// Links dropped because they were silent.
-    pub links_silent: u64,
+    pub links_timed_out: u64,
 }
 
 /// The links of one instance. Dropped without [`PeerMesh::close`], it ends as a crash would: the
@@ -186,7 +188,7 @@
         self.shared.me.address
     }
 
-    /// Tells all instances that have a link; where [`Message::is_for_all`], gateways pass it on to
+    /// Tells all instances that have a link; where [`Message::is_fleet_wide`], gateways pass it on to
     /// the others.
     ///
     /// # Errors
@@ -222,8 +224,8 @@
     }
 
     /// Whether an owner of engine memory still lives.
-    pub fn owner(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
-        self.shared.owner(instance, incarnation)
+    pub fn owner_status(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
+        self.shared.owner_status(instance, incarnation)
     }
 
     /// Every other instance known now.
@@ -237,15 +239,15 @@
     }
 
     /// Says goodbye and ends all links, once what is queued has been sent or
-    /// [`CLOSE_WITHIN`] is over.
+    /// [`CLOSE_TIMEOUT`] is over.
     pub async fn close(self) {
-        self.say_goodbye().await;
+        self.send_goodbye().await;
     }
 
     /// The same while others still use the mesh.
-    pub async fn say_goodbye(&self) {
-        self.shared.say_goodbye();
-        let deadline = Instant::now() + CLOSE_WITHIN;
+    pub async fn send_goodbye(&self) {
+        self.shared.send_goodbye();
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
         while self.shared.has_connections() && Instant::now() < deadline {
             Timer::after(Duration::from_millis(5)).await;
         }
--- a/crates/daemon/src/peer/shared.rs
+++ b/crates/daemon/src/peer/shared.rs
@@ -13,7 +13,9 @@
     channel::{Receiver, Sender, bounded},
 };
 
-use crate::peer::{PROTOCOL, PeerConfig, PeerEvent, count::Counters, message::Hello, state::State};
+use crate::peer::{
+    PROTOCOL_VERSION, PeerConfig, PeerEvent, count::Counters, message::Hello, state::State,
+};
 
 pub(super) struct Shared {
     pub(super) me: Hello,
@@ -33,7 +35,7 @@
     pub(super) fn new(cfg: PeerConfig, address: SocketAddr, events: Sender<PeerEvent>) -> Shared {
         let (stop_tx, stop_rx) = bounded(1);
         let me = Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance: cfg.instance,
             incarnation: cfg.incarnation,
             data_centre: cfg.data_centre,
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -12,7 +12,7 @@
 use smol::channel::Sender;
 
 use crate::peer::{
-    HELLO_WITHIN, PeerEvent, dial::Target, flood::Flood, message::Hello, outbox::Outbox,
+    HELLO_TIMEOUT, PeerEvent, dial::Target, flood::Flood, message::Hello, outbox::Outbox,
 };
 
 /// The most addresses that are dialled.
@@ -112,7 +112,7 @@
         let Some(link) = self.links.get(&hello.instance) else {
             return Ok(());
         };
-        let same_moment = now.since(link.since) < HELLO_WITHIN * 2;
+        let same_moment = now.since(link.since) < HELLO_TIMEOUT * 2;
         let preferred = dialled == (me < &hello.instance);
         if same_moment && link.is_same_life(hello) && link.dialled != dialled && !preferred {
             return Err(Rejected::Duplicate);
@@ -132,7 +132,7 @@
         let mut events = Vec::new();
         let known = self.announced.insert(hello.instance.clone(), hello.incarnation);
         if let Some(incarnation) = known.filter(|known| *known < hello.incarnation) {
-            events.push(PeerEvent::Gone { instance: hello.instance.clone(), incarnation });
+            events.push(PeerEvent::Removed { instance: hello.instance.clone(), incarnation });
         }
         events.push(PeerEvent::Linked(hello.clone()));
         events
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -21,7 +21,10 @@
     compact::{Heard, PartOfLoad, Spoken},
     dial,
     flood::Flood,
-    message::{EndpointNews, Hello, LENGTH, Message, Origin, PROTOCOL, Packet, decode, encode},
+    message::{
+        EndpointStateUpdate, Hello, LENGTH, Message, Origin, PROTOCOL_VERSION, Packet, decode,
+        encode,
+    },
 };
 
 fn origin(incarnation: u64, number: u64) -> Origin {
@@ -92,7 +95,7 @@
 fn load_reads_back_and_names_are_spelled_once() {
     let deployment = Deployment::new("model-redactare").unwrap();
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         instance: origin(1, 1).instance,
         incarnation: Incarnation(1),
         data_centre: DataCentre::new("brasov-a").unwrap(),
@@ -129,7 +132,7 @@
 fn news(incarnation: u64) -> Message {
     let endpoint = EndpointId::new("model-redactare-0001").unwrap();
     let (incarnation, state) = (Incarnation(incarnation), EndpointState::Leaving);
-    Message::Endpoint(EndpointNews { endpoint, incarnation, state })
+    Message::Endpoint(EndpointStateUpdate { endpoint, incarnation, state })
 }
 
 async fn next_news(events: &Receiver<PeerEvent>) -> Option<u64> {
--- a/crates/daemon/src/peer/tick.rs
+++ b/crates/daemon/src/peer/tick.rs
@@ -11,7 +11,9 @@
 };
 use smol::Timer;
 
-use crate::peer::{PeerEvent, SILENT_AFTER, dial, message::Packet, shared::Shared, state::State};
+use crate::peer::{
+    LINK_SILENCE_TIMEOUT, PeerEvent, dial, message::Packet, shared::Shared, state::State,
+};
 
 /// A quarter of a heartbeat, so that deadlines are kept within that.
 const TICK: Duration = Duration::from_millis(250);
@@ -44,14 +46,14 @@
     let now = shared.now();
     let before = state.links.len();
     state.links.retain(|instance, link| {
-        let silent = now.since(link.heard) >= SILENT_AFTER;
+        let silent = now.since(link.heard) >= LINK_SILENCE_TIMEOUT;
         if silent {
             log::warn!(peer = instance.as_str(); "peer_link_silent");
         }
         !silent
     });
     let dropped = before - state.links.len();
-    shared.traffic.links_silent.fetch_add(dropped as u64, Relaxed);
+    shared.traffic.links_timed_out.fetch_add(dropped as u64, Relaxed);
 }
 
 /// Sends a heartbeat on each link that had nothing else to say for a while.
@@ -76,7 +78,7 @@
         let live = members.state(instance, now) != membership::MemberState::Dead;
         if !live {
             let (instance, incarnation) = (instance.clone(), *incarnation);
-            gone.push(PeerEvent::Gone { instance, incarnation });
+            gone.push(PeerEvent::Removed { instance, incarnation });
         }
         live
     });
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -29,7 +29,7 @@
     endpoint::{Endpoint, LifecycleState, lock},
     ledger::Ledgers,
     metrics::Metrics,
-    peer::{EndpointNews, Message, PeerMesh},
+    peer::{EndpointStateUpdate, Message, PeerMesh},
     record::CallRecord,
     server::registry::Registry,
     settings::Settings,
@@ -175,7 +175,7 @@
         let publications = Publications::new(HttpLog::new(address), self.clock);
         let publications = self.publications.get_or_init(|| Arc::new(publications));
         self.spawn(configuration::run(publications.clone(), Arc::downgrade(self)));
-        self.spawn(configuration::keep(publications.clone(), Arc::downgrade(self)));
+        self.spawn(configuration::run_checkpoints(publications.clone(), Arc::downgrade(self)));
     }
 
     /// The configuration stream, where the settings name a log service.
@@ -296,7 +296,7 @@
         );
         let change = endpoint.change();
         if lifecycle.leaving {
-            self.broadcast(Message::Endpoint(EndpointNews {
+            self.broadcast(Message::Endpoint(EndpointStateUpdate {
                 endpoint: change.endpoint.clone(),
                 incarnation: change.incarnation,
                 state: change.state,
--- a/crates/daemon/tests/holdings.rs
+++ b/crates/daemon/tests/holdings.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use daemon::{
-    controller::LEASE,
+    controller::RESERVATION_LEASE,
     holdings::{Holdings, MAX_ABANDONED_IDS},
 };
 use policy::{Incarnation, Tokens};
@@ -50,7 +50,7 @@
     /// Guards against memory that nobody releases after the first try failed.
     until_the_engine_shows_that_it_is_gone(holdings, now) {
         holdings.record_listing(&listing(&["kept", "left"]), now + Duration::from_secs(1));
-        holdings.expire(now + 100 * LEASE);
+        holdings.expire(now + 100 * RESERVATION_LEASE);
     } => ["left"];
     /// Guards against ids that pile up.
     no_longer_than_that(holdings, now) {
@@ -63,12 +63,12 @@
     /// Guards against a release that overtakes the run that takes the memory.
     beyond_its_release(holdings, now) {
         holdings.record_release(&["left".to_owned()]);
-        holdings.expire(now + LEASE);
+        holdings.expire(now + RESERVATION_LEASE);
     } => ["left"];
     /// Guards against ids that pile up where no listing can be read.
     released_only_as_long_as_its_lease(holdings, now) {
         holdings.record_release(&["left".to_owned()]);
-        holdings.expire(now + 2 * LEASE);
+        holdings.expire(now + 2 * RESERVATION_LEASE);
     } => [];
 }
 
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use daemon::peer::{EndpointNews, Message, PeerConfig, PeerEvent, PeerMesh};
+use daemon::peer::{EndpointStateUpdate, Message, PeerConfig, PeerEvent, PeerMesh};
 use policy::{
     DataCentre, Deployment, EndpointId, Incarnation, InstanceId, LoadDigest, TokenRate, Tokens,
     config::Version,
@@ -120,7 +120,7 @@
 
     fn wait_gone(&self, name: &str) -> Incarnation {
         self.wait(|event| match event {
-            PeerEvent::Gone { instance, incarnation } if *instance == id(name) => {
+            PeerEvent::Removed { instance, incarnation } if *instance == id(name) => {
                 Some(*incarnation)
             }
             _ => None,
@@ -141,7 +141,7 @@
 }
 
 fn news(life: u64) -> Message {
-    Message::Endpoint(EndpointNews {
+    Message::Endpoint(EndpointStateUpdate {
         endpoint: EndpointId::new("e1").unwrap(),
         incarnation: Incarnation(life),
         state: EndpointState::Leaving,
@@ -171,7 +171,7 @@
     second.mesh.broadcast(news(7)).unwrap();
     assert_eq!(first.wait_message(), (id("entry-2"), news(7)));
     assert_eq!(third.wait_message(), (id("entry-2"), news(7)));
-    assert_eq!(second.mesh.owner(&id("entry-3"), Incarnation(1)), OwnerStatus::Alive);
+    assert_eq!(second.mesh.owner_status(&id("entry-3"), Incarnation(1)), OwnerStatus::Alive);
 }
 
 fn listed(peer: &Peer, name: &str, data_centre: &DataCentre) -> Listed {
@@ -226,7 +226,8 @@
     first.wait_linked("entry-2");
     second.wait_linked("entry-1");
     let linked = |peer: &Peer| peer.mesh.status().iter().filter(|peer| peer.linked).count();
-    let settled = || (first.mesh.traffic().links_made, second.mesh.traffic().links_made);
+    let settled =
+        || (first.mesh.traffic().links_established, second.mesh.traffic().links_established);
     // Longer than the pause after a dial that failed, and than a silent link would live.
     thread::sleep(Duration::from_secs(6));
     let before = settled();
@@ -378,11 +379,11 @@
     second.wait_linked("entry-1");
     relay.forget.store(true, Ordering::SeqCst);
     // Whichever end notices first dials the other, which then takes the new link for the old.
-    let silent = |peer: &Peer| peer.mesh.traffic().links_silent;
+    let silent = |peer: &Peer| peer.mesh.traffic().links_timed_out;
     until("the silent link is noticed", || silent(&first) + silent(&second) > 0);
     second.wait(|event| match event {
         PeerEvent::Linked(_) => Some(()),
-        PeerEvent::Gone { .. } => panic!("a live peer was taken for dead"),
+        PeerEvent::Removed { .. } => panic!("a live peer was taken for dead"),
         _ => None,
     });
     assert_eq!(second.state("entry-1"), Some(MemberState::Live));
