--- a/crates/cli/src/bench/plan.rs
+++ b/crates/cli/src/bench/plan.rs
@@ -85,7 +85,7 @@
 
 /// Prompt tokens a second that one engine prefills when it does nothing else.
 pub fn engine_capacity(cfg: &EngineConfig) -> f64 {
-    let step = cfg.step_cost + cfg.prefill_rate.span(cfg.chunk);
+    let step = cfg.step_cost + cfg.prefill_rate.duration_for(cfg.chunk);
     cfg.chunk.0 as f64 / step.as_secs_f64()
 }
 
--- a/crates/cli/src/command/check.rs
+++ b/crates/cli/src/command/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use daemon::{folder::read_folder, settings::Settings};
-use policy::config::{Finding, Findings, Loaded, SourceFile, load};
+use policy::config::{Finding, Findings, LoadedConfig, SourceFile, load};
 use serde::Serialize;
 
 use crate::{
@@ -24,7 +24,7 @@
 
 impl From<&Finding> for FindingLine {
     fn from(finding: &Finding) -> Self {
-        let place = finding.place.as_ref();
+        let place = finding.location.as_ref();
         FindingLine {
             file: place.map(|place| place.file.to_string()),
             line: place.map(|place| place.line),
@@ -40,7 +40,7 @@
     /// Its files.
     pub files: Vec<SourceFile>,
     /// What they hold.
-    pub loaded: Loaded,
+    pub loaded: LoadedConfig,
 }
 
 /// Runs the command.
--- a/crates/cli/src/experiment/mod.rs
+++ b/crates/cli/src/experiment/mod.rs
@@ -17,7 +17,7 @@
     thread,
 };
 
-use emulator::{SiteSpec, play, spec::Variants};
+use emulator::{SiteSpec, simulate, spec::Variants};
 use error_stack::{Report, ResultExt};
 use indicatif::ProgressBar;
 
@@ -81,7 +81,7 @@
         for _ in 0..cores.min(plays.len()) {
             scope.spawn(|| {
                 while let Some((trial, seed)) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let received = play(spec, trials[*trial].clone(), *seed);
+                    let received = simulate(spec, trials[*trial].clone(), *seed);
                     let one = Played { trial: *trial, seed: *seed, received };
                     played.lock().unwrap_or_else(PoisonError::into_inner).push(one);
                     bar.inc(1);
--- a/crates/cli/src/experiment/result.rs
+++ b/crates/cli/src/experiment/result.rs
@@ -1,6 +1,6 @@
 //! The results of an experiment.
 
-use emulator::{KindSummary, Received, SiteSpec, outcome};
+use emulator::{CallResult, KindSummary, SiteSpec, outcome};
 use serde::Serialize;
 
 /// One run.
@@ -8,7 +8,7 @@
     /// Its place among the trials.
     pub(super) trial: usize,
     pub(super) seed: u64,
-    pub(super) received: Vec<Received>,
+    pub(super) received: Vec<CallResult>,
 }
 
 /// What all runs came to.
@@ -40,18 +40,18 @@
     pub(super) fn new(spec: &SiteSpec, played: &[Played]) -> ExperimentReport {
         let worths = |trial: usize| -> Vec<(u64, f64)> {
             let of_trial = played.iter().filter(|one| one.trial == trial);
-            of_trial.map(|one| (one.seed, outcome::worth(spec, &one.received))).collect()
+            of_trial.map(|one| (one.seed, outcome::worth_ratio(spec, &one.received))).collect()
         };
         let first = worths(0);
         let results = spec.trials().into_iter().enumerate().map(|(index, trial)| {
             let by_seed = worths(index);
             let of_trial = played.iter().filter(|one| one.trial == index);
-            let all: Vec<Received> =
+            let all: Vec<CallResult> =
                 of_trial.flat_map(|one| one.received.iter().copied()).collect();
             let (worth, worth_error) = mean(by_seed.iter().map(|(_, worth)| *worth).collect());
             let pairs = by_seed.iter().zip(&first);
             let (gain, gain_error) = mean(pairs.map(|(one, base)| one.1 - base.1).collect());
-            let kinds = outcome::by_kind(spec, &all);
+            let kinds = outcome::summarize_by_kind(spec, &all);
             let trial = trial.name;
             TrialResult { trial, worth, worth_error, gain, gain_error, by_seed, kinds }
         });
--- a/crates/daemon/src/active.rs
+++ b/crates/daemon/src/active.rs
@@ -180,7 +180,7 @@
     let configured_ms = |a, b| table.get(a).and_then(|rules| rules.distance_ms.get(b)).copied();
     let millis = configured_ms(from, to)
         .or_else(|| configured_ms(to, from))
-        .unwrap_or(DataCentreRules::FAR_MS);
+        .unwrap_or(DataCentreRules::DEFAULT_DISTANCE_MS);
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
--- a/crates/daemon/src/controller/orders.rs
+++ b/crates/daemon/src/controller/orders.rs
@@ -9,7 +9,7 @@
 
 use policy::{
     config::{ServeRules, Version},
-    orders::{Replica, Step, next},
+    orders::{EngineStatus, RolloutStep, next_step},
 };
 use protocols::{
     engine::{
@@ -54,15 +54,15 @@
             replicas.push(replica(engine, &state, &wanted));
         }
     }
-    match next(&replicas, active.version) {
-        Step::Done | Step::Loading(_) => {}
-        Step::Behind(endpoint) => {
+    match next_step(&replicas, active.version) {
+        RolloutStep::Done | RolloutStep::Loading(_) => {}
+        RolloutStep::Behind(endpoint) => {
             log::info!(endpoint = endpoint.as_str(); "order_newer_than_configuration");
         }
-        Step::LastReady(endpoint) => {
+        RolloutStep::LastReady(endpoint) => {
             log::warn!(endpoint = endpoint.as_str(); "order_withheld_from_last_ready_engine");
         }
-        Step::Order(endpoint) => {
+        RolloutStep::Order(endpoint) => {
             if let Some(engine) = active.endpoints.get(&endpoint)
                 && weights_exist(shared, serve).await
             {
@@ -82,12 +82,12 @@
     }
 }
 
-fn replica(engine: &Arc<Endpoint>, state: &OrderState, wanted: &Order) -> Replica {
+fn replica(engine: &Arc<Endpoint>, state: &OrderState, wanted: &Order) -> EngineStatus {
     let known = state.order.as_ref();
     // An unchanged wish isn't ordered again with each change of other things.
     let is_current =
         known.is_some_and(|known| Order { fencing: wanted.fencing, ..known.clone() } == *wanted);
-    Replica {
+    EngineStatus {
         endpoint: engine.config.id.clone(),
         is_current,
         ready: state.ready,
--- a/crates/daemon/src/filter/scan.rs
+++ b/crates/daemon/src/filter/scan.rs
@@ -5,7 +5,7 @@
 
 use policy::{
     Tokens,
-    prompt::{PromptDigest, PromptHasher},
+    prompt::{HashedPrompt, PromptHasher},
 };
 use serde::{
     Deserialize, Deserializer,
@@ -25,7 +25,7 @@
     /// The `max_tokens` or `max_completion_tokens` member.
     pub max_output: Option<Tokens>,
     /// Size and identity of the prompt.
-    pub prompt: PromptDigest,
+    pub prompt: HashedPrompt,
 }
 
 /// Scans a body. `prompt_member` is `prompt` or `messages`.
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, io, path::Path};
 
-use policy::config::{Findings, SourceFile, tree::MAX_FILE};
+use policy::config::{Findings, SourceFile, tree::MAX_FILE_BYTES};
 
 /// The most files of one folder.
 const MAX_FILES: usize = 1_000;
@@ -70,8 +70,8 @@
     if !metadata.is_file() {
         return Ok(None);
     }
-    if metadata.len() > MAX_FILE as u64 {
-        let message = format!("{name}: it has more than {MAX_FILE} bytes");
+    if metadata.len() > MAX_FILE_BYTES as u64 {
+        let message = format!("{name}: it has more than {MAX_FILE_BYTES} bytes");
         return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
     }
     let text = fs::read_to_string(entry.path()).map_err(describe)?;
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use error_stack::Report;
-use policy::config::{Config, Findings, SETTINGS, load};
+use policy::config::{Config, Findings, SETTINGS_MEMBER, load};
 
 use crate::{cli::Args, folder::read_folder, settings::Settings};
 
@@ -42,7 +42,7 @@
         let settings = match &loaded.settings {
             Some(node) => Settings::read(node, &mut findings),
             None => {
-                findings.push(None, SETTINGS, "expected the settings of this process");
+                findings.push(None, SETTINGS_MEMBER, "expected the settings of this process");
                 None
             }
         };
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -7,7 +7,7 @@
     DataCentre, Deployment, Incarnation, InstanceId, LoadDigest, Time,
     digest::{DigestReceiver, DigestSender},
     membership::{MemberObservation, Membership},
-    topology::{self, Placed},
+    topology::{self, InstanceLocation},
 };
 use smol::channel::Sender;
 
@@ -167,16 +167,16 @@
 
     /// Chooses anew which instances to have links with, and says whether these are all.
     pub(super) fn choose_links(&mut self, me: &Hello) -> bool {
-        let placed = |instance: &InstanceId, data_centre: &DataCentre| Placed {
+        let placed = |instance: &InstanceId, data_centre: &DataCentre| InstanceLocation {
             instance: instance.clone(),
             data_centre: data_centre.clone(),
         };
         let myself = placed(&me.instance, &me.data_centre);
-        let mut all: Vec<Placed> =
+        let mut all: Vec<InstanceLocation> =
             self.places.iter().map(|(instance, place)| placed(instance, place)).collect();
         all.push(myself.clone());
         self.wanted = topology::links(&myself, &all).into_iter().collect();
-        all.len() <= topology::FULL_MESH
+        all.len() <= topology::MAX_FULL_MESH_INSTANCES
     }
 
     /// Ends a link, unless another one has taken its place.
--- a/crates/daemon/src/settings/read.rs
+++ b/crates/daemon/src/settings/read.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use policy::config::{Findings, SETTINGS, fields::Fields, tree::Node};
+use policy::config::{Findings, SETTINGS_MEMBER, fields::Fields, tree::Node};
 
 use super::{RoutingSettings, Settings, balancer_wait_ms, max_body, max_connections};
 
@@ -19,7 +19,7 @@
 impl Settings {
     /// Reads the settings from `node`, the merged member `settings`.
     pub fn read(node: &Node, findings: &mut Findings) -> Option<Settings> {
-        let mut fields = Fields::open(node, SETTINGS, findings)?;
+        let mut fields = Fields::open(node, SETTINGS_MEMBER, findings)?;
         let instance = fields.required("instance", "this instance's name", findings);
         let data_centre = fields.required("data_centre", "a data centre's name", findings);
         let listen = address(&mut fields, "listen", findings);
--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use policy::{
-    config::{Findings, SETTINGS, fields::Fields, tree::Node},
+    config::{Findings, SETTINGS_MEMBER, fields::Fields, tree::Node},
     placement::PlacementRules,
 };
 use router::settings::Bounds;
@@ -42,7 +42,7 @@
 impl RoutingSettings {
     /// Reads them from the member `routing` of the settings.
     pub(super) fn read(node: &Node, findings: &mut Findings) -> Option<RoutingSettings> {
-        let path = format!("{SETTINGS}.routing");
+        let path = format!("{SETTINGS_MEMBER}.routing");
         let mut fields = Fields::open(node, &path, findings)?;
         let log_service = fields.required("log_service", ADDRESS, findings);
         let ready_listen = fields.required("ready_listen", ADDRESS, findings);
@@ -86,7 +86,7 @@
     let rules = read.unwrap_or_default();
     if let Some(name) = rules.invalid_field() {
         let path = fields.path(&format!("placement.{name}"));
-        findings.push(fields.place_of("placement"), &path, "expected a larger number");
+        findings.push(fields.location_of("placement"), &path, "expected a larger number");
     }
     rules
 }
--- a/crates/daemon/tests/parsers.rs
+++ b/crates/daemon/tests/parsers.rs
@@ -8,7 +8,7 @@
 use quickcheck::quickcheck;
 
 /// What hashing the decoded text gives.
-fn digest(texts: &[String]) -> policy::prompt::PromptDigest {
+fn digest(texts: &[String]) -> policy::prompt::HashedPrompt {
     let mut hasher = PromptHasher::new();
     texts.iter().for_each(|text| hasher.update(text.as_bytes()));
     hasher.finish()
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -20,7 +20,7 @@
 
 /// A part of a prompt as it reaches an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// Whose part it is.
     pub run: RunId,
     /// Milliseconds of reading.
@@ -43,7 +43,7 @@
 
 /// What came of an engine's last activity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Happened {
+pub enum EngineEvent {
     /// A part has been read.
     Read(RunId),
     /// An event of an answer.
@@ -64,9 +64,9 @@
 pub struct Engine {
     rules: EngineRules,
     /// Parts to read, in the order of their arrival.
-    parts: Vec<Part>,
+    parts: Vec<PromptPart>,
     /// Runs that wait for a slot.
-    queue: VecDeque<Part>,
+    queue: VecDeque<PromptPart>,
     /// Runs that hold a slot and don't write yet.
     reading: Vec<RunId>,
     writers: Vec<Writer>,
@@ -98,7 +98,7 @@
     }
 
     /// A part arrives.
-    pub fn arrive(&mut self, part: Part) {
+    pub fn arrive(&mut self, part: PromptPart) {
         if !part.is_head {
             self.parts.push(part);
             return;
@@ -130,7 +130,7 @@
             return None;
         }
         let room = match writes {
-            true => self.rules.pass_tokens(),
+            true => self.rules.max_prefill_tokens_per_pass(),
             false => f64::from(self.rules.chunk_tokens),
         };
         let (reads, reading_ms) = self.take(room);
@@ -140,7 +140,7 @@
     }
 
     /// Ends what was begun.
-    pub fn finish(&mut self) -> Vec<Happened> {
+    pub fn finish(&mut self) -> Vec<EngineEvent> {
         let Some(Activity { reads, writes }) = self.activity.take() else { return Vec::new() };
         let mut happened = Vec::new();
         for (run, ms) in reads {
@@ -149,7 +149,7 @@
             let share = ms / part.ms.max(f64::MIN_POSITIVE);
             if share >= 1.0 - 1e-9 {
                 self.parts.remove(index);
-                happened.push(Happened::Read(run));
+                happened.push(EngineEvent::Read(run));
             } else {
                 part.tokens *= 1.0 - share;
                 part.ms -= ms;
@@ -166,12 +166,12 @@
         if self.writers.len() > 1 { 0.0 } else { FIRST_EVENT_PASSES * self.pass_ms() }
     }
 
-    fn write_events(&mut self, happened: &mut Vec<Happened>) {
+    fn write_events(&mut self, happened: &mut Vec<EngineEvent>) {
         for writer in &mut self.writers {
             writer.events_left = writer.events_left.saturating_sub(1);
             happened.push(match writer.events_left {
-                0 => Happened::Last(writer.run),
-                _ => Happened::Event(writer.run),
+                0 => EngineEvent::Last(writer.run),
+                _ => EngineEvent::Event(writer.run),
             });
         }
         self.writers.retain(|writer| writer.events_left > 0);
@@ -206,6 +206,7 @@
 
     fn pass_ms(&self) -> f64 {
         let thousands = self.writers.iter().map(|writer| writer.context).sum();
-        self.rules.pass_ms_for(u32::try_from(self.writers.len()).unwrap_or(u32::MAX), thousands)
+        self.rules
+            .pass_ms_with_context(u32::try_from(self.writers.len()).unwrap_or(u32::MAX), thousands)
     }
 }
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use crate::spec::{Kind, SiteSpec};
+use crate::spec::{RequestKind, SiteSpec};
 
 /// A request as its caller sends it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -58,7 +58,7 @@
 }
 
 /// Requests of a kind a second at a moment.
-fn rate(spec: &SiteSpec, kind: &Kind, at_s: f64) -> f64 {
+fn rate(spec: &SiteSpec, kind: &RequestKind, at_s: f64) -> f64 {
     let during = |burst: &&crate::spec::Burst| {
         burst.kind == kind.name && (burst.from_s..burst.from_s + burst.for_s).contains(&at_s)
     };
@@ -66,7 +66,7 @@
     kind.per_s * times
 }
 
-fn highest_rate(spec: &SiteSpec, kind: &Kind) -> f64 {
+fn highest_rate(spec: &SiteSpec, kind: &RequestKind) -> f64 {
     let starts = spec.bursts.iter().map(|burst| burst.from_s);
     starts.chain([0.0]).map(|at_s| rate(spec, kind, at_s)).fold(kind.per_s, f64::max)
 }
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -2,11 +2,11 @@
 
 use serde::Serialize;
 
-use crate::spec::{Kind, SiteSpec};
+use crate::spec::{RequestKind, SiteSpec};
 
 /// What one caller received.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Received {
+pub struct CallResult {
     /// Index of its kind.
     pub kind: usize,
     /// Tokens of its prompt.
@@ -25,15 +25,15 @@
     pub is_refused: bool,
 }
 
-impl Received {
+impl CallResult {
     /// First event and pauses were as wanted.
-    pub fn is_on_time(&self, kind: &Kind) -> bool {
+    pub fn is_on_time(&self, kind: &RequestKind) -> bool {
         let first = self.first_ms.is_some_and(|ms| ms <= kind.goal_ms);
         self.is_whole && first && self.pause_ms <= kind.pause_ms
     }
 
     /// What the answer is worth, in units of its kind's mean.
-    fn worth(&self, kind: &Kind) -> f64 {
+    fn worth(&self, kind: &RequestKind) -> f64 {
         match (self.is_whole, self.is_on_time(kind)) {
             (true, true) => kind.worth * self.size(kind),
             (true, false) => kind.late_worth * self.size(kind),
@@ -43,7 +43,7 @@
 
     /// Three tenths of a request's worth are the same for all of its kind, the rest goes by the length
     /// of its prompt, up to four times the mean: as the sites count.
-    fn size(&self, kind: &Kind) -> f64 {
+    fn size(&self, kind: &RequestKind) -> f64 {
         (0.3 + 0.7 * self.prompt as f64 / kind.prompt).min(4.0)
     }
 }
@@ -72,17 +72,17 @@
 }
 
 /// Sums up each kind.
-pub fn by_kind(spec: &SiteSpec, received: &[Received]) -> Vec<KindSummary> {
+pub fn summarize_by_kind(spec: &SiteSpec, received: &[CallResult]) -> Vec<KindSummary> {
     let each = spec.kinds.iter().enumerate();
     each.map(|(index, kind)| {
-        let of_kind: Vec<&Received> = received.iter().filter(|r| r.kind == index).collect();
+        let of_kind: Vec<&CallResult> = received.iter().filter(|r| r.kind == index).collect();
         sum_up(kind, &of_kind)
     })
     .collect()
 }
 
 /// Share of all worth that was earned.
-pub fn worth(spec: &SiteSpec, received: &[Received]) -> f64 {
+pub fn worth_ratio(spec: &SiteSpec, received: &[CallResult]) -> f64 {
     let (mut earned, mut owed) = (0.0, 0.0);
     for answer in received {
         let kind = &spec.kinds[answer.kind];
@@ -92,9 +92,9 @@
     share(earned, owed)
 }
 
-fn sum_up(kind: &Kind, received: &[&Received]) -> KindSummary {
+fn sum_up(kind: &RequestKind, received: &[&CallResult]) -> KindSummary {
     let asked = received.len();
-    let part = |wanted: &dyn Fn(&&&Received) -> bool| {
+    let part = |wanted: &dyn Fn(&&&CallResult) -> bool| {
         share(received.iter().filter(wanted).count() as f64, asked as f64)
     };
     let firsts = received.iter().filter_map(|r| r.first_ms).collect();
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/simulation.rs
@@ -10,11 +10,11 @@
 };
 
 use crate::{
-    engine::{Engine, Happened, Part, RunId},
+    engine::{Engine, EngineEvent, PromptPart, RunId},
     load::{self, Call},
-    outcome::Received,
+    outcome::CallResult,
     placer::{Placer, Trial, engine_id},
-    spec::{Kind, SiteSpec},
+    spec::{RequestKind, SiteSpec},
 };
 
 /// One-way milliseconds between an instance and an engine.
@@ -63,9 +63,9 @@
 pub(crate) enum Event {
     Ask(usize),
     Send(RunId),
-    Arrive(usize, Part),
+    Arrive(usize, PromptPart),
     Done(usize, u64),
-    Heard(RunId, Happened),
+    Heard(RunId, EngineEvent),
     Words {
         to: usize,
         from: usize,
@@ -111,9 +111,9 @@
 }
 
 /// Plays a run and tells what each caller received.
-pub fn play(spec: &SiteSpec, trial: impl Into<Trial>, seed: u64) -> Vec<Received> {
+pub fn simulate(spec: &SiteSpec, trial: impl Into<Trial>, seed: u64) -> Vec<CallResult> {
     let mut world = World::new(spec, &trial.into(), seed);
-    world.play();
+    world.run();
     world.received
 }
 
@@ -134,7 +134,7 @@
     names: Vec<InstanceId>,
     calls: Vec<Call>,
     progress: Vec<Progress>,
-    received: Vec<Received>,
+    received: Vec<CallResult>,
     runs: Vec<Run>,
 }
 
@@ -152,10 +152,10 @@
         let members: Vec<Member> = (0..spec.engines).filter_map(member).collect();
         let placer = |i: usize| Placer::new(trial, &spec.engine, &members, seed ^ i as u64);
         let name = |i: usize| InstanceId::new(&format!("instance-{i}")).ok();
-        let received = calls.iter().map(|call| Received {
+        let received = calls.iter().map(|call| CallResult {
             kind: call.kind,
             prompt: call.prompt,
-            ..Received::default()
+            ..CallResult::default()
         });
         let mut world = World {
             spec,
@@ -203,11 +203,11 @@
         Time((self.now * 1000.0) as u64)
     }
 
-    fn kind(&self, call: usize) -> &'a Kind {
+    fn kind(&self, call: usize) -> &'a RequestKind {
         &self.spec.kinds[self.calls[call].kind]
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let end = self.spec.seconds * 1000.0 + RUN_OUT_MS;
         while let Some(Due { at, event, .. }) = self.heap.pop() {
             if at > end {
@@ -328,9 +328,9 @@
             self.placers[instance].connected(&head, round_trip);
         }
         for (place, engine) in run.engines.iter().enumerate() {
-            let part = Part {
+            let part = PromptPart {
                 run: id,
-                ms: self.spec.engine.read_ms(call.prompt) / parts,
+                ms: self.spec.engine.prefill_ms(call.prompt) / parts,
                 tokens: call.prompt as f64 / parts,
                 is_split: run.engines.len() > 1,
                 is_head: place == 0,
@@ -339,7 +339,7 @@
         }
     }
 
-    fn arrive(&mut self, engine: usize, part: Part) {
+    fn arrive(&mut self, engine: usize, part: PromptPart) {
         if self.runs[part.run].is_over {
             return;
         }
@@ -369,8 +369,8 @@
         }
         for happened in self.engines[engine].finish() {
             match happened {
-                Happened::Read(run) => self.read(run),
-                Happened::Event(run) | Happened::Last(run) => {
+                EngineEvent::Read(run) => self.read(run),
+                EngineEvent::Event(run) | EngineEvent::Last(run) => {
                     self.after(WAY_MS, Event::Heard(run, happened));
                 }
             }
@@ -390,12 +390,12 @@
         let left = call.events.saturating_sub(self.progress[run.call].events).max(1);
         self.engines[head].write(id, left, call.prompt);
         let first_ms = self.engines[head].first_event_ms();
-        self.after(first_ms + WAY_MS, Event::Heard(id, Happened::Event(id)));
+        self.after(first_ms + WAY_MS, Event::Heard(id, EngineEvent::Event(id)));
         self.wake(head);
     }
 
     /// An event reaches the instance.
-    fn heard(&mut self, id: RunId, happened: Happened) {
+    fn heard(&mut self, id: RunId, happened: EngineEvent) {
         let Run { call: index, job, is_over, .. } = self.runs[id];
         if is_over {
             return;
@@ -417,7 +417,7 @@
                 self.placers[instance].began(job, now);
             }
         }
-        if matches!(happened, Happened::Last(_)) {
+        if matches!(happened, EngineEvent::Last(_)) {
             self.received[index].is_whole = true;
             self.progress[index].is_over = true;
             return self.over(id, None);
@@ -499,6 +499,6 @@
 }
 
 /// Milliseconds without an event after which a caller leaves, as the sites' callers do.
-fn patience(kind: &Kind) -> f64 {
+fn patience(kind: &RequestKind) -> f64 {
     (4.0 * kind.goal_ms).max(8.0 * kind.pause_ms).max(2_000.0)
 }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -27,13 +27,13 @@
     /// How long callers send, in seconds.
     pub seconds: f64,
     /// The kinds of request.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// Changes of the load.
     #[serde(default)]
     pub bursts: Vec<Burst>,
     /// Engines that stop answering, never to return.
     #[serde(default)]
-    pub deaths: Vec<Death>,
+    pub deaths: Vec<EngineFailure>,
     /// What places the requests; each is tried.
     pub policies: Vec<PlacerName>,
     /// Other rules for the product's own placing, by name; each is tried.
@@ -46,7 +46,7 @@
 /// A kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct RequestKind {
     /// Its name.
     pub name: String,
     /// Requests a second outside bursts.
@@ -88,7 +88,7 @@
 /// An engine that dies.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Death {
+pub struct EngineFailure {
     /// Which one.
     pub engine: usize,
     /// When, in seconds.
--- a/crates/emulator/src/update_delivery.rs
+++ b/crates/emulator/src/update_delivery.rs
@@ -2,7 +2,7 @@
 
 use policy::placement::update_interval;
 
-use crate::play::{Event, World};
+use crate::simulation::{Event, World};
 
 impl World<'_> {
     /// Tells the levels that are due.
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use emulator::{
     SiteSpec,
-    engine::{Engine, Happened, Part},
+    engine::{Engine, EngineEvent, PromptPart},
 };
 
 fn site() -> SiteSpec {
@@ -12,15 +12,15 @@
     SiteSpec::parse(text).unwrap()
 }
 
-fn part(run: usize, ms: f64, is_split: bool) -> Part {
-    Part { run, ms, tokens: ms * 100.0, is_split, is_head: false }
+fn part(run: usize, ms: f64, is_split: bool) -> PromptPart {
+    PromptPart { run, ms, tokens: ms * 100.0, is_split, is_head: false }
 }
 
 fn order(engine: &mut Engine) -> Vec<usize> {
     let mut order = Vec::new();
     while engine.begin().is_some() {
         for happened in engine.finish() {
-            if let Happened::Read(run) = happened {
+            if let EngineEvent::Read(run) = happened {
                 order.push(run);
             }
         }
@@ -46,9 +46,9 @@
     let rules = site().engine;
     let mut engine = Engine::new(rules.clone());
     let share = f64::from(parts);
-    let ms = rules.read_ms(tokens) / share;
+    let ms = rules.prefill_ms(tokens) / share;
     let tokens_each = tokens as f64 / share;
-    engine.arrive(Part { run: 1, ms, tokens: tokens_each, is_split: true, is_head: true });
+    engine.arrive(PromptPart { run: 1, ms, tokens: tokens_each, is_split: true, is_head: true });
     let mut passed_ms = THERE_AND_BACK_MS;
     while let Some(ms) = engine.begin() {
         passed_ms += ms;
--- a/crates/emulator/tests/heavy_days.rs
+++ b/crates/emulator/tests/heavy_days.rs
@@ -3,10 +3,10 @@
 #![allow(clippy::unwrap_used)]
 
 use emulator::{
-    PlacerName, Received, SiteSpec,
-    outcome::{by_kind, worth},
-    play,
-    spec::{Death, Kind},
+    CallResult, PlacerName, SiteSpec,
+    outcome::{summarize_by_kind, worth_ratio},
+    simulate,
+    spec::{EngineFailure, RequestKind},
 };
 use policy::routes::EngineRules;
 
@@ -18,8 +18,15 @@
     SiteSpec::parse(text).unwrap().engine
 }
 
-fn kind(name: &str, per_s: f64, prompt: f64, goal_ms: f64, pause_ms: f64, worth: f64) -> Kind {
-    Kind {
+fn kind(
+    name: &str,
+    per_s: f64,
+    prompt: f64,
+    goal_ms: f64,
+    pause_ms: f64,
+    worth: f64,
+) -> RequestKind {
+    RequestKind {
         name: name.to_owned(),
         per_s,
         prompt,
@@ -56,7 +63,7 @@
     }
 }
 
-fn of_kind(received: &[Received], kind: usize) -> Vec<&Received> {
+fn of_kind(received: &[CallResult], kind: usize) -> Vec<&CallResult> {
     received.iter().filter(|r| r.kind == kind).collect()
 }
 
@@ -67,9 +74,9 @@
 #[test]
 fn a_burst_of_dossiers_comes_as_foretold() {
     let site = site(0.0, 0.0, 2.4);
-    let received = play(&site, PlacerName::Arranger, 5);
+    let received = simulate(&site, PlacerName::Arranger, 5);
     let served: Vec<_> = received.iter().filter(|r| r.first_ms.is_some()).collect();
-    let surprised = |r: &&&Received| r.first_ms.unwrap() > r.foretold_ms + 500.0;
+    let surprised = |r: &&&CallResult| r.first_ms.unwrap() > r.foretold_ms + 500.0;
     let late = served.iter().filter(surprised).count();
     assert!(served.len() > 30, "{}", served.len());
     assert!(late * 20 <= served.len(), "{late} of {} came later than foretold", served.len());
@@ -82,8 +89,9 @@
 fn dossiers_sent_at_once_starve_each_other() {
     let site = site(0.0, 0.0, 3.0);
     let surprised = |policy| {
-        let received: Vec<Received> = (1..=4).flat_map(|seed| play(&site, policy, seed)).collect();
-        let late = |r: &&Received| r.first_ms.is_some_and(|ms| ms > r.foretold_ms + 500.0);
+        let received: Vec<CallResult> =
+            (1..=4).flat_map(|seed| simulate(&site, policy, seed)).collect();
+        let late = |r: &&CallResult| r.first_ms.is_some_and(|ms| ms > r.foretold_ms + 500.0);
         received.iter().filter(late).count()
     };
     let (held, at_once) = (surprised(PlacerName::Arranger), surprised(PlacerName::NoHolding));
@@ -95,11 +103,11 @@
 #[test]
 fn long_among_short_beats_the_baselines() {
     let site = site(40.0, 3.0, 1.4);
-    let ours = worth(&site, &play(&site, PlacerName::Arranger, 3));
+    let ours = worth_ratio(&site, &simulate(&site, PlacerName::Arranger, 3));
     assert!(ours > 0.85, "{ours:.3}");
     for baseline in [PlacerName::RoundRobin, PlacerName::LeastOutstanding, PlacerName::NoSplitting]
     {
-        let theirs = worth(&site, &play(&site, baseline, 3));
+        let theirs = worth_ratio(&site, &simulate(&site, baseline, 3));
         assert!(ours > theirs + 0.05, "{ours:.3}, {baseline} {theirs:.3}");
     }
 }
@@ -109,8 +117,8 @@
 #[test]
 fn overload_refuses_and_serves_the_rest() {
     let site = site(40.0, 0.0, 8.0);
-    let received = play(&site, PlacerName::Arranger, 4);
-    let kinds = by_kind(&site, &received);
+    let received = simulate(&site, PlacerName::Arranger, 4);
+    let kinds = summarize_by_kind(&site, &received);
     let (questions, dossiers) = (&kinds[0], &kinds[DOSSIER]);
     assert!(dossiers.refused > 0.3, "{dossiers:?}");
     assert!(dossiers.on_time > 2.0 * dossiers.late, "{dossiers:?}");
@@ -122,8 +130,9 @@
 #[test]
 fn instances_learn_together_of_a_dead_helper() {
     let mut site = site(0.0, 0.0, 1.5);
-    site.deaths = (0..3).map(|i| Death { engine: 5 * i, at_s: 4.0 + 4.0 * i as f64 }).collect();
-    let received = play(&site, PlacerName::Arranger, 2);
+    site.deaths =
+        (0..3).map(|i| EngineFailure { engine: 5 * i, at_s: 4.0 + 4.0 * i as f64 }).collect();
+    let received = simulate(&site, PlacerName::Arranger, 2);
     let dossiers = of_kind(&received, DOSSIER);
     let whole = dossiers.iter().filter(|r| r.is_whole).count();
     assert!(whole * 10 >= dossiers.len() * 9, "{whole} of {}", dossiers.len());
@@ -133,6 +142,7 @@
 #[test]
 fn a_seed_repeats() {
     let site = site(20.0, 2.0, 1.0);
-    let (one, two) = (play(&site, PlacerName::Arranger, 9), play(&site, PlacerName::Arranger, 9));
+    let (one, two) =
+        (simulate(&site, PlacerName::Arranger, 9), simulate(&site, PlacerName::Arranger, 9));
     assert_eq!(one, two);
 }
--- a/crates/policy/src/config/deployments.rs
+++ b/crates/policy/src/config/deployments.rs
@@ -79,21 +79,21 @@
     findings: &mut Findings,
 ) {
     let Some(group) = group else { return };
-    let place = fields.place_of("group");
+    let location = fields.location_of("group");
     let path = fields.path("group");
     if !names.is_served(group.as_str()) {
-        findings.push(place, &path, format!("no endpoint serves in the group {group}"));
+        findings.push(location, &path, format!("no endpoint serves in the group {group}"));
     }
     if names.group_uses(group.as_str()) > 1 {
         let message = format!(
             "another deployment has the group {group} too; each would fill the endpoints as if \
              the other weren't there"
         );
-        findings.push(place, &path, message);
+        findings.push(location, &path, message);
     }
     if kind == Some(EndpointKind::Service) && group.as_str().contains('/') {
         let message = "expected a name without `/`, because it is one segment of callers' paths";
-        findings.push(place, &path, message);
+        findings.push(location, &path, message);
     }
 }
 
@@ -107,13 +107,13 @@
     findings: &mut Findings,
 ) {
     let Some(serve) = serve else { return };
-    let (place, path) = (fields.place_of("serve"), fields.path("serve"));
+    let (location, path) = (fields.location_of("serve"), fields.path("serve"));
     if kind == Some(EndpointKind::Service) {
-        findings.push(place, &path, "expected nothing to load for a plain service");
+        findings.push(location, &path, "expected nothing to load for a plain service");
     }
     if !ROLES.contains(&serve.role.as_str()) {
         let message = format!("expected the role mixed, prefill or decode, found {}", serve.role);
-        findings.push(place, &path, message);
+        findings.push(location, &path, message);
     }
     // Both become segments of a path at the weight store.
     let is_segment = |text: &str| {
@@ -121,7 +121,7 @@
     };
     if !is_segment(&serve.model) || !is_segment(&serve.version) {
         let message = "expected model and version of letters, digits, `.`, `_` and `-`";
-        findings.push(place, &path, message);
+        findings.push(location, &path, message);
     }
 }
 
@@ -132,21 +132,21 @@
     names: &Names<'_>,
     findings: &mut Findings,
 ) {
-    let place = fields.place_of("models");
+    let location = fields.location_of("models");
     let path = fields.path("models");
     match kind {
         Some(EndpointKind::Engine) if models.is_empty() => {
-            findings.push(place, &path, "expected at least one model for engines");
+            findings.push(location, &path, "expected at least one model for engines");
         }
         Some(EndpointKind::Service) if !models.is_empty() => {
-            findings.push(place, &path, "expected no models for a plain service");
+            findings.push(location, &path, "expected no models for a plain service");
         }
         _ => {}
     }
     for model in models {
         if names.model_uses(model.as_str()) > 1 {
             let message = format!("the model {model} is listed more than once");
-            findings.push(place, &path, message);
+            findings.push(location, &path, message);
         }
     }
 }
@@ -167,7 +167,7 @@
     fields.close(findings);
     if weights.long_first_token == 0.0 && weights.short_slowdown == 0.0 {
         let message = "expected at least one weight above 0, or every placement costs the same";
-        findings.push(Some(&node.place), path, message);
+        findings.push(Some(&node.location), path, message);
     }
     Some(weights)
 }
@@ -204,8 +204,8 @@
             "the default deadline of {} ms is later than max_deadline_ms, which is {} ms",
             limits.default_deadline_ms, limits.max_deadline_ms
         );
-        let place = fields.place_of("default_deadline_ms");
-        findings.push(place, &fields.path("default_deadline_ms"), message);
+        let location = fields.location_of("default_deadline_ms");
+        findings.push(location, &fields.path("default_deadline_ms"), message);
     }
     fields.close(findings);
     Some(limits)
@@ -220,7 +220,7 @@
     let Some(node) = node else { return Vec::new() };
     let Value::Array(items) = &node.value else {
         let message = format!("expected a list of routes, found {}", node.kind());
-        findings.push(Some(&node.place), path, message);
+        findings.push(Some(&node.location), path, message);
         return Vec::new();
     };
     let mut routes: Vec<RouteRules> = Vec::new();
@@ -232,7 +232,7 @@
         };
         if routes.iter().any(overlaps) {
             let message = format!("another route has the path {} too", route.path);
-            findings.push(Some(&item.place), &path, message);
+            findings.push(Some(&item.location), &path, message);
         }
         routes.push(route);
     }
@@ -253,14 +253,14 @@
     if timeout_ms.is_some_and(|timeout| timeout > limits.max_deadline_ms) {
         let message =
             format!("expected at most limits.max_deadline_ms, {}", limits.max_deadline_ms);
-        findings.push(fields.place_of("timeout_ms"), &fields.path("timeout_ms"), message);
+        findings.push(fields.location_of("timeout_ms"), &fields.path("timeout_ms"), message);
     }
     if repeatable && deduplicates {
         let message = "deduplicates has a meaning only with \"repeatable\": false";
-        findings.push(fields.place_of("deduplicates"), &fields.path("deduplicates"), message);
+        findings.push(fields.location_of("deduplicates"), &fields.path("deduplicates"), message);
     }
     if let Some(message) = route_path.as_deref().and_then(path_fault) {
-        findings.push(fields.place_of("path"), &fields.path("path"), message);
+        findings.push(fields.location_of("path"), &fields.path("path"), message);
     }
     fields.close(findings);
     Some(RouteRules { path: route_path?, repeatable, timeout_ms, deduplicates })
--- a/crates/policy/src/config/fields.rs
+++ b/crates/policy/src/config/fields.rs
@@ -22,7 +22,7 @@
     pub fn open(node: &'a Node, path: &str, findings: &mut Findings) -> Option<Self> {
         if !matches!(node.value, Value::Object(_)) {
             findings.push(
-                Some(&node.place),
+                Some(&node.location),
                 path,
                 format!("expected an object, found {}", node.kind()),
             );
@@ -53,7 +53,7 @@
     ) -> Option<T> {
         if self.node(name).is_none() {
             let message = format!("the member {name} is missing; expected {expected}");
-            findings.push(Some(&self.node.place), &self.path, message);
+            findings.push(Some(&self.node.location), &self.path, message);
             return None;
         }
         self.optional(name, expected, findings)
@@ -92,7 +92,7 @@
         let number = self.optional::<u64>(name, &expected, findings)?;
         if !range.contains(&number) {
             let message = format!("expected {expected}, found {number}");
-            findings.push(self.place_of(name), &self.path(name), message);
+            findings.push(self.location_of(name), &self.path(name), message);
             return None;
         }
         Some(number)
@@ -110,7 +110,7 @@
         let Some(number) = self.optional::<f64>(name, &expected, findings) else { return default };
         if !range.contains(&number) {
             let message = format!("expected {expected}, found {number}");
-            findings.push(self.place_of(name), &self.path(name), message);
+            findings.push(self.location_of(name), &self.path(name), message);
             return default;
         }
         number
@@ -122,8 +122,8 @@
     }
 
     /// Where a member stands, or the object where the member is absent.
-    pub fn place_of(&self, name: &str) -> Option<&'a super::finding::Place> {
-        Some(&self.node.member(name).unwrap_or(self.node).place)
+    pub fn location_of(&self, name: &str) -> Option<&'a super::finding::SourceLocation> {
+        Some(&self.node.member(name).unwrap_or(self.node).location)
     }
 
     /// Ends reading and reports members that nobody asked for, which are mostly misspelt.
@@ -133,7 +133,7 @@
                 continue;
             }
             let message = format!("unknown member; expected one of {}", self.known.join(", "));
-            findings.push(Some(&node.place), &join(&self.path, name), message);
+            findings.push(Some(&node.location), &join(&self.path, name), message);
         }
     }
 }
@@ -154,7 +154,7 @@
                 Value::Number(number) => format!("expected {expected}, found {number}"),
                 _ => format!("expected {expected}, found {}", node.kind()),
             };
-            findings.push(Some(&node.place), path, message);
+            findings.push(Some(&node.location), path, message);
             None
         }
     }
@@ -170,7 +170,7 @@
     match name.parse() {
         Ok(id) => Some(id),
         Err(e) => {
-            findings.push(Some(&node.place), path, format!("expected a name: {e}"));
+            findings.push(Some(&node.location), path, format!("expected a name: {e}"));
             None
         }
     }
--- a/crates/policy/src/config/finding.rs
+++ b/crates/policy/src/config/finding.rs
@@ -10,7 +10,7 @@
 
 /// A place in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file's name.
     pub file: Arc<str>,
     /// Counts from 1.
@@ -19,7 +19,7 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// Where; absent where the folder as a whole is meant.
-    pub place: Option<Place>,
+    pub location: Option<SourceLocation>,
     /// The member, as `deployments.redactare.routes[0].path`; empty for a whole file.
     pub path: String,
     /// A sentence that says what was expected.
@@ -38,8 +38,8 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some(place) = &self.place {
-            write!(f, "{place}: ")?;
+        if let Some(location) = &self.location {
+            write!(f, "{location}: ")?;
         }
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
@@ -57,13 +57,18 @@
 
 impl Findings {
     /// Adds a finding, unless there are too many already.
-    pub fn push(&mut self, place: Option<&Place>, path: &str, message: impl Into<String>) {
+    pub fn push(
+        &mut self,
+        location: Option<&SourceLocation>,
+        path: &str,
+        message: impl Into<String>,
+    ) {
         if self.list.len() == MAX_FINDINGS {
             self.dropped += 1;
             return;
         }
         self.list.push(Finding {
-            place: place.cloned(),
+            location: location.cloned(),
             path: path.to_owned(),
             message: message.into(),
         });
--- a/crates/policy/src/config/load.rs
+++ b/crates/policy/src/config/load.rs
@@ -27,11 +27,11 @@
 const MAX_WINDOW_MINUTES: u64 = 30 * 24 * 60;
 /// The member that holds the settings of one process. It is read by the daemon and never
 /// published.
-pub const SETTINGS: &str = "settings";
+pub const SETTINGS_MEMBER: &str = "settings";
 
 /// What a folder holds.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Loaded {
+pub struct LoadedConfig {
     /// The configuration.
     pub config: Config,
     /// The settings of one process, where the folder has them; not yet checked.
@@ -39,7 +39,7 @@
 }
 
 /// Merges and checks a folder's files.
-pub fn load(files: &[SourceFile]) -> Result<Loaded, Findings> {
+pub fn load(files: &[SourceFile]) -> Result<LoadedConfig, Findings> {
     let mut findings = Findings::default();
     let Some(root) = merge(files, &mut findings) else {
         if findings.is_empty() {
@@ -54,10 +54,10 @@
     }
 }
 
-fn read_root(root: &Node, findings: &mut Findings) -> Option<Loaded> {
+fn read_root(root: &Node, findings: &mut Findings) -> Option<LoadedConfig> {
     let names = Names::collect(root);
     let mut fields = Fields::open(root, "", findings)?;
-    let settings = fields.node(SETTINGS).cloned();
+    let settings = fields.node(SETTINGS_MEMBER).cloned();
     let data_centres = fields.node("data_centres");
     let workspaces = fields.node("workspaces");
     let endpoints = fields.node("endpoints");
@@ -77,7 +77,7 @@
         deployments: read_deployments(deployments, &names, findings),
         ledger: ledger.and_then(|node| read_ledger(node, findings)).unwrap_or_default(),
     };
-    Some(Loaded { config, settings })
+    Some(LoadedConfig { config, settings })
 }
 
 /// Reads an object whose members are named things of one kind.
@@ -123,7 +123,7 @@
         let ms: f64 = super::fields::read(node, path, "milliseconds", findings)?;
         if !(0.0..=MAX_DISTANCE_MS).contains(&ms) {
             let message = format!("expected milliseconds from 0 to {MAX_DISTANCE_MS}, found {ms}");
-            findings.push(Some(&node.place), path, message);
+            findings.push(Some(&node.location), path, message);
         }
         Some(ms)
     });
@@ -138,7 +138,7 @@
 ) -> Option<WorkspaceRules> {
     let mut fields = Fields::open(node, path, findings)?;
     let keys = fields.required::<Vec<String>>("key_sha256", "a list of SHA-256 hashes", findings);
-    let place = fields.place_of("key_sha256");
+    let location = fields.location_of("key_sha256");
     let keys_path = fields.path("key_sha256");
     let rules = WorkspaceRules {
         key_sha256: keys.clone().unwrap_or_default(),
@@ -151,16 +151,16 @@
     fields.close(findings);
     let keys = keys?;
     if keys.is_empty() {
-        findings.push(place, &keys_path, "expected at least one key, or nobody can call");
+        findings.push(location, &keys_path, "expected at least one key, or nobody can call");
     }
     for (i, key) in keys.iter().enumerate() {
         let path = format!("{keys_path}[{i}]");
         if !is_sha256(key) {
             let message = "expected the SHA-256 of a key: 64 digits from 0-9 and a-f";
-            findings.push(place, &path, message);
+            findings.push(location, &path, message);
         } else if names.key_uses(key) > 1 {
             let message = "this key is given twice, so that its caller couldn't be told";
-            findings.push(place, &path, message);
+            findings.push(location, &path, message);
         }
     }
     Some(rules)
@@ -186,12 +186,12 @@
         && !names.has_group(name)
     {
         let message = format!("no deployment has the group {name}");
-        findings.push(fields.place_of("group"), &fields.path("group"), message);
+        findings.push(fields.location_of("group"), &fields.path("group"), message);
     }
-    if let Some(place) = node.member("data_centre")
-        && let Some(name) = place.text()
+    if let Some(location) = node.member("data_centre")
+        && let Some(name) = location.text()
     {
-        names.require_data_centre(name, place, &fields.path("data_centre"), findings);
+        names.require_data_centre(name, location, &fields.path("data_centre"), findings);
     }
     if let Some(address) = &address {
         check_address(address, &fields, names, findings);
@@ -214,11 +214,11 @@
 ) {
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
         let message = format!("nobody can connect to {address}");
-        findings.push(fields.place_of("address"), &fields.path("address"), message);
+        findings.push(fields.location_of("address"), &fields.path("address"), message);
     }
     if names.address_uses(address) > 1 {
         let message = format!("another endpoint has the address {address} too");
-        findings.push(fields.place_of("address"), &fields.path("address"), message);
+        findings.push(fields.location_of("address"), &fields.path("address"), message);
     }
 }
 
--- a/crates/policy/src/config/mod.rs
+++ b/crates/policy/src/config/mod.rs
@@ -10,8 +10,8 @@
 mod names;
 pub mod tree;
 
-pub use finding::{Finding, Findings, Place};
-pub use load::{Loaded, SETTINGS, load};
+pub use finding::{Finding, Findings, SourceLocation};
+pub use load::{LoadedConfig, SETTINGS_MEMBER, load};
 pub use tree::SourceFile;
 
 use std::{fmt, net::SocketAddr, str::FromStr, time::Duration};
@@ -91,14 +91,14 @@
     /// The region it belongs to, as `ro-centru`.
     pub region: String,
     /// One-way delay to other data centres, in milliseconds. Where a pair is missing, the other
-    /// direction counts, and failing that [`DataCentreRules::FAR_MS`].
+    /// direction counts, and failing that [`DataCentreRules::DEFAULT_DISTANCE_MS`].
     #[serde(default)]
     pub distance_ms: IndexMap<DataCentre, f64>,
 }
 
 impl DataCentreRules {
     /// Delay assumed between data centres of which none states a distance: between regions.
-    pub const FAR_MS: f64 = 40.0;
+    pub const DEFAULT_DISTANCE_MS: f64 = 40.0;
 }
 
 /// One workspace.
--- a/crates/policy/src/config/names.rs
+++ b/crates/policy/src/config/names.rs
@@ -63,7 +63,7 @@
     ) {
         if !self.data_centres.contains(name) {
             let message = format!("data_centres has no {name}");
-            findings.push(Some(&node.place), path, message);
+            findings.push(Some(&node.location), path, message);
         }
     }
 
--- a/crates/policy/src/config/tree.rs
+++ b/crates/policy/src/config/tree.rs
@@ -7,14 +7,14 @@
 use jsonc_parser::{CollectOptions, ParseOptions, ast, parse_to_ast};
 use serde::{Deserialize, Serialize};
 
-use super::finding::{Findings, Place};
+use super::finding::{Findings, SourceLocation};
 
 /// How deep objects and arrays may nest. The configuration needs six levels; the parser recurses,
 /// so that unbounded nesting in published content would overflow the stack of every instance.
 const MAX_DEPTH: usize = 32;
 
 /// The largest accepted file in bytes. The configuration of 350 endpoints is about 60 KB.
-pub const MAX_FILE: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 
 /// One file of a configuration folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
     /// Where the value begins; for members of an object, where their name begins.
-    pub place: Place,
+    pub location: SourceLocation,
     /// The value.
     pub value: Value,
 }
@@ -130,7 +130,7 @@
 }
 
 fn overlay(base: &mut Node, later: Node) {
-    let place = later.place.clone();
+    let location = later.location.clone();
     match (&mut base.value, later.value) {
         (Value::Object(members), Value::Object(others)) => {
             for (name, node) in others {
@@ -142,23 +142,23 @@
                 }
             }
         }
-        (_, value) => *base = Node { place, value },
+        (_, value) => *base = Node { location, value },
     }
 }
 
 fn parse(file: &SourceFile, findings: &mut Findings) -> Option<Node> {
     let lines = Lines::new(file);
-    if file.text.len() > MAX_FILE {
+    if file.text.len() > MAX_FILE_BYTES {
         findings.push(
-            Some(&lines.place(0)),
+            Some(&lines.location(0)),
             "",
-            format!("the file has {} bytes, more than {MAX_FILE}", file.text.len()),
+            format!("the file has {} bytes, more than {MAX_FILE_BYTES}", file.text.len()),
         );
         return None;
     }
     if let Some(at) = too_deep(&file.text) {
         let message = format!("objects and arrays nest deeper than {MAX_DEPTH} levels");
-        findings.push(Some(&lines.place(at)), "", message);
+        findings.push(Some(&lines.location(at)), "", message);
         return None;
     }
     let options = ParseOptions {
@@ -169,8 +169,8 @@
     let parsed = match parse_to_ast(&file.text, &CollectOptions::default(), &options) {
         Ok(parsed) => parsed,
         Err(e) => {
-            let place = lines.place(e.range().start);
-            findings.push(Some(&place), "", format!("not valid JSON: {}", e.kind()));
+            let location = lines.location(e.range().start);
+            findings.push(Some(&location), "", format!("not valid JSON: {}", e.kind()));
             return None;
         }
     };
@@ -179,7 +179,7 @@
             Some(Converter { lines, findings }.convert(value, ""))
         }
         _ => {
-            findings.push(Some(&lines.place(0)), "", "expected a file with one JSON object");
+            findings.push(Some(&lines.location(0)), "", "expected a file with one JSON object");
             None
         }
     }
@@ -223,11 +223,11 @@
         Lines { name: file.name.as_str().into(), text: &file.text, starts }
     }
 
-    fn place(&self, at: usize) -> Place {
+    fn location(&self, at: usize) -> SourceLocation {
         let line = self.starts.partition_point(|start| *start <= at);
         let start = self.starts[line - 1];
         let before = self.text.get(start..at.min(self.text.len())).unwrap_or_default();
-        Place { file: self.name.clone(), line, column: before.chars().count() + 1 }
+        SourceLocation { file: self.name.clone(), line, column: before.chars().count() + 1 }
     }
 }
 
@@ -238,11 +238,11 @@
 
 impl Converter<'_, '_> {
     fn convert(&mut self, value: ast::Value<'_>, path: &str) -> Node {
-        let place = self.lines.place(jsonc_parser::common::Ranged::start(&value));
+        let location = self.lines.location(jsonc_parser::common::Ranged::start(&value));
         let value = match value {
             ast::Value::NullKeyword(_) => Value::Null,
             ast::Value::BooleanLit(lit) => Value::Bool(lit.value),
-            ast::Value::NumberLit(lit) => self.number(lit.value, &place, path),
+            ast::Value::NumberLit(lit) => self.number(lit.value, &location, path),
             ast::Value::StringLit(lit) => {
                 self.refuse_single_quotes(lit.range.start, path);
                 Value::Text(lit.value.into_owned())
@@ -257,7 +257,7 @@
             ),
             ast::Value::Object(object) => self.object(object, path),
         };
-        Node { place, value }
+        Node { location, value }
     }
 
     fn object(&mut self, object: ast::Object<'_>, path: &str) -> Value {
@@ -268,10 +268,10 @@
             let name = property.name.into_string();
             let path = join(path, &name);
             let mut node = self.convert(property.value, &path);
-            node.place = self.lines.place(at);
+            node.location = self.lines.location(at);
             if members.contains_key(&name) {
                 let message = "this member stands twice in one file";
-                self.findings.push(Some(&node.place), &path, message);
+                self.findings.push(Some(&node.location), &path, message);
                 continue;
             }
             members.insert(name, node);
@@ -279,11 +279,11 @@
         Value::Object(members)
     }
 
-    fn number(&mut self, text: &str, place: &Place, path: &str) -> Value {
+    fn number(&mut self, text: &str, location: &SourceLocation, path: &str) -> Value {
         match serde_json::Number::from_str(text) {
             Ok(number) => Value::Number(number),
             Err(_) => {
-                self.findings.push(Some(place), path, format!("{text} is no JSON number"));
+                self.findings.push(Some(location), path, format!("{text} is no JSON number"));
                 Value::Null
             }
         }
@@ -293,8 +293,8 @@
     /// read the same files.
     fn refuse_single_quotes(&mut self, at: usize, path: &str) {
         if self.lines.text.as_bytes().get(at) == Some(&b'\'') {
-            let place = self.lines.place(at);
-            self.findings.push(Some(&place), path, "expected a string in double quotes");
+            let location = self.lines.location(at);
+            self.findings.push(Some(&location), path, "expected a string in double quotes");
         }
     }
 }
--- a/crates/policy/src/digest.rs
+++ b/crates/policy/src/digest.rs
@@ -277,7 +277,7 @@
             || self.digest.suspect_endpoints != digest.suspect_endpoints
             || suspicion_keys(&self.digest) != suspicion_keys(digest)
             || reserved_parts(&self.digest) != reserved_parts(digest)
-            || DEFAULT_PREFILL_RATE.span(queue_change) >= MIN_EFFECT
+            || DEFAULT_PREFILL_RATE.duration_for(queue_change) >= MIN_EFFECT
     }
 }
 
@@ -321,15 +321,16 @@
         return Duration::MAX;
     }
     let rate = if share.prefill_rate.0 > 0.0 { share.prefill_rate } else { DEFAULT_PREFILL_RATE };
-    let queue = rate.span(difference(sent.waiting_prefill, share.waiting_prefill));
-    let memory = rate.span(difference(sent.held, share.held));
-    let progress = rate.span(difference(sent.prefilled, share.prefilled)) / PROGRESS_DIVISOR;
+    let queue = rate.duration_for(difference(sent.waiting_prefill, share.waiting_prefill));
+    let memory = rate.duration_for(difference(sent.held, share.held));
+    let progress =
+        rate.duration_for(difference(sent.prefilled, share.prefilled)) / PROGRESS_DIVISOR;
     queue.max(memory).max(progress.min(MAX_PROGRESS_EFFECT))
 }
 
 fn workspace_effect(sent: &WorkspaceShare, share: &WorkspaceShare) -> Duration {
     let served = Tokens((sent.served.0 - share.served.0).abs() as u64);
-    DEFAULT_PREFILL_RATE.span(difference(sent.waiting, share.waiting).max(served))
+    DEFAULT_PREFILL_RATE.duration_for(difference(sent.waiting, share.waiting).max(served))
 }
 
 fn difference(left: Tokens, right: Tokens) -> Tokens {
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -8,14 +8,14 @@
 
 /// The longest accepted textual identifier, in bytes. Identifiers stand in metric labels, log
 /// lines and peer messages, so an unbounded one would be an unbounded cost everywhere.
-pub const MAX_ID_LEN: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 
 /// Why a text is not an identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdError {
     /// The text is empty.
     Empty,
-    /// The text has more than [`MAX_ID_LEN`] bytes.
+    /// The text has more than [`MAX_ID_BYTES`] bytes.
     TooLong(usize),
     /// The text holds a character outside `A-Z a-z 0-9 . _ - : /`.
     BadCharacter(char),
@@ -26,7 +26,7 @@
         match self {
             IdError::Empty => write!(f, "the identifier is empty"),
             IdError::TooLong(len) => {
-                write!(f, "the identifier has {len} bytes, more than {MAX_ID_LEN}")
+                write!(f, "the identifier has {len} bytes, more than {MAX_ID_BYTES}")
             }
             IdError::BadCharacter(c) => write!(
                 f,
@@ -42,7 +42,7 @@
     if text.is_empty() {
         return Err(IdError::Empty);
     }
-    if text.len() > MAX_ID_LEN {
+    if text.len() > MAX_ID_BYTES {
         return Err(IdError::TooLong(text.len()));
     }
     match text.chars().find(|c| !(c.is_ascii_alphanumeric() || "._-:/".contains(*c))) {
--- a/crates/policy/src/orders.rs
+++ b/crates/policy/src/orders.rs
@@ -21,7 +21,7 @@
 
 /// One engine as it reports itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Replica {
+pub struct EngineStatus {
     /// The engine.
     pub endpoint: EndpointId,
     /// Whether what it was last ordered to is what is wanted.
@@ -34,7 +34,7 @@
 
 /// What to do now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum RolloutStep {
     /// All engines that answer are as wanted.
     Done,
     /// Order this engine.
@@ -48,20 +48,20 @@
 }
 
 /// Decides on the engines that answer, in any order, under the configuration `version`.
-pub fn next(replicas: &[Replica], version: Version) -> Step {
+pub fn next_step(replicas: &[EngineStatus], version: Version) -> RolloutStep {
     if let Some(newer) = replicas.iter().find(|replica| replica.fencing > version) {
-        return Step::Behind(newer.endpoint.clone());
+        return RolloutStep::Behind(newer.endpoint.clone());
     }
     if let Some(loading) = replicas.iter().find(|replica| replica.is_current && !replica.ready) {
-        return Step::Loading(loading.endpoint.clone());
+        return RolloutStep::Loading(loading.endpoint.clone());
     }
     // By name, so that two instances that both decide for a while choose the same engine.
     let outdated = replicas.iter().filter(|replica| !replica.is_current);
     let first = outdated.min_by_key(|replica| (replica.ready, &replica.endpoint));
-    let Some(first) = first else { return Step::Done };
+    let Some(first) = first else { return RolloutStep::Done };
     let others_ready = replicas.iter().any(|r| r.ready && r.endpoint != first.endpoint);
     match !first.ready || others_ready {
-        true => Step::Order(first.endpoint.clone()),
-        false => Step::LastReady(first.endpoint.clone()),
+        true => RolloutStep::Order(first.endpoint.clone()),
+        false => RolloutStep::LastReady(first.endpoint.clone()),
     }
 }
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -105,7 +105,7 @@
         if self.placement.choice != PlacementStrategy::Weighed {
             return self.choose_baseline(request, now);
         }
-        let prefill_ms = rules.read_ms(request.prompt_tokens);
+        let prefill_ms = rules.prefill_ms(request.prompt_tokens);
         let short_prefill_ms = self.short_prefill_ms();
         let base = PlacementPlan {
             part_prefill_ms: prefill_ms,
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -187,7 +187,8 @@
         let passes = output_tokens.div_ceil(u64::from(rules.stride.max(1))) as f64;
         let context = rules.usual_context.min(prompt_tokens + output_tokens / 2);
         let decode_passes_ms = passes * rules.pass_ms(rules.slots, context);
-        let ms = BUSY_SLOWDOWN * (rules.read_ms(prompt_tokens) + decode_passes_ms) + START_DELAY_MS;
+        let ms =
+            BUSY_SLOWDOWN * (rules.prefill_ms(prompt_tokens) + decode_passes_ms) + START_DELAY_MS;
         Duration::from_secs_f64(ms / 1000.0)
     }
 
@@ -214,7 +215,7 @@
             for server in self.servers.values_mut() {
                 server.refresh(rules, update_delay, now);
             }
-            if rules.read_ms(request.prompt_tokens) > self.short_prefill_ms() {
+            if rules.prefill_ms(request.prompt_tokens) > self.short_prefill_ms() {
                 overdue::update_risks(
                     &mut self.servers,
                     self.placement.overdue_ms,
--- a/crates/policy/src/placement/prefill.rs
+++ b/crates/policy/src/placement/prefill.rs
@@ -222,7 +222,7 @@
         on_completion: &mut impl FnMut(PartCompletion),
     ) -> u32 {
         let pass_start = self.simulated_until;
-        let mut free_tokens = speed.rules.pass_tokens().max(1.0);
+        let mut free_tokens = speed.rules.max_prefill_tokens_per_pass().max(1.0);
         let mut prefill_ms = 0.0;
         let mut completed = Vec::new();
         self.in_pass.clear();
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -29,7 +29,7 @@
 
 /// What [`PromptHasher`] found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PromptDigest {
+pub struct HashedPrompt {
     /// The estimated size.
     pub tokens: Tokens,
     /// Hash of the whole text.
@@ -67,8 +67,8 @@
 
     /// Ends the text. What is left of an unfilled block isn't hashed, because engines cache full
     /// blocks only.
-    pub fn finish(self) -> PromptDigest {
-        PromptDigest {
+    pub fn finish(self) -> HashedPrompt {
+        HashedPrompt {
             tokens: estimate_tokens(self.bytes),
             fingerprint: Fingerprint(self.whole.digest128()),
             blocks: self.blocks,
--- a/crates/policy/src/publication/fold.rs
+++ b/crates/policy/src/publication/fold.rs
@@ -8,7 +8,7 @@
 use super::diff::{FieldChange, difference};
 use crate::{
     Offset,
-    config::{Config, Findings, SETTINGS, SourceFile, Version, load},
+    config::{Config, Findings, SETTINGS_MEMBER, SourceFile, Version, load},
     replay::{Fold, LogPosition},
 };
 
@@ -191,7 +191,7 @@
     let mut findings = Findings::default();
     if let Some(node) = &loaded.settings {
         let message = "the settings of one process aren't published; keep them in its own folder";
-        findings.push(Some(&node.place), SETTINGS, message);
+        findings.push(Some(&node.location), SETTINGS_MEMBER, message);
     }
     let ledger = loaded.config.ledger;
     if let Some(current) = current {
--- a/crates/policy/src/routes/engine.rs
+++ b/crates/policy/src/routes/engine.rs
@@ -35,25 +35,25 @@
 
 impl EngineRules {
     /// Milliseconds to read a prompt of `tokens` alone on an idle engine.
-    pub fn read_ms(&self, tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         let pairs = tokens * tokens / 2.0 / 1e6;
         tokens / self.read_tokens_per_ms.max(1e-3) + pairs * self.read_ms_per_1m_pairs
     }
 
     /// Prompt tokens that a pass with writers reads at most.
-    pub fn pass_tokens(&self) -> f64 {
+    pub fn max_prefill_tokens_per_pass(&self) -> f64 {
         f64::from(self.stride) * f64::from(self.chunk_tokens)
     }
 
     /// Milliseconds of a pass that reads nothing while `writers` requests write, each with
     /// `context` tokens.
     pub fn pass_ms(&self, writers: u32, context: u64) -> f64 {
-        self.pass_ms_for(writers, f64::from(writers) * context as f64 / 1000.0)
+        self.pass_ms_with_context(writers, f64::from(writers) * context as f64 / 1000.0)
     }
 
     /// The same for requests that have `thousands` of tokens together.
-    pub fn pass_ms_for(&self, writers: u32, thousands: f64) -> f64 {
+    pub fn pass_ms_with_context(&self, writers: u32, thousands: f64) -> f64 {
         let step = self.step_ms
             + f64::from(writers) * self.step_ms_per_request
             + thousands * self.step_ms_per_1k_context;
--- a/crates/policy/src/routes/keys.rs
+++ b/crates/policy/src/routes/keys.rs
@@ -6,7 +6,7 @@
 
 /// What a key stands for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owner {
+pub struct KeyOwner {
     /// The workspace that holds it.
     pub workspace: Workspace,
     /// The workspace's rank, which goes before the route's.
@@ -16,7 +16,7 @@
 /// All keys of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KeyTable {
-    owners: IndexMap<String, Owner>,
+    owners: IndexMap<String, KeyOwner>,
     required: bool,
 }
 
@@ -32,12 +32,12 @@
     }
 
     /// Adds a key.
-    pub fn insert(&mut self, key: String, owner: Owner) {
+    pub fn insert(&mut self, key: String, owner: KeyOwner) {
         self.owners.insert(key, owner);
     }
 
     /// Whose key this is.
-    pub fn owner(&self, key: &str) -> Option<&Owner> {
+    pub fn owner(&self, key: &str) -> Option<&KeyOwner> {
         self.owners.get(key)
     }
 }
--- a/crates/policy/src/routes/mod.rs
+++ b/crates/policy/src/routes/mod.rs
@@ -13,14 +13,14 @@
 use serde::{Deserialize, Serialize};
 
 pub use engine::EngineRules;
-pub use keys::{KeyTable, Owner};
+pub use keys::{KeyOwner, KeyTable};
 
 use crate::{EndpointGroup, config::Version};
 
 /// What may be done again with a request, in the order of how much is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It runs once at most: a second run may register a name twice.
     Once,
     /// It may run any number of times.
@@ -29,10 +29,10 @@
     Resumable,
 }
 
-impl Repeat {
+impl RetrySafety {
     /// Whether a run whose outcome is unknown may be followed by another.
     pub fn is_idempotent(self) -> bool {
-        self != Repeat::Once
+        self != RetrySafety::Once
     }
 }
 
@@ -42,9 +42,9 @@
     /// Its name, for logs and metrics.
     pub name: String,
     /// What may be done again.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Whether answers are streams of events.
-    pub streams: bool,
+    pub is_streaming: bool,
     /// The longest that a caller is kept waiting for the end of the answer.
     pub timeout: Duration,
     /// Within this a first byte is on time.
@@ -52,7 +52,7 @@
     /// The longest pause between two events that is still on time.
     pub pause_goal: Duration,
     /// A wait for the first event, or between two, after which callers leave a stream.
-    pub patience: Duration,
+    pub gap_timeout: Duration,
     /// Rank; zero is the most urgent.
     pub priority: u8,
     /// The most endpoints that one request may run on.
@@ -60,7 +60,7 @@
     /// Whether requests without a key are served.
     pub is_public: bool,
     /// The endpoint groups that serve it, with their shares.
-    pub split: Vec<Share>,
+    pub split: Vec<GroupShare>,
 }
 
 /// The least time that is taken to be left until an event is late: a few passes of an engine. What takes
@@ -69,7 +69,7 @@
 
 /// One group's share of a route.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Share {
+pub struct GroupShare {
     /// The group.
     pub group: EndpointGroup,
     /// Its share relative to the others'.
@@ -83,7 +83,7 @@
     /// Guards against streams that are late already and whose every further millisecond would look as dear
     /// as a whole goal: each would be read by a dozen idle engines at once, and write alone on one of
     /// them, so that one engine's silence takes a dozen from everybody.
-    pub fn time_to_bound(
+    pub fn time_to_event_deadline(
         &self,
         since_arrival: Duration,
         since_event: Option<Duration>,
@@ -92,7 +92,7 @@
             Some(waited) => (waited, self.pause_goal),
             None => (since_arrival, self.goal),
         };
-        let bound = if waited < goal { goal } else { self.patience };
+        let bound = if waited < goal { goal } else { self.gap_timeout };
         bound.saturating_sub(waited).max(LEAST_BOUND)
     }
 
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -6,9 +6,9 @@
 //! **Without it.** A full mesh of 350 instances has 349 links at each: one heartbeat of 20 bytes a
 //! second each is 7 KB a second before anything useful is said.
 //!
-//! **Rule.** Up to [`FULL_MESH`] instances all keep links to all, as the delay is shortest and no
+//! **Rule.** Up to [`MAX_FULL_MESH_INSTANCES`] instances all keep links to all, as the delay is shortest and no
 //! instance matters more than another. Above, each keeps links to all of its own data centre, and
-//! each pair of data centres is joined by [`GATEWAYS`] links whose ends are chosen by rendezvous
+//! each pair of data centres is joined by [`LINKS_PER_DATA_CENTRE_PAIR`] links whose ends are chosen by rendezvous
 //! hash over the pair, so that every data centre's gateway work is spread over its instances.
 //! What has to reach all (an endpoint that is leaving, quarantine entries) is passed on by
 //! gateways; load digests stay within the data centre, as the load that other data centres have
@@ -24,14 +24,14 @@
 use crate::{DataCentre, InstanceId, rendezvous};
 
 /// Up to so many instances all keep links to all.
-pub const FULL_MESH: usize = 16;
+pub const MAX_FULL_MESH_INSTANCES: usize = 16;
 
 /// Links between two data centres.
-pub const GATEWAYS: usize = 2;
+pub const LINKS_PER_DATA_CENTRE_PAIR: usize = 2;
 
 /// An instance and where it stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct InstanceLocation {
     /// The instance.
     pub instance: InstanceId,
     /// Its data centre.
@@ -40,9 +40,9 @@
 
 /// The instances among `all` that `me` keeps a link to. The relation is symmetric: both ends
 /// compute the same links from the same members.
-pub fn links(me: &Placed, all: &[Placed]) -> Vec<InstanceId> {
+pub fn links(me: &InstanceLocation, all: &[InstanceLocation]) -> Vec<InstanceId> {
     let others = all.iter().filter(|other| other.instance != me.instance);
-    if all.len() <= FULL_MESH {
+    if all.len() <= MAX_FULL_MESH_INSTANCES {
         return others.map(|other| other.instance.clone()).collect();
     }
     let local = others.filter(|other| other.data_centre == me.data_centre);
@@ -58,24 +58,32 @@
 /// The instances of the data centre `remote` that `me` is linked with as a gateway: the n-th
 /// gateway of the one data centre is linked with the n-th of the other. One with a single instance
 /// uses it for every link.
-fn gateway_links(me: &Placed, remote: &DataCentre, all: &[Placed]) -> Vec<InstanceId> {
+fn gateway_links(
+    me: &InstanceLocation,
+    remote: &DataCentre,
+    all: &[InstanceLocation],
+) -> Vec<InstanceId> {
     let key = rendezvous::key(me.data_centre.as_str()) ^ rendezvous::key(remote.as_str());
     let here = gateways(key, &me.data_centre, all);
     let there = gateways(key, remote, all);
     let nth =
         |ends: &[&InstanceId], n: usize| ends.get(n).or(ends.last()).map(|end| (*end).clone());
-    (0..GATEWAYS)
+    (0..LINKS_PER_DATA_CENTRE_PAIR)
         .filter(|n| nth(&here, *n).as_ref() == Some(&me.instance))
         .filter_map(|n| nth(&there, n))
         .collect()
 }
 
-fn gateways<'a>(key: u64, data_centre: &DataCentre, all: &'a [Placed]) -> Vec<&'a InstanceId> {
+fn gateways<'a>(
+    key: u64,
+    data_centre: &DataCentre,
+    all: &'a [InstanceLocation],
+) -> Vec<&'a InstanceId> {
     let local: Vec<&InstanceId> = all
         .iter()
         .filter(|placed| &placed.data_centre == data_centre)
         .map(|placed| &placed.instance)
         .collect();
-    let chosen = rendezvous::owners(key, &local, GATEWAYS);
+    let chosen = rendezvous::owners(key, &local, LINKS_PER_DATA_CENTRE_PAIR);
     chosen.into_iter().map(|index| local[index]).collect()
 }
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -133,16 +133,16 @@
 impl TokenRate {
     /// The slowest rate that a span is computed with, so that a rate learned as nearly zero
     /// yields a long wait and not an infinite one.
-    const MIN: f64 = 0.001;
+    const MIN_TOKENS_PER_S: f64 = 0.001;
 
     /// How long `tokens` take at this rate.
-    pub fn span(self, tokens: Tokens) -> Duration {
+    pub fn duration_for(self, tokens: Tokens) -> Duration {
         Duration::try_from_secs_f64(self.seconds(tokens)).unwrap_or(Duration::MAX)
     }
 
     /// The same in seconds, for sums over many endpoints.
     pub fn seconds(self, tokens: Tokens) -> f64 {
-        tokens.0 as f64 / self.0.max(Self::MIN)
+        tokens.0 as f64 / self.0.max(Self::MIN_TOKENS_PER_S)
     }
 
     /// How many tokens this rate gives in `span`.
--- a/crates/policy/tests/arrange.rs
+++ b/crates/policy/tests/arrange.rs
@@ -281,7 +281,7 @@
                 assert!(placement.predicted_ms <= 3_000.0, "{placement:?}");
                 let answered = now + Duration::from_secs_f64(placement.predicted_ms / 1000.0);
                 answers.entry(answered).or_default().push(placement.job);
-                taken_ms += engine().read_ms(DOSSIER);
+                taken_ms += engine().prefill_ms(DOSSIER);
             }
             Err(PlacementRefusal::TooLate(after)) => {
                 assert!(after < Duration::from_secs(5), "{after:?}");
@@ -462,7 +462,7 @@
 #[test]
 fn what_is_short_depends_on_the_callers() {
     let prompt = 17_000;
-    let read_ms = engine().read_ms(prompt);
+    let read_ms = engine().prefill_ms(prompt);
     for (pause_ms, is_split) in [(read_ms * 3.0, false), (read_ms, true)] {
         let mut scheduler = scheduler(8);
         let request = PlacementRequest { max_pause_ms: pause_ms, ..request(prompt) };
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -63,7 +63,7 @@
     let overlay = "{\n  \"x\": 1,\n  \"workspaces\": {\"desk\": {\"weight\": 0}},\n  \
                    \"endpoints\": {\"e1\": {\"data_centre\": \"é\"}}\n}";
     let found = with(overlay).unwrap_err();
-    let places: Vec<_> = found.iter().map(|f| f.place.as_ref().unwrap().to_string()).collect();
+    let places: Vec<_> = found.iter().map(|f| f.location.as_ref().unwrap().to_string()).collect();
     assert_eq!(places, ["20.json:2:3", "20.json:3:27", "20.json:4:24", "20.json:4:24"]);
     assert_eq!(found[1].path, "workspaces.desk.weight");
 }
--- a/crates/policy/tests/herd.rs
+++ b/crates/policy/tests/herd.rs
@@ -74,7 +74,7 @@
         let engine = arranging::index(&placed.endpoint);
         let now_ms = now_us as f64 / 1_000.0;
         prefilled_at_ms[engine] =
-            prefilled_at_ms[engine].max(now_ms) + self::engine().read_ms(QUESTION);
+            prefilled_at_ms[engine].max(now_ms) + self::engine().prefill_ms(QUESTION);
         placed_count += 1;
         late += usize::from(prefilled_at_ms[engine] - now_ms > GOAL_MS);
     }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -5,13 +5,13 @@
 use policy::{
     EndpointId,
     config::Version,
-    orders::{Replica, Step, next},
+    orders::{EngineStatus, RolloutStep, next_step},
 };
 use quickcheck::quickcheck;
 
 /// An engine by name; the letters say whether it is current (`c`) and ready (`r`).
-fn replica(name: &str, state: &str) -> Replica {
-    Replica {
+fn replica(name: &str, state: &str) -> EngineStatus {
+    EngineStatus {
         endpoint: EndpointId::new(name).unwrap(),
         is_current: state.contains('c'),
         ready: state.contains('r'),
@@ -24,8 +24,8 @@
         #[test]
         fn $name() {
             let replicas = [$(replica($engine, $state)),*];
-            let expected = Step::$step $((EndpointId::new($chosen).unwrap()))?;
-            assert_eq!(next(&replicas, Version(4)), expected);
+            let expected = RolloutStep::$step $((EndpointId::new($chosen).unwrap()))?;
+            assert_eq!(next_step(&replicas, Version(4)), expected);
         }
     )*};
 }
@@ -44,7 +44,10 @@
 #[test]
 fn an_instance_that_is_behind_keeps_still() {
     let replicas = [replica("a", "r"), replica("b", "r")];
-    assert_eq!(next(&replicas, Version(2)), Step::Behind(EndpointId::new("a").unwrap()));
+    assert_eq!(
+        next_step(&replicas, Version(2)),
+        RolloutStep::Behind(EndpointId::new("a").unwrap())
+    );
 }
 
 quickcheck! {
@@ -55,7 +58,7 @@
             .iter()
             .take(20)
             .enumerate()
-            .map(|(i, (current, ready))| Replica {
+            .map(|(i, (current, ready))| EngineStatus {
                 endpoint: EndpointId::new(&format!("e{i}")).unwrap(),
                 is_current: *current,
                 ready: *ready,
@@ -64,11 +67,11 @@
             .collect();
         let served = replicas.iter().any(|r| r.ready);
         for _ in 0..100 {
-            let (name, ready) = match next(&replicas, Version(1)) {
-                Step::Order(name) => (name, false),
-                Step::Loading(name) => (name, true),
-                Step::Done | Step::LastReady(_) => break,
-                Step::Behind(_) => return false,
+            let (name, ready) = match next_step(&replicas, Version(1)) {
+                RolloutStep::Order(name) => (name, false),
+                RolloutStep::Loading(name) => (name, true),
+                RolloutStep::Done | RolloutStep::LastReady(_) => break,
+                RolloutStep::Behind(_) => return false,
             };
             let replica = replicas.iter_mut().find(|r| r.endpoint == name).unwrap();
             (replica.is_current, replica.ready) = (true, ready);
--- a/crates/policy/tests/routes.rs
+++ b/crates/policy/tests/routes.rs
@@ -9,7 +9,7 @@
 use engines::engine;
 use policy::{
     EndpointGroup, Workspace,
-    routes::{KeyTable, Owner, Repeat, Route, RouteTable, Share},
+    routes::{GroupShare, KeyOwner, KeyTable, RetrySafety, Route, RouteTable},
 };
 
 fn group(name: &str) -> EndpointGroup {
@@ -19,18 +19,18 @@
 fn route(name: &str, shares: &[(&str, u32)]) -> Arc<Route> {
     Arc::new(Route {
         name: name.to_owned(),
-        repeat: Repeat::Once,
-        streams: false,
+        retry_safety: RetrySafety::Once,
+        is_streaming: false,
         timeout: Duration::from_secs(1),
         goal: Duration::from_secs(1),
         pause_goal: Duration::from_secs(1),
-        patience: Duration::from_secs(8),
+        gap_timeout: Duration::from_secs(8),
         priority: 0,
         max_attempts: 1,
         is_public: false,
         split: shares
             .iter()
-            .map(|(name, weight)| Share { group: group(name), weight: *weight })
+            .map(|(name, weight)| GroupShare { group: group(name), weight: *weight })
             .collect(),
     })
 }
@@ -79,7 +79,7 @@
 #[test]
 fn keys_name_their_owner() {
     let mut keys = KeyTable::required();
-    let owner = Owner { workspace: Workspace::new("counter").unwrap(), priority: Some(2) };
+    let owner = KeyOwner { workspace: Workspace::new("counter").unwrap(), priority: Some(2) };
     keys.insert("k".to_owned(), owner.clone());
     assert_eq!(keys.owner("k"), Some(&owner));
     assert_eq!(keys.owner("K"), None);
@@ -89,9 +89,9 @@
 #[test]
 fn reading_grows_faster_than_the_prompt() {
     let near = |ms: f64, expected: f64| (ms / expected - 1.0).abs() < 0.03;
-    assert!(near(engine().read_ms(5_000), 20.7), "{}", engine().read_ms(5_000));
-    assert!(near(engine().read_ms(45_000), 268.6), "{}", engine().read_ms(45_000));
-    assert!(near(engine().read_ms(210_000), 2_842.0), "{}", engine().read_ms(210_000));
+    assert!(near(engine().prefill_ms(5_000), 20.7), "{}", engine().prefill_ms(5_000));
+    assert!(near(engine().prefill_ms(45_000), 268.6), "{}", engine().prefill_ms(45_000));
+    assert!(near(engine().prefill_ms(210_000), 2_842.0), "{}", engine().prefill_ms(210_000));
 }
 
 #[test]
@@ -108,7 +108,7 @@
             let mut route = (*route("ask", &[("g", 1)])).clone();
             route.pause_goal = Duration::from_millis(250);
             let event: Option<u64> = $event;
-            let left = route.time_to_bound(
+            let left = route.time_to_event_deadline(
                 Duration::from_millis($arrived),
                 event.map(Duration::from_millis),
             );
--- a/crates/policy/tests/topology.rs
+++ b/crates/policy/tests/topology.rs
@@ -7,12 +7,12 @@
 
 use policy::{
     DataCentre, EndpointId, InstanceId, rendezvous,
-    topology::{Placed, links},
+    topology::{InstanceLocation, links},
 };
 
-fn fleet(data_centres: usize, each: usize) -> Vec<Placed> {
+fn fleet(data_centres: usize, each: usize) -> Vec<InstanceLocation> {
     (0..data_centres * each)
-        .map(|n| Placed {
+        .map(|n| InstanceLocation {
             instance: InstanceId::new(&format!("entry-{n}")).unwrap(),
             data_centre: DataCentre::new(&format!("dc-{}", n % data_centres)).unwrap(),
         })
@@ -48,7 +48,7 @@
     single_instances_in_many_data_centres: 20, 1 => at most 19, mean 19.0;
 }
 
-fn reached(all: &[Placed], linked: &[HashSet<InstanceId>]) -> usize {
+fn reached(all: &[InstanceLocation], linked: &[HashSet<InstanceId>]) -> usize {
     let mut seen = HashSet::from([0]);
     let mut open = vec![0];
     while let Some(n) = open.pop() {
--- a/crates/router/src/filter/call.rs
+++ b/crates/router/src/filter/call.rs
@@ -201,7 +201,7 @@
         if progress.not_sent > MAX_UNSENT_ATTEMPTS || progress.sent >= route.max_attempts {
             return false;
         }
-        if progress.unknown_outcomes > 0 && !route.repeat.is_idempotent() {
+        if progress.unknown_outcomes > 0 && !route.retry_safety.is_idempotent() {
             return false;
         }
         let instances = self.context.instances.load(Ordering::Relaxed);
@@ -251,7 +251,7 @@
         let (prompt, output) = received.caller.tokens.unwrap_or((0, 0));
         let progress = lock(&self.progress);
         let since_event = progress.last_event_at.map(|at| now.since(at));
-        let goal = received.route.time_to_bound(now.since(received.arrived), since_event);
+        let goal = received.route.time_to_event_deadline(now.since(received.arrived), since_event);
         let workspace_priority = received.owner.as_ref().and_then(|owner| owner.priority);
         PlacementRequest {
             prompt_tokens: prompt,
--- a/crates/router/src/filter/dispatch.rs
+++ b/crates/router/src/filter/dispatch.rs
@@ -114,7 +114,7 @@
         let group = self.0.groups.get_or_create(&name);
         self.check_stop_deadline(&received, &group)?;
         let call = Call::new(self.0.clone(), received, group);
-        if call.received.route.streams {
+        if call.received.route.is_streaming {
             return relay::stream(call).await;
         }
         call.respond_buffered().await
--- a/crates/router/src/filter/identify.rs
+++ b/crates/router/src/filter/identify.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use policy::{
     Workspace,
-    routes::{Owner, Route, RouteTable},
+    routes::{KeyOwner, Route, RouteTable},
 };
 
 use super::{Handler, Refusal, ResponseBody, refusal::Reason};
@@ -40,7 +40,7 @@
     /// The route that matches host and path.
     pub route: Arc<Route>,
     /// Owner of the API key; `None` where no key is required.
-    pub owner: Option<Owner>,
+    pub owner: Option<KeyOwner>,
 }
 
 impl Identified {
@@ -84,7 +84,7 @@
         table: &RouteTable,
         route: &Route,
         key: Option<&str>,
-    ) -> Result<Option<Owner>, Refusal> {
+    ) -> Result<Option<KeyOwner>, Refusal> {
         if !table.keys.is_required() || route.is_public {
             return Ok(None);
         }
--- a/crates/router/src/filter/receive.rs
+++ b/crates/router/src/filter/receive.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use policy::{
     Fingerprint, Time,
-    routes::{Owner, Route},
+    routes::{KeyOwner, Route},
 };
 use smol::{Timer, future::FutureExt};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     /// The route that matches host and path.
     pub route: Arc<Route>,
     /// Owner of the API key; `None` where no key is required.
-    pub owner: Option<Owner>,
+    pub owner: Option<KeyOwner>,
     /// When the head had been received.
     pub arrived: Time,
     /// When the response has to be complete.
@@ -84,7 +84,7 @@
     }
 }
 
-fn fingerprint(head: &request::Parts, owner: &Option<Owner>, body: &[u8]) -> Fingerprint {
+fn fingerprint(head: &request::Parts, owner: &Option<KeyOwner>, body: &[u8]) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(head.method.as_str().as_bytes());
     hash.update(head.uri.path().as_bytes());
--- a/crates/router/src/filter/relay.rs
+++ b/crates/router/src/filter/relay.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use http::{Response, response};
 use http_body_util::BodyExt;
-use policy::{FailCause, routes::Repeat};
+use policy::{FailCause, routes::RetrySafety};
 use smol::{
     Timer,
     channel::{Sender, bounded},
@@ -276,7 +276,7 @@
 /// Resumes the stream at another endpoint. Returns `None` if the route doesn't allow that or no
 /// endpoint does.
 async fn resume<D: Dialect>(call: &Call<D>, other: OtherAttempt) -> Option<EventStream<D>> {
-    if call.received.route.repeat != Repeat::Resumable {
+    if call.received.route.retry_safety != RetrySafety::Resumable {
         return None;
     }
     let resumed = hedge::first_accepted(call, other, async |call, active| {
--- a/crates/router/src/filter/send.rs
+++ b/crates/router/src/filter/send.rs
@@ -159,10 +159,10 @@
     /// How long to wait for an attempt before a hedge is sent.
     pub(super) fn hedge_delay(&self, placement: &Placement) -> Duration {
         let route = &self.received.route;
-        if !route.repeat.is_idempotent() {
+        if !route.retry_safety.is_idempotent() {
             return Duration::MAX;
         }
-        if route.streams {
+        if route.is_streaming {
             let predicted = Duration::from_secs_f64(placement.predicted_ms.max(0.0) / 1000.0);
             return 3 * predicted + FIRST_EVENT_SLACK;
         }
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -3,7 +3,7 @@
 
 use policy::{
     Fingerprint, Tokens,
-    prompt::{PromptDigest, PromptHasher},
+    prompt::{HashedPrompt, PromptHasher},
 };
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -41,7 +41,7 @@
         self.max_tokens.unwrap_or(DEFAULT_OUTPUT).max(1)
     }
 
-    pub(crate) fn digest(&self) -> PromptDigest {
+    pub(crate) fn digest(&self) -> HashedPrompt {
         let mut hasher = PromptHasher::new();
         hasher.update(self.prompt.as_bytes());
         for message in &self.messages {
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -14,7 +14,7 @@
 use bytes::{Buf, Bytes};
 use futures_lite::{AsyncRead, FutureExt, Stream as _, io::BufReader};
 use http_types::{Body, Request, Response, StatusCode};
-use policy::{Tokens, prompt::PromptDigest};
+use policy::{Tokens, prompt::HashedPrompt};
 use protocols::{
     engine::wire::{ATTEMPT, AttemptId, Held, HeldPage, KV_SHARDS, LEASE_MS, PRIORITY},
     http::HttpCall,
@@ -101,7 +101,7 @@
     lease: Duration,
     shards: Vec<ShardRef>,
     chat: bool,
-    digest: PromptDigest,
+    digest: HashedPrompt,
     body: RunBody,
 }
 
--- a/crates/standin/src/engine/step.rs
+++ b/crates/standin/src/engine/step.rs
@@ -146,7 +146,7 @@
             step.prefill.push(Chunk { id, tokens });
         }
     }
-    step.cost += cfg.prefill_rate.span(cfg.chunk - budget);
+    step.cost += cfg.prefill_rate.duration_for(cfg.chunk - budget);
     step.cost += cfg.decode_cost * step.decode.len() as u32;
     step.cost = step.cost.div_f64(state.speed.max(1e-3));
     step
