--- a/crates/daemon/examples/ledger_rate.rs
+++ b/crates/daemon/examples/ledger_rate.rs
@@ -25,14 +25,14 @@
 use smol::{LocalExecutor, Timer, block_on};
 use standin::{LogConfig, LogService};
 
-/// Appends that the log takes in a second.
+/// Rate limit of the log.
 const APPENDS_PER_SECOND: usize = 300;
-/// How long each measurement runs.
+/// Duration of a measurement, including its warm-up.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
-/// The first part of a measurement, which isn't counted: the paces find their balance.
+/// Start of a measurement, which isn't counted: the append rates of the ledgers converge.
 const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
-/// One measurement.
+/// Results of a measurement, or one caller's part of them.
 struct Measurement {
     claims: usize,
     refused: usize,
@@ -91,7 +91,8 @@
     all
 }
 
-/// One ledger with its callers, each of which claims, ends the call at once, and claims again.
+/// Runs one ledger with its callers. Each of them claims a call, completes it immediately, and
+/// claims the next one.
 fn run_ledger(log: HttpLog, index: usize, callers: usize, stop: &AtomicBool) -> Measurement {
     let clock = Clock::start();
     let Ok(instance) = InstanceId::new(&format!("entry-{index}")) else {
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated, over a log that fails in every way it may.
+//! Guards against calls that run twice or get a false outcome while the log fails in each way it
+//! can.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +20,7 @@
 const STREAM: &str = "ledger-0";
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One instance's ledger on a thread of its own, which ends with it.
+/// The ledger of one instance, run by its own thread until this value is dropped.
 struct TestInstance {
     ledger: Ledger<HttpLog>,
     clock: Clock,
@@ -79,7 +80,7 @@
 fn wait_until(mut done: impl FnMut() -> bool) {
     let end = std::time::Instant::now() + CALL_TIMEOUT;
     while !done() {
-        assert!(std::time::Instant::now() < end, "it never came");
+        assert!(std::time::Instant::now() < end, "the condition was not met in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -116,7 +117,7 @@
     claim.complete(answer(text));
 }
 
-/// A clerk's answer is lost, the clerk sends again, and the balancer picks another instance.
+/// An answer is lost, and the caller's retry reaches another instance.
 #[test]
 fn a_call_sent_again_gets_the_first_answer_from_any_instance() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -127,7 +128,7 @@
     assert_eq!(describe(&b.claim_for("k", 2, CALL_TIMEOUT)), "body differs");
 }
 
-/// Two instances get the same call at once, twenty times over. One of them runs it, and the other
+/// Two instances receive the same call concurrently, twenty times. One runs it, and the other
 /// caller waits for its answer.
 #[test]
 fn of_two_instances_one_runs_the_call() {
@@ -151,7 +152,8 @@
     }
 }
 
-/// The log takes the claim and its answer is lost; the claim is appended again.
+/// The append of a claim fails in the given way; the claim is appended again and the call runs
+/// once.
 macro_rules! append_faults {
     ($($case:ident: $fault:expr;)*) => {$(
         #[test]
@@ -175,8 +177,8 @@
     an_append_that_is_refused_once: AppendFault::Refuse;
 }
 
-/// The instance that runs a call dies, and comes back under its old name. Nobody can tell whether
-/// the call ran, and it isn't run again.
+/// The instance that runs a call crashes and restarts under the same name. Whether the call ran
+/// can't be determined, so it isn't run again.
 #[test]
 fn a_call_whose_claimant_died_stays_unknown() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -192,7 +194,7 @@
     }
 }
 
-/// A caller hangs up before anything was sent, and sends again: the call may run, once.
+/// A caller disconnects before anything was sent, and retries: the call may run, once.
 #[test]
 fn a_call_given_up_before_it_was_sent_may_run_later() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -204,21 +206,21 @@
             claim.complete(answer("x"));
             true
         }
-        // It had come before the first caller's "not run" stood in the log.
+        // The call arrived before the first caller's "not run" was in the log.
         ClaimOutcome::NotRun => false,
         other => panic!("{}", describe(&other)),
     });
     assert_eq!(describe(&a.claim("k")), "answer x");
 }
 
-/// Two callers send one registration at once; the one that runs it gives up before it has sent
-/// anything and says so. The other one, which had waited, must not run it now.
+/// Two callers send one registration concurrently. The claimant is abandoned before it has sent
+/// anything, and its caller is told "not run". The call that waited for it must not run any more.
 #[test]
 fn a_call_that_waited_hears_not_run_as_well() {
     let log = LogService::start(LogConfig::default()).unwrap();
     let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
     let claim = expect_run(a.claim("k"));
-    // The second one knows of the first before it comes.
+    // The second instance has read the first claim before its call arrives.
     wait_until(|| b.ledger.key_count() == 1);
     let b = Arc::new(b);
     let second = b.clone();
@@ -229,7 +231,7 @@
     run(&b, "k", "x");
 }
 
-/// The holder of a claim is paused past its caller's deadline and wakes up.
+/// The holder of a claim is paused until after its caller's deadline and resumes.
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -240,8 +242,8 @@
     assert!(!claim.try_begin_sending());
 }
 
-/// The log is down: calls are refused at once and truthfully, answers already known are given, and
-/// calls run again once it is back.
+/// While the log is down, calls are refused immediately with a true outcome, and known answers are
+/// returned. Calls run again once it is back.
 #[test]
 fn a_log_outage_refuses_calls_at_once() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -250,7 +252,7 @@
     for outage in [Outage::Refuses, Outage::Silent] {
         log.set_outage(outage);
         let first = describe(&a.claim("during"));
-        // An append that stays silent may have taken effect.
+        // An append without a reply may have taken effect.
         let expected = if outage == Outage::Refuses { "log down" } else { "unknown" };
         assert_eq!(first, expected);
         wait_until(|| !a.ledger.is_ready());
@@ -263,7 +265,7 @@
     run(&a, "during", "z");
 }
 
-/// An instance that starts while the log is down knows nothing of earlier calls, and says so.
+/// An instance that starts while the log is down doesn't know earlier calls and must report that.
 #[test]
 fn an_instance_that_has_read_nothing_never_says_not_run() {
     let log = LogService::start(LogConfig::default()).unwrap();
@@ -272,8 +274,8 @@
     assert_eq!(describe(&a.claim("k")), "behind");
 }
 
-/// The log drops all but a few records, a checkpoint among them. An instance that starts now still
-/// gives the first answer.
+/// The log drops all but its latest records, which include a checkpoint. An instance that starts
+/// now still returns the first answer.
 #[test]
 fn a_trimmed_log_loses_no_answer() {
     let cfg = LogConfig { keep: 60, ..LogConfig::default() };
--- a/crates/policy/tests/ledger_model.rs
+++ b/crates/policy/tests/ledger_model.rs
@@ -1,9 +1,9 @@
-//! Exhaustive search through everything that can happen to one key between two instances.
+//! Exhaustive search through the states of one key with two instances, concurrent calls and faults.
 //!
-//! What a user sees when the protocol is wrong: one registration entered twice, or "not run" for
-//! an entry that stands in the register. The search drives the fold and the claimant that the
-//! daemon uses. An instance may rest between any two of its steps for as long as others take
-//! theirs, which is what a pause is. Both broken variants must be caught, or the search proves
+//! Guards against a call that runs twice, and against a false "not run" for a call that ran: one
+//! registration entered twice, or one reported as missing that exists. The search drives the same
+//! fold and claimant as the daemon. Any instance may be delayed between any two of its steps, which
+//! models a pause. The broken protocol variants must be caught; otherwise the search proves
 //! nothing.
 
 #[path = "ledger_model/state.rs"]
@@ -44,17 +44,17 @@
 
 const SMALL_LIMITS: Limits = Limits { calls: 2, faults: 1 };
 
-/// Each case: what may happen, and the least number of states that must have been looked at.
+/// Each case: the limits of the search, and the minimum number of states to visit.
 macro_rules! runs_at_most_once {
-    ($($case:ident: $limits:expr, $least:expr;)*) => {$(
+    ($($case:ident: $limits:expr, $min_states:expr;)*) => {$(
         #[test]
         fn $case() {
-            // One at a time: the larger search keeps two million states, about 1 GB.
+            // Serialises the searches: the larger one keeps two million states, about 1 GB.
             let _turn = SEARCH_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
             let found = search(Protocol::Claim, $limits);
             println!("{} states", found.states);
             assert_eq!(found.counterexample, None);
-            assert!(found.states >= $least, "only {} states were looked at", found.states);
+            assert!(found.states >= $min_states, "only {} states were visited", found.states);
         }
     )*};
 }
@@ -64,8 +64,8 @@
     three_calls_and_one_fault: Limits { calls: 3, faults: 1 }, 1_900_000;
 }
 
-/// A holder claims with a lease, pauses, the lease lapses, another instance claims and runs, and
-/// the holder wakes up and runs as well.
+/// A holder claims with a lease and pauses; the lease expires; another instance claims and runs the
+/// call; the holder resumes and runs it as well.
 #[test]
 fn a_lease_is_caught_running_a_call_twice() {
     let trace = search(Protocol::Lease, SMALL_LIMITS).counterexample.unwrap();
@@ -73,7 +73,7 @@
     assert!(trace.last().unwrap().contains("ran twice"), "{trace:#?}");
 }
 
-/// Two instances look, neither sees a run, and both run.
+/// Two instances check concurrently, neither finds a previous run, and both run the call.
 #[test]
 fn check_then_run_is_caught_running_a_call_twice() {
     let trace = search(Protocol::CheckThenRun, SMALL_LIMITS).counterexample.unwrap();
@@ -81,8 +81,8 @@
     assert!(trace.last().unwrap().contains("ran twice"), "{trace:#?}");
 }
 
-/// A caller hears "not run" from an instance whose own claim had not been read back; the first
-/// instance's claim stood before it, and had run.
+/// An instance reports "not run" before its own claim is read back, while an earlier claim of
+/// another instance has run the call.
 #[test]
 fn saying_not_run_before_the_claim_is_read_back_is_caught() {
     let trace = search(Protocol::EarlyNotRun, SMALL_LIMITS).counterexample.unwrap();
--- a/crates/policy/tests/ledger_model/state.rs
+++ b/crates/policy/tests/ledger_model/state.rs
@@ -1,4 +1,4 @@
-//! What the search tells apart: everything that may differ between two moments.
+//! The search's state: everything that distinguishes two points of a history.
 
 use std::{
     fmt,
@@ -11,17 +11,17 @@
     ledger::{ClaimId, Claimant, Writer},
 };
 
-/// A call at an instance.
+/// A call that an instance handles.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Call {
-    /// Calls are numbered as they arrive.
+    /// Number of the call in order of arrival.
     pub(crate) number: u8,
     pub(crate) attempt: u32,
     pub(crate) id: Option<ClaimId>,
     pub(crate) claimant: Claimant,
 }
 
-/// A batch under way, by the number of its record.
+/// The batch in flight; `record` is an index of interned records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct InFlight {
     pub(crate) sequence: u64,
@@ -31,32 +31,32 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Instance {
     pub(crate) incarnation: u64,
-    /// The first record that it read, and one past the last.
+    /// The range of records that the instance has read.
     pub(crate) read_start: u8,
     pub(crate) read_end: u8,
     pub(crate) sequence: u64,
-    /// Entries by number.
+    /// Indices of interned entries.
     pub(crate) queue: Vec<u16>,
     pub(crate) in_flight: Option<InFlight>,
-    /// Whether the batch under way got no answer and may be appended again.
+    /// Whether the batch in flight got no reply and may be appended again.
     pub(crate) unanswered: bool,
     pub(crate) call: Option<Call>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct State {
-    /// Records by number; those below `first` are dropped.
+    /// Indices of interned records; records below position `first` have been dropped.
     pub(crate) log: Vec<u16>,
     pub(crate) first: u8,
     pub(crate) late_appends: Vec<u16>,
     pub(crate) instances: [Instance; 2],
-    /// Calls that were sent and haven't reached the endpoint.
+    /// Calls that were sent but haven't reached the endpoint.
     pub(crate) sent_calls: Vec<u8>,
     pub(crate) run_count: u8,
-    /// How many calls had arrived when one last heard "not run" after its claim was won.
-    pub(crate) not_run_heard_by: u8,
+    /// Number of calls that had arrived when a caller was last told "not run".
+    pub(crate) calls_before_not_run: u8,
     pub(crate) send_count: u8,
-    /// The answer that some instance has read, by number.
+    /// Index of the interned answer that an instance has read from the log.
     pub(crate) stored_answer: Option<u16>,
     pub(crate) calls: u8,
     pub(crate) crashes: u8,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A state and the step that led to it, which doesn't tell states apart.
+/// A state and the step that led to it. Equality and hash ignore the step.
 #[derive(Clone)]
 pub(crate) struct Node {
     pub(crate) state: Rc<State>,
@@ -112,7 +112,7 @@
             instances: [instance.clone(), instance],
             sent_calls: Vec::new(),
             run_count: 0,
-            not_run_heard_by: 0,
+            calls_before_not_run: 0,
             send_count: 0,
             stored_answer: None,
             calls: 0,
@@ -138,9 +138,9 @@
     }
 }
 
-/// The writer that an instance is in its present life.
+/// The writer identity of an instance in its current incarnation.
 pub(crate) fn writer(state: &State, i: usize) -> Writer {
     let name = ["entry-0", "entry-1"][i];
     let incarnation = Incarnation(state.instances[i].incarnation);
-    Writer { instance: InstanceId::new(name).expect("a name"), incarnation }
+    Writer { instance: InstanceId::new(name).expect("valid name"), incarnation }
 }
--- a/crates/policy/tests/ledger_model/world.rs
+++ b/crates/policy/tests/ledger_model/world.rs
@@ -1,5 +1,5 @@
-//! The world of the search: a log that loses answers and lets appends surface late, two instances
-//! that crash and restart, an endpoint, and callers that send one key again.
+//! Transitions of the search: a log that loses replies and applies appends late, two instances that
+//! crash and restart, an endpoint, and callers that repeat one key.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -14,27 +14,28 @@
 
 use crate::state::{Call, InFlight, Instance, Node, State, writer};
 
-/// How calls are kept from running twice.
+/// The protocol that prevents a call from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Protocol {
-    /// As the daemon does it.
+    /// The daemon's protocol.
     Claim,
-    /// A claim lapses after a time. (The fold's rule for endpoints that deduplicate, used on one
-    /// that doesn't.)
+    /// A claim expires after a time. (This uses the fold's rule for endpoints that deduplicate on
+    /// one that doesn't.)
     Lease,
-    /// Look whether it ran, run it, note it.
+    /// Check whether the call ran, then run it and record it.
     CheckThenRun,
-    /// As the daemon does it, but a call given up before its claim is read back hears "not run".
+    /// The daemon's protocol, but a call that is abandoned before its claim is read back is
+    /// reported as "not run".
     EarlyNotRun,
 }
 
-/// How much may happen in one history. Larger numbers give the same verdict in more time: the
-/// search grows about twentyfold with each mishap and each call.
+/// Limits on one history. Larger limits give the same result in more time: each fault and each call
+/// multiplies the states by about twenty.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limits {
-    /// Calls under the one key.
+    /// Number of calls with the same key.
     pub(crate) calls: u8,
-    /// Crashes, lost answers, late appends and dropped records together.
+    /// Number of crashes, lost replies, late appends and log truncations together.
     pub(crate) faults: u8,
 }
 
@@ -46,8 +47,8 @@
 
 type FoldCache = HashMap<(Vec<u16>, u8), Option<Rc<Ledger>>>;
 
-/// Keeps the contents of records, entries and answers, and folds, once, however many states share
-/// them: states hold their numbers, which keeps millions of them small.
+/// Interns records, entries, answers and folds, so that states store only small indices and
+/// millions of them fit into memory.
 pub(crate) struct World {
     protocol: Protocol,
     limits: Limits,
@@ -60,9 +61,9 @@
 
 impl World {
     pub(crate) fn new(protocol: Protocol, limits: Limits) -> Self {
-        let workspace = Workspace::new("desk").expect("a name");
-        let key = CallKey::new(workspace, EndpointGroup::new("register").expect("a name"), "k")
-            .expect("a key");
+        let workspace = Workspace::new("desk").expect("valid name");
+        let key = CallKey::new(workspace, EndpointGroup::new("register").expect("valid name"), "k")
+            .expect("valid key");
         World {
             protocol,
             limits,
@@ -123,7 +124,7 @@
     fn call_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
         let Some(call) = &state.instances[i].call else {
-            // The instances are alike, so the first call may as well come to the first one.
+            // The instances are symmetric, so the first call always arrives at the first one.
             if state.calls < self.limits.calls && (state.calls > 0 || i == 0) {
                 push(out, state, i, "a call arrives", |state| self.arrive(state, i));
             }
@@ -131,27 +132,27 @@
         };
         match call.claimant.state() {
             ClaimantState::Waiting | ClaimantState::Won => {
-                push(out, state, i, "the call is given up", |state| self.abandon(state, i));
+                push(out, state, i, "the call is abandoned", |state| self.abandon(state, i));
                 if call.claimant.state() == ClaimantState::Won {
                     push(out, state, i, "the call is sent", |state| self.send(state, i));
                 }
             }
             ClaimantState::Sending => {
-                // Of a lease only a holder that pauses is of interest here.
+                // With a lease, only holders that pause are examined.
                 if self.protocol != Protocol::Lease {
                     push(out, state, i, "the outcome stays unknown", |state| {
                         self.finish(state, i, None);
                     });
                 }
                 if state.run_count > 0 {
-                    push(out, state, i, "the answer comes", |state| {
+                    push(out, state, i, "the answer arrives", |state| {
                         let body = Some(format!("answer {}", state.run_count));
                         let answer = Answer { status: 200, content_type: None, body };
                         self.finish(state, i, Some(answer));
                     });
                 }
             }
-            // The caller has heard its answer.
+            // The caller has its answer.
             ClaimantState::Lost | ClaimantState::Abandoned => {}
         }
     }
@@ -167,7 +168,7 @@
             });
         }
         if (new || instance.unanswered) && state.faults() < self.limits.faults {
-            push(out, state, i, "appends, and the answer is lost", |state| {
+            push(out, state, i, "appends, and the reply is lost", |state| {
                 let record = self.batch(state, i);
                 state.log.push(record);
                 state.faulty_appends += 1;
@@ -262,10 +263,10 @@
         let deduplicates = self.protocol == Protocol::Lease;
         let attempt = match ledger.key_state(&self.key) {
             None => Some(1),
-            // Enough time has passed for a lease to lapse: the holder may be paused for any time.
+            // Any lease may have expired, because the holder may be paused for any time.
             Some(key_state) => key_state.next_attempt(deduplicates, u64::MAX),
         };
-        // Otherwise the caller hears the answer, or "unknown".
+        // Otherwise the caller gets the stored answer or "unknown".
         let Some(attempt) = attempt else { return };
         let number = state.calls;
         let instance = &mut state.instances[i];
@@ -285,8 +286,8 @@
         let outcome = call.claimant.abandon(BEFORE_DEADLINE);
         let id = call.id;
         let early_not_run = self.protocol == Protocol::EarlyNotRun;
-        // Of a lease only the double run is of interest here.
-        let hears_not_run = (outcome == AbandonOutcome::NotRun || early_not_run)
+        // With a lease, only duplicate runs are examined.
+        let is_told_not_run = (outcome == AbandonOutcome::NotRun || early_not_run)
             && self.protocol != Protocol::Lease;
         let instance = &mut state.instances[i];
         instance.call = None;
@@ -297,24 +298,24 @@
             }
             None => instance.queue.retain(|entry| !self.is_claim(*entry)),
         }
-        if hears_not_run {
-            state.not_run_heard_by = arrived;
+        if is_told_not_run {
+            state.calls_before_not_run = arrived;
             if send_count > 0 {
-                state.violation = Some("a caller heard \"not run\" after the call was sent");
+                state.violation = Some("a caller was told \"not run\" after the call was sent");
             }
         }
     }
 
     fn send(&self, state: &mut State, i: usize) {
-        let heard = state.not_run_heard_by;
+        let calls_before_not_run = state.calls_before_not_run;
         let Some(call) = &mut state.instances[i].call else { return };
         assert!(call.claimant.try_begin_sending(BEFORE_DEADLINE));
         let number = call.number;
         state.send_count += 1;
         state.sent_calls.push(number);
-        // Only a call that came after it may run once a caller has heard "not run".
-        if number <= heard {
-            state.violation = Some("a call was sent although a later caller heard \"not run\"");
+        // Once a caller has been told "not run", only calls that arrived later may run.
+        if number <= calls_before_not_run {
+            state.violation = Some("a call was sent although a later caller was told \"not run\"");
         }
     }
 
@@ -328,7 +329,7 @@
         }));
     }
 
-    /// The batch under way, or a new one from what waits.
+    /// The batch in flight, or a new one made of the queued entries.
     fn batch(&self, state: &mut State, i: usize) -> u16 {
         let writer = writer(state, i);
         let instance = &mut state.instances[i];
@@ -347,7 +348,8 @@
         }
         let known = self.entries.borrow();
         let entries = queue.iter().map(|entry| known[usize::from(*entry)].clone()).collect();
-        let data = encode::<Ledger>(&Batch { writer, sequence, entries }).expect("JSON");
+        let data =
+            encode::<Ledger>(&Batch { writer, sequence, entries }).expect("serialises to JSON");
         let record = self.record(data);
         instance.in_flight = Some(InFlight { sequence, record });
         record
@@ -409,7 +411,7 @@
     }
 }
 
-/// The number of `value` among all that were met.
+/// Index of `value` among the interned values, which it is added to if it is new.
 fn intern<T: PartialEq>(known: &mut Vec<T>, value: T) -> u16 {
     let at = known.iter().position(|known| *known == value).unwrap_or_else(|| {
         known.push(value);
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -1,6 +1,7 @@
-//! The fold of witnesses: which word counts when they disagree.
+//! Guards against wrong states of members when the list, heartbeats and the operator's mark
+//! disagree.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -22,7 +23,7 @@
     Time::from_millis(seconds * 1000)
 }
 
-/// What a witness says, in seconds after the start.
+/// A report about the member; the first value is its time in seconds after the start.
 enum Report {
     Observed(u64, u64, MemberObservation),
     Listed(u64, u64, bool),
@@ -127,7 +128,8 @@
     )*};
 }
 
-/// Silence since second 1 is proof with a list read this much later that lacks the owner.
+/// Time from which a list without the owner proves that an owner is dead that has been silent since
+/// second 1.
 const PROVED_AT_S: u64 = 1 + DEAD_TIMEOUT.as_secs() + MAX_LIST_LAG.as_secs();
 const RELEASE_AT_S: u64 = PROVED_AT_S + OWNER_GRACE_PERIOD.as_secs();
 
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,4 +1,5 @@
-//! Readers of one stream agree, whatever the log has dropped and however often it repeats itself.
+//! Guards against readers of one stream that disagree, although the log drops old records and
+//! repeats others.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +20,7 @@
 
 const WINDOW: Duration = Duration::from_secs(1_000);
 
-/// A log in memory.
+/// An in-memory log of records and their times.
 #[derive(Default)]
 struct Log {
     records: Vec<(u64, Vec<u8>)>,
@@ -30,7 +31,7 @@
         self.records.push((time_ms, data));
     }
 
-    /// Lets a reader read all that is kept from `first` on.
+    /// Feeds a reader with all records from position `first` on.
     fn feed<F: Fold>(&self, replay: &mut Replay<F>, first: usize) -> Vec<F::Change> {
         let kept = self.records.iter().enumerate().skip(first);
         let records = kept.map(|(offset, (time_ms, data))| LogRecord {
@@ -81,8 +82,8 @@
     assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
-/// An append hangs, its writer gives the call up under the next number, and then the append
-/// surfaces. It must not claim the call for a writer that will never run it.
+/// An append hangs, its writer abandons the call in its next batch, and then the append takes
+/// effect. It must not claim the call for a writer that won't run it.
 #[test]
 fn a_batch_that_surfaces_late_is_void() {
     let (mut log, mut replay) = (Log::default(), ledger());
@@ -109,7 +110,7 @@
     assert_eq!((key_state.attempt, &key_state.phase), (1, &Phase::Done(answer)));
 }
 
-/// Callers get large answers all day; instances must not run out of memory over them.
+/// Large answers over a whole day must not exhaust the memory of instances.
 #[test]
 fn the_oldest_answers_lose_their_bodies_first() {
     let (mut log, mut replay) = (Log::default(), ledger());
@@ -145,7 +146,7 @@
     assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
-/// A claim of a UUIDv7 key surfaces after the key was forgotten. Its age shows it.
+/// A claim of a UUIDv7 key takes effect after the key expired; the key's own timestamp shows it.
 #[test]
 fn a_uuidv7_key_can_not_be_claimed_after_its_window() {
     let made = Uuid::new_v7(Timestamp::from_unix(NoContext, 500, 0)).to_string();
@@ -212,7 +213,7 @@
     replay
 }
 
-/// Two operators change version 1 at once; the second's change is then sent again, late.
+/// Two operators change version 1 concurrently; the second one's change is appended again later.
 #[test]
 fn of_two_changes_from_one_version_the_first_is_accepted() {
     let mut log = Log::default();
@@ -271,7 +272,7 @@
     assert!(difference(&source_files(1), &source_files(1)).is_empty());
 }
 
-/// Builds a stream of claims and their ends by two writers out of random numbers.
+/// Builds a stream of claims and their outcomes by two writers from random bytes.
 fn random_stream(steps: &[u8]) -> Log {
     let mut log = Log::default();
     let mut sequences = [0_u64; 2];
@@ -288,7 +289,7 @@
                 Entry::Done { key: key(&text), claim: claim_id, answer }
             }
         };
-        // Now and then a number is used twice, as after a lost answer.
+        // Some sequence numbers are used twice, as after a lost reply.
         sequences[who] += u64::from(step % 7 != 0);
         log.append(time * 50_000, batch(["a", "b"][who], sequences[who].max(1), vec![entry]));
     }
@@ -305,7 +306,7 @@
 }
 
 quickcheck! {
-    /// A reader that starts after records were dropped agrees with one that read them all.
+    /// A reader that starts after records were dropped agrees with a reader of all records.
     fn a_checkpoint_stands_for_what_was_dropped(steps: Vec<u8>, at: usize, upto: usize) -> TestResult {
         if steps.is_empty() {
             return TestResult::discard();
@@ -315,7 +316,7 @@
         let mut early = ledger();
         let head = Log { records: log.records[..covered].to_vec() };
         head.feed(&mut early, 0);
-        // The checkpoint comes some records after what it covers.
+        // Some records lie between those that the checkpoint covers and the checkpoint itself.
         let place = covered + upto % (steps.len() - covered + 1);
         let time = log.records[place - 1].0;
         let records = early.checkpoint("c").unwrap();
@@ -328,7 +329,7 @@
         TestResult::from_bool(states_match(&whole, &late))
     }
 
-    /// A log that gives records again changes nothing.
+    /// Records that the log repeats change nothing.
     fn repeated_pages_change_nothing(steps: Vec<u8>) -> bool {
         let log = random_stream(&steps);
         let (mut once, mut twice) = (ledger(), ledger());
@@ -338,7 +339,7 @@
         states_match(&once, &twice)
     }
 
-    /// Whatever stands in a stream, a reader goes on.
+    /// Malformed records never stop a reader.
     fn any_bytes_are_read_or_skipped(records: Vec<Vec<u8>>) -> bool {
         let log = Log { records: records.into_iter().map(|data| (1, data)).collect() };
         let (mut ledger, mut publication) = (ledger(), Replay::<Publication>::new(()));
