--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct AdmittedRequest {
     /// The request.
-    pub timed: RequestWithDeadline,
+    pub request: RequestWithDeadline,
     /// What the scheduler knows of it.
     pub spec: Arc<RequestSpec>,
     /// Its place with the scheduler.
@@ -39,10 +39,10 @@
 impl AdmissionGuard {
     /// Tells the scheduler how the request ended.
     pub fn end(mut self, outcome: Outcome) {
-        self.tell(outcome);
+        self.report_end(outcome);
     }
 
-    fn tell(&mut self, outcome: Outcome) {
+    fn report_end(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.deployment.observe(Event::Ended { request: self.spec.id, outcome });
         }
@@ -51,7 +51,7 @@
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.tell(Outcome::Cancelled);
+        self.report_end(Outcome::Cancelled);
     }
 }
 
@@ -68,17 +68,17 @@
 }
 
 impl<N: Handler<AdmittedRequest>> Handler<RequestWithDeadline> for Admission<N> {
-    async fn handle(&self, timed: RequestWithDeadline) -> Result<Answer, CallError> {
-        let spec = Arc::new(spec(&timed));
-        let deployment = timed.received.route.deployment.clone();
+    async fn handle(&self, request: RequestWithDeadline) -> Result<Answer, CallError> {
+        let spec = Arc::new(request_spec(&request));
+        let deployment = request.received.route.deployment.clone();
         let decisions =
-            deployment.offer(spec.clone()).inspect_err(|refusal| note(&spec, refusal))?;
+            deployment.offer(spec.clone()).inspect_err(|refusal| log_refusal(&spec, refusal))?;
         let guard = AdmissionGuard { deployment, decisions, spec: spec.clone(), ended: false };
-        self.next.handle(AdmittedRequest { timed, spec, guard, claim: None }).await
+        self.next.handle(AdmittedRequest { request, spec, guard, claim: None }).await
     }
 }
 
-fn note(spec: &RequestSpec, refusal: &Refusal) {
+fn log_refusal(spec: &RequestSpec, refusal: &Refusal) {
     let (request, reason) = (spec.id.0, refusal.reason.as_str());
     let Some(forecast) = &refusal.forecast else {
         log::info!(request, reason, prompt = spec.prompt.0; "refused");
@@ -103,8 +103,8 @@
     );
 }
 
-fn spec(timed: &RequestWithDeadline) -> RequestSpec {
-    let received = &timed.received;
+fn request_spec(request: &RequestWithDeadline) -> RequestSpec {
+    let received = &request.received;
     let common = RequestSpec {
         id: received.record.id,
         workspace: received.workspace.clone(),
@@ -112,19 +112,22 @@
         prompt: RequestSpec::SERVICE_CALL_TOKENS,
         max_output: policy::Tokens::ZERO,
         arrived: received.record.arrived,
-        deadline: timed.deadline,
+        deadline: request.deadline,
         first_token_by: None,
         prefix: Vec::new(),
         fingerprint: received.fingerprint,
         repeatable: true,
     };
-    match &received.work {
-        CallDetails::Service(work) => RequestSpec { repeatable: work.repeatable(), ..common },
-        CallDetails::Model(work) => RequestSpec {
-            kind: CallKind::Model(work.model.clone()),
-            prompt: work.scan.prompt.tokens,
-            max_output: work.scan.max_output.unwrap_or(received.route.rules.limits.default_output),
-            prefix: work.scan.prompt.blocks.clone(),
+    match &received.details {
+        CallDetails::Service(details) => RequestSpec { repeatable: details.repeatable(), ..common },
+        CallDetails::Model(details) => RequestSpec {
+            kind: CallKind::Model(details.model.clone()),
+            prompt: details.scan.prompt.tokens,
+            max_output: details
+                .scan
+                .max_output
+                .unwrap_or(received.route.rules.limits.default_output),
+            prefix: details.scan.prompt.blocks.clone(),
             ..common
         },
     }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -6,7 +6,7 @@
 use http_types::StatusCode;
 use policy::{
     Outcome, Refusal, RefusalReason, RunStatus,
-    ledger::{Answer as KeptAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
+    ledger::{Answer as StoredAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
 };
 use protocols::log::http::HttpLog;
 use smol::channel::bounded;
@@ -19,9 +19,9 @@
 };
 
 /// When to come back after the log was down. Its outages last minutes, but clerks try again soon.
-const COME_BACK: Duration = Duration::from_secs(5);
+const LOG_OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// When to ask again for an outcome that isn't known yet.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const UNKNOWN_OUTCOME_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that is shared between this filter and the one that sends.
 pub type SharedClaim = Arc<RunClaim<HttpLog>>;
@@ -41,31 +41,31 @@
 
 impl<N: Handler<AdmittedRequest> + 'static> Handler<AdmittedRequest> for AtMostOnce<N> {
     async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
-        let CallDetails::Service(work) = &admitted.timed.received.work else {
+        let CallDetails::Service(details) = &admitted.request.received.details else {
             return self.next.handle(admitted).await;
         };
-        if work.repeatable() {
+        if details.repeatable() {
             return self.next.handle(admitted).await;
         }
         let key = call_key(&admitted)?;
         let Some(ledgers) = self.shared.ledgers() else {
             admitted.guard.end(Outcome::Cancelled);
-            return Err(log_down());
+            return Err(log_unavailable());
         };
         let req = ClaimRequest {
             key: key.clone(),
-            fingerprint: admitted.timed.received.fingerprint,
-            deduplicates: work.rules.as_ref().is_some_and(|rules| rules.deduplicates),
-            deadline: admitted.timed.deadline,
+            fingerprint: admitted.request.received.fingerprint,
+            deduplicates: details.rules.as_ref().is_some_and(|rules| rules.deduplicates),
+            deadline: admitted.request.deadline,
         };
         let outcome = ledgers.ledger_for(&key).claim(req).await;
         let deployment = &admitted.guard.deployment.name;
         self.shared.metrics.once_call(deployment, outcome.name());
         match outcome {
-            ClaimOutcome::Run(claim) => self.run(admitted, claim).await,
+            ClaimOutcome::Run(claim) => self.run_detached(admitted, claim).await,
             other => {
                 admitted.guard.end(Outcome::Answered);
-                without_run(other)
+                outcome_without_run(other)
             }
         }
     }
@@ -76,7 +76,7 @@
     ///
     /// Guards against a caller that hangs up while its call runs and sends it again: the call goes
     /// on, and the answer is kept for the second time.
-    async fn run(
+    async fn run_detached(
         &self,
         mut admitted: AdmittedRequest,
         claim: RunClaim<HttpLog>,
@@ -89,25 +89,28 @@
             let result = AssertUnwindSafe(next.handle(admitted)).catch_unwind().await;
             // Where it panicked, dropping the claim marks the outcome.
             let Ok(result) = result else { return };
-            tx.send(settle(claim, result)).await.ok();
+            tx.send(settle_claim(claim, result)).await.ok();
         });
-        rx.recv().await.unwrap_or_else(|_| Err(unknown()))
+        rx.recv().await.unwrap_or_else(|_| Err(outcome_unknown()))
     }
 }
 
 /// Tells the ledger how a call ended, and the caller what the ledger makes true.
-fn settle(claim: SharedClaim, result: Result<Answer, CallError>) -> Result<Answer, CallError> {
+fn settle_claim(
+    claim: SharedClaim,
+    result: Result<Answer, CallError>,
+) -> Result<Answer, CallError> {
     // The sending filter has dropped its share by now.
-    let claim = Arc::into_inner(claim).ok_or_else(unknown)?;
+    let claim = Arc::into_inner(claim).ok_or_else(outcome_unknown)?;
     match result {
         // Such an answer is no proof that nothing ran, and none that it did.
-        Ok(Answer::Complete(whole)) if whole.status == 429 || whole.status >= 500 => {
+        Ok(Answer::Complete(answer)) if answer.status == 429 || answer.status >= 500 => {
             claim.mark_unknown();
-            Ok(Answer::Complete(whole))
+            Ok(Answer::Complete(answer))
         }
-        Ok(Answer::Complete(whole)) => {
-            claim.complete(kept(&whole));
-            Ok(Answer::Complete(whole))
+        Ok(Answer::Complete(answer)) => {
+            claim.complete(stored_answer(&answer));
+            Ok(Answer::Complete(answer))
         }
         Ok(stream) => {
             claim.mark_unknown();
@@ -124,18 +127,18 @@
     }
 }
 
-fn kept(whole: &CompleteAnswer) -> KeptAnswer {
-    let body = std::str::from_utf8(&whole.body).ok();
-    KeptAnswer {
-        status: whole.status,
-        content_type: whole.content_type.clone(),
+fn stored_answer(answer: &CompleteAnswer) -> StoredAnswer {
+    let body = std::str::from_utf8(&answer.body).ok();
+    StoredAnswer {
+        status: answer.status,
+        content_type: answer.content_type.clone(),
         body: body.filter(|body| body.len() <= MAX_ANSWER_BODY_BYTES).map(str::to_owned),
     }
 }
 
 fn call_key(admitted: &AdmittedRequest) -> Result<CallKey, CallError> {
-    let received = &admitted.timed.received;
-    let Some(text) = &received.head.idempotency_key else {
+    let received = &admitted.request.received;
+    let Some(text) = &received.headers.idempotency_key else {
         return Err(CallError::malformed(
             "header `Idempotency-Key` is missing; this call may not be repeated and needs one",
         ));
@@ -145,10 +148,10 @@
         .map_err(|e| CallError::malformed(e.to_string()))
 }
 
-fn without_run(outcome: ClaimOutcome<HttpLog>) -> Result<Answer, CallError> {
+fn outcome_without_run(outcome: ClaimOutcome<HttpLog>) -> Result<Answer, CallError> {
     Err(match outcome {
-        ClaimOutcome::Answer(answer) => return first_answer(answer),
-        ClaimOutcome::Run(_) | ClaimOutcome::Unknown => unknown(),
+        ClaimOutcome::Answer(answer) => return replayed_answer(answer),
+        ClaimOutcome::Run(_) | ClaimOutcome::Unknown => outcome_unknown(),
         ClaimOutcome::BodyDiffers => CallError::caller(
             StatusCode::UnprocessableEntity,
             "key_reused",
@@ -158,15 +161,15 @@
             code: "not_run",
             message: "the call was given up before it was sent, and was not run".to_owned(),
             retry_after: Some(Duration::from_secs(1)),
-            ..log_down()
+            ..log_unavailable()
         },
-        ClaimOutcome::LogDown | ClaimOutcome::Full => log_down(),
+        ClaimOutcome::LogDown | ClaimOutcome::Full => log_unavailable(),
         ClaimOutcome::Behind => CallError {
             message: "the call was not run now, and whether one with its key ran before can't be \
                       looked up"
                 .to_owned(),
             ran: RunStatus::Unknown,
-            ..log_down()
+            ..log_unavailable()
         },
         ClaimOutcome::KeyTooOld => CallError {
             status: StatusCode::UnprocessableEntity,
@@ -183,7 +186,7 @@
     })
 }
 
-fn first_answer(answer: KeptAnswer) -> Result<Answer, CallError> {
+fn replayed_answer(answer: StoredAnswer) -> Result<Answer, CallError> {
     let Some(body) = answer.body else {
         return Err(CallError {
             status: StatusCode::Conflict,
@@ -204,16 +207,16 @@
     }))
 }
 
-fn unknown() -> CallError {
+fn outcome_unknown() -> CallError {
     CallError {
         status: StatusCode::GatewayTimeout,
         code: "outcome_unknown",
         message: "whether the call ran can't be told; it isn't run again".to_owned(),
         ran: RunStatus::Unknown,
-        retry_after: Some(ASK_AGAIN),
+        retry_after: Some(UNKNOWN_OUTCOME_RETRY_AFTER),
     }
 }
 
-fn log_down() -> CallError {
-    Refusal::new(RefusalReason::LogUnavailable, COME_BACK).into()
+fn log_unavailable() -> CallError {
+    Refusal::new(RefusalReason::LogUnavailable, LOG_OUTAGE_RETRY_AFTER).into()
 }
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -35,11 +35,11 @@
 
 impl<N: Handler<RequestWithDeadline>> Handler<ReceivedRequest> for Deadline<N> {
     async fn handle(&self, received: ReceivedRequest) -> Result<Answer, CallError> {
-        let asked = received.head.deadline.or_else(|| route_timeout(&received.work));
-        let span = received.route.rules.limits.deadline(asked);
-        let deadline = received.record.arrived + span;
+        let requested = received.headers.deadline.or_else(|| route_timeout(&received.details));
+        let time_allowed = received.route.rules.limits.deadline(requested);
+        let deadline = received.record.arrived + time_allowed;
         if deadline <= self.shared.clock.now() {
-            return Err(expired(RunStatus::No));
+            return Err(deadline_error(RunStatus::No));
         }
         received.conn.cut_at(deadline + WRITE_GRACE);
         self.next.handle(RequestWithDeadline { received, deadline }).await
@@ -48,14 +48,16 @@
 
 /// What a caller hears whose request didn't end in time. It may come back at once: how soon asking
 /// again would succeed, only the scheduler can tell.
-pub(super) fn expired(ran: RunStatus) -> CallError {
+pub(super) fn deadline_error(ran: RunStatus) -> CallError {
     let retry_after = Duration::from_secs(1);
     Failure { cause: FailCause::Deadline, ran, retry_after }.into()
 }
 
-fn route_timeout(work: &CallDetails) -> Option<Duration> {
-    match work {
+fn route_timeout(details: &CallDetails) -> Option<Duration> {
+    match details {
         CallDetails::Model(_) => None,
-        CallDetails::Service(work) => work.rules.as_ref()?.timeout_ms.map(Duration::from_millis),
+        CallDetails::Service(details) => {
+            details.rules.as_ref()?.timeout_ms.map(Duration::from_millis)
+        }
     }
 }
--- a/crates/daemon/src/filter/dispatch/assemble.rs
+++ b/crates/daemon/src/filter/dispatch/assemble.rs
@@ -9,17 +9,17 @@
 };
 use serde::Serialize;
 
-use crate::filter::{CompleteAnswer, ModelCallDetails, parse::CHAT};
+use crate::filter::{CompleteAnswer, ModelCallDetails, parse::CHAT_PATH};
 
 /// What was generated so far, over all attempts.
 #[derive(Debug, Default)]
-pub(super) struct Output {
+pub(super) struct GeneratedOutput {
     /// The text.
     pub(super) text: String,
     /// Offset of the next token.
     pub(super) offset: u64,
     /// Where the last token's text begins.
-    pub(super) last: usize,
+    pub(super) last_token_start: usize,
     /// Why generation ended, once it has.
     pub(super) finish_reason: Option<String>,
     /// The engine's counts, once known.
@@ -59,11 +59,11 @@
     total_tokens: u64,
 }
 
-impl Output {
+impl GeneratedOutput {
     /// Adds a piece.
     pub(super) fn push(&mut self, piece: Piece) {
         self.offset += 1;
-        self.last = self.text.len();
+        self.last_token_start = self.text.len();
         self.text.push_str(&piece.text);
         self.usage = piece.usage.or(self.usage);
         self.finish_reason = piece.finish_reason.or(self.finish_reason.take());
@@ -76,16 +76,17 @@
         match (self.offset, &self.finish_reason) {
             (0, _) => None,
             (1, Some(_)) => None,
-            (offset, Some(_)) => {
-                Some(Resume { from: offset - 1, text: self.text[..self.last].to_owned() })
-            }
+            (offset, Some(_)) => Some(Resume {
+                from: offset - 1,
+                text: self.text[..self.last_token_start].to_owned(),
+            }),
             (offset, None) => Some(Resume { from: offset, text: self.text.clone() }),
         }
     }
 
     /// The answer as one JSON document.
-    pub(super) fn assemble(&self, id: &str, work: &ModelCallDetails) -> CompleteAnswer {
-        let chat = work.path == CHAT;
+    pub(super) fn assemble(&self, id: &str, details: &ModelCallDetails) -> CompleteAnswer {
+        let chat = details.path == CHAT_PATH;
         let text = self.text.as_str();
         let message = chat.then_some(Message { role: "assistant", content: text });
         let choice = Choice {
@@ -95,12 +96,12 @@
             finish_reason: self.finish_reason.as_deref(),
         };
         let prompt_tokens =
-            self.usage.map_or(work.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
+            self.usage.map_or(details.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
         let completion = Completion {
             id,
             object: if chat { "chat.completion" } else { "text_completion" },
             created: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs(),
-            model: work.model.as_str(),
+            model: details.model.as_str(),
             choices: [choice],
             usage: Counts {
                 prompt_tokens,
--- a/crates/daemon/src/filter/dispatch/attempt.rs
+++ b/crates/daemon/src/filter/dispatch/attempt.rs
@@ -19,9 +19,9 @@
 use serde::Serialize;
 
 use super::{
-    driver::{AttemptEnd, Driver, End},
+    driver::{AttemptEnd, Driver, RequestEnd},
     reserve::{Reservations, is_expected},
-    silence::Watch,
+    silence::StreamWatchdog,
 };
 use crate::{
     controller::RESERVATION_LEASE,
@@ -30,11 +30,11 @@
 };
 
 /// Tokens between two reports of progress to the scheduler.
-const PROGRESS_STEP: u64 = 32;
+const PROGRESS_INTERVAL_TOKENS: u64 = 32;
 
 /// How often one attempt may go on over a new connection to the same engine. A link that loses
 /// more connections than this within one answer is no better than none.
-const RECONNECTS: u32 = 2;
+const MAX_RECONNECTS: u32 = 2;
 
 impl Driver {
     /// Runs the request where the scheduler wants it. A connection that is lost while the engine
@@ -42,98 +42,104 @@
     /// least, and the scheduler has nothing to decide.
     pub(super) async fn attempt(&mut self, start: &Start) -> AttemptEnd {
         let active = self.shared.active();
-        let [head, others @ ..] = &start.shards[..] else { return failed(FailCause::NotSent) };
-        let Some(endpoint) = active.endpoints.get(&head.endpoint) else {
+        let [primary, others @ ..] = &start.shards[..] else { return failed(FailCause::NotSent) };
+        let Some(endpoint) = active.endpoints.get(&primary.endpoint) else {
             return failed(FailCause::NotSent);
         };
-        let name = self.name(start);
-        let reservations = match Box::pin(Reservations::take(&active, &name, others)).await {
+        let run_id = self.next_run_id(start);
+        let reservations = match Box::pin(Reservations::reserve_all(&active, &run_id, others)).await
+        {
             Ok(reservations) => reservations,
             Err(cause) => return failed(cause),
         };
-        let place = Place { start, head, endpoint, kv_shards: reservations.header() };
-        for _ in 0..RECONNECTS {
-            let name = self.name(start).to_string();
-            match self.run_once(&place).await {
-                Ok(()) => return AttemptEnd::Request(End::Finished),
+        let target = AttemptTarget { start, primary, endpoint, kv_shards: reservations.header() };
+        for _ in 0..MAX_RECONNECTS {
+            let run_id = self.next_run_id(start).to_string();
+            match self.run_once(&target).await {
+                Ok(()) => return AttemptEnd::Request(RequestEnd::Finished),
                 Err(AttemptEnd::Failed(FailCause::Silent | FailCause::Broken))
-                    if place.has_let_go(&name).await => {}
+                    if target.has_released(&run_id).await => {}
                 Err(end) => return end,
             }
         }
-        match self.run_once(&place).await {
-            Ok(()) => AttemptEnd::Request(End::Finished),
+        match self.run_once(&target).await {
+            Ok(()) => AttemptEnd::Request(RequestEnd::Finished),
             Err(end) => end,
         }
     }
 
     /// The name under which the next run is sent. It counts runs and not the scheduler's attempts,
     /// because a run over a new connection must not be taken for the one before.
-    fn name(&self, start: &Start) -> AttemptId {
+    fn next_run_id(&self, start: &Start) -> AttemptId {
         let owner = self.shared.owner.clone();
         AttemptId { owner, request: start.request, attempt: self.runs + 1 }
     }
 
-    async fn run_once(&mut self, place: &Place<'_>) -> Result<(), AttemptEnd> {
-        let Place { start, head, endpoint, .. } = place;
-        let attempt = self.name(start);
+    async fn run_once(&mut self, target: &AttemptTarget<'_>) -> Result<(), AttemptEnd> {
+        let AttemptTarget { start, primary, endpoint, .. } = target;
+        let attempt = self.next_run_id(start);
         self.runs += 1;
-        self.timed.received.record.update(|summary| {
+        self.request.received.record.update(|summary| {
             summary.attempts += 1;
-            summary.endpoint = Some(head.endpoint.clone());
+            summary.endpoint = Some(primary.endpoint.clone());
         });
         let id = attempt.to_string();
         let holding = endpoint.hold(id.clone(), HeldKind::Stream);
-        let run = self.run_call(place, attempt.clone());
-        let known = (head.incarnation != Incarnation(0)).then_some(head.incarnation);
-        let mut watch = Watch::new(endpoint, &id, known);
+        let run = self.run_call(target, attempt.clone());
+        let known = (primary.incarnation != Incarnation(0)).then_some(primary.incarnation);
+        let mut watchdog = StreamWatchdog::new(endpoint, &id, known);
         // On the heap, so that a stream under way doesn't carry the room that sending took.
         let sent = Box::pin(run.send());
-        let running = match watch.wait(self.output.offset, sent).await {
+        let running = match watchdog.wait(self.output.offset, sent).await {
             Ok(Ok(running)) => running,
             Ok(Err(e)) => {
                 if !matches!(e, RunError::Broken | RunError::BadAnswer) {
                     holding.close();
                 }
-                return Err(self.not_running(endpoint, &watch, e).await);
+                return Err(self.classify_run_error(endpoint, &watchdog, e).await);
             }
             Err(cause) => return Err(failed(cause)),
         };
         let lifecycle =
             LifecycleState { incarnation: running.incarnation, leaving: running.leaving };
         self.shared.record_lifecycle(endpoint, lifecycle);
-        if !is_expected(head, running.incarnation) {
+        if !is_expected(primary, running.incarnation) {
             return Err(failed(FailCause::NotSent));
         }
-        watch.incarnation = Some(running.incarnation);
-        self.relay(start, &attempt, running, &mut watch).await.map_err(failed)?;
+        watchdog.incarnation = Some(running.incarnation);
+        self.relay(start, &attempt, running, &mut watchdog).await.map_err(failed)?;
         holding.close();
         Ok(())
     }
 
-    fn run_call(&self, place: &Place<'_>, attempt: AttemptId) -> Run {
+    fn run_call(&self, target: &AttemptTarget<'_>, attempt: AttemptId) -> Run {
         Run {
-            address: place.endpoint.config.address,
-            path: self.work.path,
+            address: target.endpoint.config.address,
+            path: self.details.path,
             attempt,
-            priority: place.start.priority,
+            priority: target.start.priority,
             lease: RESERVATION_LEASE,
-            kv_shards: place.kv_shards.clone(),
-            traceparent: self.timed.received.head.traceparent.clone(),
+            kv_shards: target.kv_shards.clone(),
+            traceparent: self.request.received.headers.traceparent.clone(),
             body: self.body(),
         }
     }
 
     /// The body, with the place to resume at where the caller already has a part of the answer.
     fn body(&self) -> Vec<Bytes> {
-        let body = &self.timed.received.body;
+        let body = &self.request.received.body;
         match self.output.resume() {
-            Some(resume) => resumed(body, &resume),
+            Some(resume) => body_with_resume(body, &resume),
             None => vec![body.clone()],
         }
     }
 
-    async fn not_running(&self, endpoint: &Endpoint, watch: &Watch<'_>, e: RunError) -> AttemptEnd {
+    async fn classify_run_error(
+        &self,
+        endpoint: &Endpoint,
+        watchdog: &StreamWatchdog<'_>,
+        e: RunError,
+    ) -> AttemptEnd {
         match e {
             RunError::NotSent => failed(FailCause::NotSent),
             RunError::Rejected(rejection) => {
@@ -145,10 +151,10 @@
             }
             // In mid-stream such an answer can't be passed on, and another engine may resume.
             RunError::Final(answer) if self.output.offset == 0 => {
-                AttemptEnd::Request(End::Answered(answer))
+                AttemptEnd::Request(RequestEnd::Answered(answer))
             }
             RunError::Final(_) | RunError::EndpointError => failed(FailCause::EndpointError),
-            RunError::Broken => failed(watch.why_broken().await),
+            RunError::Broken => failed(watchdog.classify_break().await),
             RunError::BadAnswer => failed(FailCause::BadAnswer),
         }
     }
@@ -158,50 +164,50 @@
         start: &Start,
         attempt: &AttemptId,
         mut running: Running,
-        watch: &mut Watch<'_>,
+        watchdog: &mut StreamWatchdog<'_>,
     ) -> Result<(), FailCause> {
         let mut reported = self.output.offset;
-        let mut first = true;
+        let mut is_first_piece = true;
         loop {
-            let event = match watch.wait(self.output.offset, running.next()).await? {
+            let event = match watchdog.wait(self.output.offset, running.next()).await? {
                 Ok(Some(event)) => event,
-                Ok(None) | Err(SseError::Broken) => return Err(watch.why_broken().await),
+                Ok(None) | Err(SseError::Broken) => return Err(watchdog.classify_break().await),
                 Err(SseError::Malformed) => return Err(FailCause::BadAnswer),
             };
             if event.data == DONE {
-                let whole = self.output.finish_reason.is_some();
-                return if whole { Ok(()) } else { Err(FailCause::BadAnswer) };
+                let is_complete = self.output.finish_reason.is_some();
+                return if is_complete { Ok(()) } else { Err(FailCause::BadAnswer) };
             }
             let id: EventId = event.id.parse().map_err(|_| FailCause::BadAnswer)?;
             if id.attempt != *attempt || id.offset > self.output.offset {
                 return Err(FailCause::BadAnswer);
             }
             let piece = Piece::read(&event.data).ok_or(FailCause::BadAnswer)?;
-            if std::mem::take(&mut first) {
-                self.first_token(start, &piece);
+            if std::mem::take(&mut is_first_piece) {
+                self.record_first_token(start, &piece);
             }
             if id.offset == self.output.offset {
-                self.pass_on(piece, event).await;
+                self.forward_piece(piece, event).await;
             }
-            if self.output.offset >= reported + PROGRESS_STEP {
-                self.progress(start, self.output.offset - reported);
+            if self.output.offset >= reported + PROGRESS_INTERVAL_TOKENS {
+                self.record_progress(start, self.output.offset - reported);
                 reported = self.output.offset;
             }
         }
     }
 
-    async fn pass_on(&mut self, piece: Piece, event: SseEvent) {
+    async fn forward_piece(&mut self, piece: Piece, event: SseEvent) {
         self.output.push(piece);
-        self.timed.received.record.update(|summary| summary.output = Tokens(self.output.offset));
-        if self.work.scan.stream {
+        self.request.received.record.update(|summary| summary.output = Tokens(self.output.offset));
+        if self.details.scan.stream {
             // A caller that is gone ends the request elsewhere.
             self.messages.send(RelayMessage::Event(event.data)).await.ok();
         }
     }
 
-    fn first_token(&self, start: &Start, piece: &Piece) {
+    fn record_first_token(&self, start: &Start, piece: &Piece) {
         let now = self.shared.clock.now();
-        self.timed.received.record.update(|summary| {
+        self.request.received.record.update(|summary| {
             summary.first_token.get_or_insert(now);
         });
         let cached = piece.usage.and_then(|usage| usage.cached_tokens).map(Tokens);
@@ -209,27 +215,28 @@
         self.guard.deployment.observe(Event::FirstToken { request, attempt, cached });
     }
 
-    fn progress(&self, start: &Start, tokens: u64) {
+    fn record_progress(&self, start: &Start, tokens: u64) {
         let (request, attempt, tokens) = (start.request, start.attempt, Tokens(tokens));
         self.guard.deployment.observe(Event::Progress { request, attempt, tokens });
     }
 }
 
 /// Where one attempt runs.
-struct Place<'a> {
+struct AttemptTarget<'a> {
     start: &'a Start,
-    head: &'a Shard,
+    primary: &'a Shard,
     endpoint: &'a Arc<Endpoint>,
     kv_shards: String,
 }
 
-impl Place<'_> {
+impl AttemptTarget<'_> {
     /// Whether the engine still lives the life that was chosen, and has let go of the run `name`,
     /// whose memory the next run needs.
-    async fn has_let_go(&self, name: &str) -> bool {
+    async fn has_released(&self, run_id: &str) -> bool {
         let engine = self.endpoint.engine();
         let Ok(load) = engine.load().await else { return false };
-        is_expected(self.head, load.incarnation) && engine.release(&[name.to_owned()]).await.is_ok()
+        is_expected(self.primary, load.incarnation)
+            && engine.release(&[run_id.to_owned()]).await.is_ok()
     }
 }
 
@@ -238,19 +245,19 @@
 }
 
 #[derive(Serialize)]
-struct Member<'a> {
+struct ResumeMember<'a> {
     resume: &'a Resume,
 }
 
 /// `body` with the `resume` member added at its end, without a copy of `body`.
-fn resumed(body: &Bytes, resume: &Resume) -> Vec<Bytes> {
+fn body_with_resume(body: &Bytes, resume: &Resume) -> Vec<Bytes> {
     let end = body.iter().rposition(|byte| *byte == b'}').unwrap_or(body.len());
     // Plain strings and numbers can always be written.
-    let mut member = serde_json::to_vec(&Member { resume }).unwrap_or_default();
+    let mut member = serde_json::to_vec(&ResumeMember { resume }).unwrap_or_default();
     // The brace that opens the member's own object becomes the comma behind the body's last one;
     // the brace that closes it closes the body.
-    if let Some(first) = member.first_mut() {
-        *first = b',';
+    if let Some(is_first_piece) = member.first_mut() {
+        *is_first_piece = b',';
     }
     vec![body.slice(..end), Bytes::from(member)]
 }
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -8,12 +8,12 @@
 use protocols::engine::run::FinalAnswer;
 use smol::channel::Sender;
 
-use super::assemble::Output;
+use super::assemble::GeneratedOutput;
 use crate::{
     error::CallError,
     filter::{
-        AdmissionGuard, AdmittedRequest, ModelCallDetails, RequestWithDeadline, deadline::expired,
-        relay::RelayMessage,
+        AdmissionGuard, AdmittedRequest, ModelCallDetails, RequestWithDeadline,
+        deadline::deadline_error, relay::RelayMessage,
     },
     shared::Shared,
 };
@@ -21,18 +21,18 @@
 /// Follows one completion.
 pub(super) struct Driver {
     pub(super) shared: Arc<Shared>,
-    pub(super) timed: RequestWithDeadline,
+    pub(super) request: RequestWithDeadline,
     pub(super) guard: AdmissionGuard,
-    pub(super) work: ModelCallDetails,
+    pub(super) details: ModelCallDetails,
     pub(super) messages: Sender<RelayMessage>,
-    pub(super) output: Output,
+    pub(super) output: GeneratedOutput,
     /// Runs sent to engines.
     pub(super) runs: u32,
 }
 
 /// How a completion ended.
 #[derive(Debug)]
-pub(super) enum End {
+pub(super) enum RequestEnd {
     /// The answer is whole.
     Finished,
     /// The engine gave an answer that another would give too.
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
     /// It ended the request.
-    Request(End),
+    Request(RequestEnd),
     /// It failed.
     Failed(FailCause),
 }
 
-enum Step {
+enum DriverEvent {
     Attempt(AttemptEnd),
     Decision(Decision),
 }
@@ -64,31 +64,39 @@
     pub(super) fn new(
         shared: Arc<Shared>,
         admitted: AdmittedRequest,
-        work: ModelCallDetails,
+        details: ModelCallDetails,
         messages: Sender<RelayMessage>,
     ) -> Self {
-        let AdmittedRequest { timed, guard, .. } = admitted;
-        Driver { shared, timed, guard, work, messages, output: Output::default(), runs: 0 }
+        let AdmittedRequest { request, guard, .. } = admitted;
+        Driver {
+            shared,
+            request,
+            guard,
+            details,
+            messages,
+            output: GeneratedOutput::default(),
+            runs: 0,
+        }
     }
 
     /// Follows the request to its end. The deadline and the caller's hang-up end it from outside,
     /// whatever engine and scheduler do or fail to do.
     pub(super) async fn run(mut self) {
-        let (clock, deadline) = (self.shared.clock, self.timed.deadline);
-        let (conn, messages) = (self.timed.received.conn.clone(), self.messages.clone());
-        let late = async {
+        let (clock, deadline) = (self.shared.clock, self.request.deadline);
+        let (conn, messages) = (self.request.received.conn.clone(), self.messages.clone());
+        let deadline_passed = async {
             clock.sleep_until(deadline).await;
-            End::Expired
+            RequestEnd::Expired
         };
         let hung_up = async {
             conn.hung_up().or(messages.closed()).await;
-            End::HungUp
+            RequestEnd::HungUp
         };
-        let end = self.follow().or(hung_up).or(late).await;
+        let end = self.follow_decisions().or(hung_up).or(deadline_passed).await;
         self.finish(end).await;
     }
 
-    async fn follow(&mut self) -> End {
+    async fn follow_decisions(&mut self) -> RequestEnd {
         let decisions = self.guard.decisions.clone();
         let mut next = None;
         loop {
@@ -97,32 +105,34 @@
                 None => match decisions.recv().await {
                     Ok(decision) => decision,
                     // The scheduler has forgotten the request, which only its own fault explains.
-                    Err(_) => return End::Failed(forgotten()),
+                    Err(_) => return RequestEnd::Failed(scheduler_lost_request()),
                 },
             };
             let start = match decision {
                 Decision::Start(start) => start,
-                Decision::Fail { failure, .. } => return End::Failed(failure),
+                Decision::Fail { failure, .. } => return RequestEnd::Failed(failure),
                 Decision::Cancel { .. } => continue,
             };
-            let attempt = async { Step::Attempt(self.attempt(&start).await) };
+            let attempt = async { DriverEvent::Attempt(self.attempt(&start).await) };
             let decided = async {
                 match decisions.recv().await {
-                    Ok(decision) => Step::Decision(decision),
+                    Ok(decision) => DriverEvent::Decision(decision),
                     Err(_) => std::future::pending().await,
                 }
             };
             match attempt.or(decided).await {
-                Step::Attempt(AttemptEnd::Request(end)) => return end,
-                Step::Attempt(AttemptEnd::Failed(cause)) => self.attempt_failed(&start, cause),
-                Step::Decision(decision) => next = Some(decision),
+                DriverEvent::Attempt(AttemptEnd::Request(end)) => return end,
+                DriverEvent::Attempt(AttemptEnd::Failed(cause)) => {
+                    self.attempt_failed(&start, cause)
+                }
+                DriverEvent::Decision(decision) => next = Some(decision),
             }
         }
     }
 
     fn attempt_failed(&self, start: &Start, cause: FailCause) {
         self.shared.metrics.attempt_failed(&self.guard.deployment.name, cause);
-        self.timed.received.record.update(|summary| summary.last_failure = Some(cause));
+        self.request.received.record.update(|summary| summary.last_failure = Some(cause));
         log::info!(
             request = start.request.0,
             attempt = start.attempt,
@@ -141,77 +151,84 @@
 
     /// Tells the scheduler, the record and the caller, in this order: the scheduler may give the
     /// place away while a slow caller still takes the last bytes.
-    async fn finish(self, end: End) {
-        let Driver { shared, timed, guard, work, messages, output, runs } = self;
-        let record = &timed.received.record;
+    async fn finish(self, end: RequestEnd) {
+        let Driver { shared, request, guard, details, messages, output, runs } = self;
+        let record = &request.received.record;
         let ran = match (runs, output.offset) {
             (0, _) => RunStatus::No,
             (_, 0) => RunStatus::Unknown,
             _ => RunStatus::Yes,
         };
-        let (outcome, reply) = match end {
-            End::Finished => {
+        let (outcome, message) = match end {
+            RequestEnd::Finished => {
                 let mut id = String::new();
                 record.update(|summary| {
                     (summary.outcome, summary.ran) = ("finished", RunStatus::Yes);
                     id.clone_from(&summary.request_id);
                 });
                 let prompt =
-                    output.usage.map_or(work.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
+                    output.usage.map_or(details.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
                 let outcome =
                     Outcome::Finished { prompt: Tokens(prompt), output: Tokens(output.offset) };
-                let reply = match work.scan.stream {
+                let message = match details.scan.stream {
                     true => RelayMessage::Done,
-                    false => RelayMessage::Complete(output.assemble(&id, &work)),
+                    false => RelayMessage::Complete(output.assemble(&id, &details)),
                 };
-                (outcome, reply)
+                (outcome, message)
+            }
+            RequestEnd::Answered(answer) => {
+                (Outcome::Answered, RelayMessage::Failed(refused_by_engine(&answer)))
             }
-            End::Answered(answer) => (Outcome::Answered, RelayMessage::Failed(refused(&answer))),
-            End::Failed(failure) => (Outcome::Cancelled, RelayMessage::Failed(failure.into())),
-            End::Expired => (Outcome::Expired, RelayMessage::Failed(expired(ran))),
-            End::HungUp => {
+            RequestEnd::Failed(failure) => {
+                (Outcome::Cancelled, RelayMessage::Failed(failure.into()))
+            }
+            RequestEnd::Expired => (Outcome::Expired, RelayMessage::Failed(deadline_error(ran))),
+            RequestEnd::HungUp => {
                 record.update(|summary| (summary.outcome, summary.ran) = ("hung_up", ran));
                 return guard.end(Outcome::Cancelled);
             }
         };
         guard.end(outcome);
-        if let RelayMessage::Failed(e) = &reply {
+        if let RelayMessage::Failed(e) = &message {
             record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
         }
-        pass_on(&shared, &timed, &messages, reply).await;
+        send_last_message(&shared, &request, &messages, message).await;
     }
 }
 
 /// Passes the last reply on: at once where there is room, else before the deadline. A caller that
 /// still hasn't made room then is cut, which it can't take for the end of a whole answer.
-async fn pass_on(
+async fn send_last_message(
     shared: &Shared,
-    timed: &RequestWithDeadline,
+    request: &RequestWithDeadline,
     messages: &Sender<RelayMessage>,
-    reply: RelayMessage,
+    message: RelayMessage,
 ) {
-    let Err(smol::channel::TrySendError::Full(reply)) = messages.try_send(reply) else { return };
+    let Err(smol::channel::TrySendError::Full(message)) = messages.try_send(message) else {
+        return;
+    };
     let send = async {
         // A caller that is gone needs no reply.
-        messages.send(reply).await.ok();
+        messages.send(message).await.ok();
     };
-    send.or(shared.clock.sleep_until(timed.deadline)).await;
+    send.or(shared.clock.sleep_until(request.deadline)).await;
 }
 
-fn forgotten() -> Failure {
+fn scheduler_lost_request() -> Failure {
     let retry_after = std::time::Duration::from_secs(1);
     Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
 
 /// The most of an engine's own words that an error repeats.
-const WORDS: usize = 1_000;
+const MAX_ENGINE_MESSAGE_CHARS: usize = 1_000;
 
-fn refused(answer: &FinalAnswer) -> CallError {
-    let words: String = String::from_utf8_lossy(&answer.body).chars().take(WORDS).collect();
+fn refused_by_engine(answer: &FinalAnswer) -> CallError {
+    let engine_message: String =
+        String::from_utf8_lossy(&answer.body).chars().take(MAX_ENGINE_MESSAGE_CHARS).collect();
     CallError {
         status: StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway),
         code: "refused_by_engine",
-        message: format!("the engine refused the request: {words}"),
+        message: format!("the engine refused the request: {engine_message}"),
         ran: RunStatus::Unknown,
         retry_after: None,
     }
--- a/crates/daemon/src/filter/dispatch/mod.rs
+++ b/crates/daemon/src/filter/dispatch/mod.rs
@@ -42,15 +42,15 @@
 
 impl Handler<AdmittedRequest> for Dispatch {
     async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
-        match admitted.timed.received.work.clone() {
-            CallDetails::Service(work) => {
+        match admitted.request.received.details.clone() {
+            CallDetails::Service(details) => {
                 // The larger kind of call must not make the other's future as large.
-                Box::pin(service::run(&self.shared, admitted, work)).await
+                Box::pin(service::run(&self.shared, admitted, details)).await
             }
-            CallDetails::Model(work) => {
+            CallDetails::Model(details) => {
                 let (tx, rx) = bounded(MAX_QUEUED_EVENTS);
-                let record = admitted.timed.received.record.clone();
-                let driver = driver::Driver::new(self.shared.clone(), admitted, work, tx);
+                let record = admitted.request.received.record.clone();
+                let driver = driver::Driver::new(self.shared.clone(), admitted, details, tx);
                 // A panic in a driver must not end a thread of the daemon; the caller then hears
                 // that the driver is gone.
                 let driver = Box::pin(AssertUnwindSafe(driver.run()).catch_unwind());
--- a/crates/daemon/src/filter/dispatch/reserve.rs
+++ b/crates/daemon/src/filter/dispatch/reserve.rs
@@ -26,7 +26,7 @@
 
 impl Reservations {
     /// Reserves on each of `shards` in order.
-    pub(super) async fn take(
+    pub(super) async fn reserve_all(
         active: &ActiveConfig,
         attempt: &AttemptId,
         shards: &[Shard],
@@ -64,7 +64,7 @@
     let lease = RESERVATION_LEASE.as_millis() as u64;
     let engine = endpoint.engine();
     match engine.reserve(id, &attempt.owner, shard.tokens, lease).await {
-        Ok(lifecycle) if is_expected(shard, lifecycle) => Ok(()),
+        Ok(incarnation) if is_expected(shard, incarnation) => Ok(()),
         // Nothing of the request was sent, whatever became of the reservation.
         Ok(_) | Err(EngineError::NotSent | EngineError::Unknown | EngineError::Broken) => {
             Err(FailCause::NotSent)
@@ -75,6 +75,6 @@
 }
 
 /// Whether `life` is the one that the scheduler chose; it chooses zero where it knows none.
-pub(super) fn is_expected(shard: &Shard, lifecycle: Incarnation) -> bool {
-    shard.incarnation == Incarnation(0) || shard.incarnation == lifecycle
+pub(super) fn is_expected(shard: &Shard, incarnation: Incarnation) -> bool {
+    shard.incarnation == Incarnation(0) || shard.incarnation == incarnation
 }
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -16,7 +16,7 @@
     error::CallError,
     filter::{
         AdmissionGuard, AdmittedRequest, Answer, CompleteAnswer, ServiceCallDetails,
-        deadline::expired,
+        deadline::deadline_error,
     },
     ledger::RunClaim,
     shared::Shared,
@@ -25,86 +25,87 @@
 /// The parts of the time left that a call which may be repeated waits for its first and second
 /// server: a quarter of the whole each, so that two silent connections still leave half of the
 /// time for a third. The scheduler gives up after three.
-const PARTS: [u32; 2] = [4, 3];
+const TIMEOUT_DIVISORS: [u32; 2] = [4, 3];
 
 /// Runs one call to its end. The caller's hang-up drops this future, and with it the ticket.
 pub(super) async fn run(
     shared: &Arc<Shared>,
     admitted: AdmittedRequest,
-    work: ServiceCallDetails,
+    details: ServiceCallDetails,
 ) -> Result<Answer, CallError> {
-    let (clock, deadline) = (shared.clock, admitted.timed.deadline);
-    let conn = admitted.timed.received.conn.clone();
+    let (clock, deadline) = (shared.clock, admitted.request.deadline);
+    let conn = admitted.request.received.conn.clone();
     let guard = &admitted.guard;
-    let mut call = Call { shared, admitted: &admitted, work: &work, sent: false, attempts: 0 };
-    let late = async {
+    let mut call =
+        ServiceDriver { shared, admitted: &admitted, details: &details, sent: false, attempts: 0 };
+    let deadline_passed = async {
         clock.sleep_until(deadline).await;
-        End::Expired
+        ServiceCallEnd::Expired
     };
-    let once = admitted.claim.is_some();
+    let runs_at_most_once = admitted.claim.is_some();
     let hung_up = async {
         // A call that may not be repeated goes on without its caller, so that its answer is there
         // when it is sent again.
-        match once {
+        match runs_at_most_once {
             true => std::future::pending().await,
             false => conn.hung_up().await,
         }
-        End::HungUp
+        ServiceCallEnd::HungUp
     };
-    let end = call.follow(guard).or(hung_up).or(late).await;
+    let end = call.follow_decisions(guard).or(hung_up).or(deadline_passed).await;
     let ran = if call.sent { RunStatus::Unknown } else { RunStatus::No };
-    let record = admitted.timed.received.record.clone();
+    let record = admitted.request.received.record.clone();
     match end {
-        End::Answered(answer) => {
+        ServiceCallEnd::Answered(answer) => {
             record.update(|summary| (summary.outcome, summary.ran) = ("finished", RunStatus::Yes));
             admitted.guard.end(Outcome::Finished { prompt: Tokens::ZERO, output: Tokens::ZERO });
-            Ok(Answer::Complete(whole(answer)))
+            Ok(Answer::Complete(complete_answer(answer)))
         }
-        End::Failed(failure) => Err(failure.into()),
-        End::Expired => {
+        ServiceCallEnd::Failed(failure) => Err(failure.into()),
+        ServiceCallEnd::Expired => {
             admitted.guard.end(Outcome::Expired);
-            Err(expired(ran))
+            Err(deadline_error(ran))
         }
         // Nobody reads this.
-        End::HungUp => Err(CallError { ran, ..hung_up_error() }),
+        ServiceCallEnd::HungUp => Err(CallError { ran, ..hung_up_error() }),
     }
 }
 
-enum End {
+enum ServiceCallEnd {
     Answered(ServiceAnswer),
     Failed(Failure),
     Expired,
     HungUp,
 }
 
-struct Call<'a> {
+struct ServiceDriver<'a> {
     shared: &'a Arc<Shared>,
     admitted: &'a AdmittedRequest,
-    work: &'a ServiceCallDetails,
+    details: &'a ServiceCallDetails,
     sent: bool,
     attempts: usize,
 }
 
-impl Call<'_> {
-    async fn follow(&mut self, guard: &AdmissionGuard) -> End {
+impl ServiceDriver<'_> {
+    async fn follow_decisions(&mut self, guard: &AdmissionGuard) -> ServiceCallEnd {
         loop {
             let start = match guard.decisions.recv().await {
                 Ok(Decision::Start(start)) => start,
-                Ok(Decision::Fail { failure, .. }) => return End::Failed(failure),
+                Ok(Decision::Fail { failure, .. }) => return ServiceCallEnd::Failed(failure),
                 Ok(Decision::Cancel { .. }) => continue,
                 // The scheduler has forgotten the request, which only its own fault explains.
-                Err(_) => return End::Failed(forgotten()),
+                Err(_) => return ServiceCallEnd::Failed(scheduler_lost_request()),
             };
             match self.attempt(&start).await {
-                Ok(answer) => return End::Answered(answer),
-                Err(cause) => self.failed(guard, &start, cause),
+                Ok(answer) => return ServiceCallEnd::Answered(answer),
+                Err(cause) => self.report_failure(guard, &start, cause),
             }
         }
     }
 
-    fn failed(&self, guard: &AdmissionGuard, start: &Start, cause: FailCause) {
+    fn report_failure(&self, guard: &AdmissionGuard, start: &Start, cause: FailCause) {
         self.shared.metrics.attempt_failed(&guard.deployment.name, cause);
-        self.admitted.timed.received.record.update(|summary| summary.last_failure = Some(cause));
+        self.admitted.request.received.record.update(|summary| summary.last_failure = Some(cause));
         let (request, attempt, passed_on) = (start.request, start.attempt, Tokens::ZERO);
         let event = Event::AttemptFailed { request, attempt, cause, passed_on };
         guard.deployment.observe(event);
@@ -114,13 +115,13 @@
         let active = self.shared.active();
         let shard = start.shards.first().ok_or(FailCause::NotSent)?;
         let endpoint = active.endpoints.get(&shard.endpoint).ok_or(FailCause::NotSent)?;
-        self.admitted.timed.received.record.update(|summary| {
+        self.admitted.request.received.record.update(|summary| {
             summary.attempts += 1;
             summary.endpoint = Some(shard.endpoint.clone());
         });
-        let call = self.call();
+        let call = self.build_call();
         // From here on the call may have run, unless the connection is known to have failed.
-        let before = std::mem::replace(&mut self.sent, true);
+        let sent_before = std::mem::replace(&mut self.sent, true);
         self.attempts += 1;
         let claim = self.admitted.claim.as_deref();
         let may_send = || claim.is_none_or(RunClaim::try_begin_sending);
@@ -129,10 +130,10 @@
                 let leaving = answer.leaving;
                 self.shared
                     .record_lifecycle(endpoint, LifecycleState { leaving, ..endpoint.lifecycle() });
-                judge(answer, self.work.repeatable())
+                classify_answer(answer, self.details.repeatable())
             }
             Err(ServiceError::NotSent) => {
-                self.sent = before;
+                self.sent = sent_before;
                 Err(FailCause::NotSent)
             }
             Err(ServiceError::Broken) => Err(FailCause::Broken),
@@ -141,11 +142,11 @@
         }
     }
 
-    fn call(&self) -> ServiceCall {
-        let target = &self.work.target;
-        let left = self.shared.clock.until(self.admitted.timed.deadline);
-        let part = PARTS.get(self.attempts).filter(|_| self.work.repeatable());
-        let timeout = left / part.copied().unwrap_or(1);
+    fn build_call(&self) -> ServiceCall {
+        let target = &self.details.target;
+        let time_left = self.shared.clock.until(self.admitted.request.deadline);
+        let divisor = TIMEOUT_DIVISORS.get(self.attempts).filter(|_| self.details.repeatable());
+        let timeout = time_left / divisor.copied().unwrap_or(1);
         let path = match &target.query {
             Some(query) => format!("{}?{query}", target.path),
             None => target.path.clone(),
@@ -161,7 +162,7 @@
             method: target.method,
             path,
             headers,
-            body: self.admitted.timed.received.body.clone(),
+            body: self.admitted.request.received.body.clone(),
             timeout,
         }
     }
@@ -170,7 +171,7 @@
 /// Whether an answer is the caller's, or a reason to ask another server. Only calls that may be
 /// repeated are asked again: a busy server's refusal is no proof that nothing ran. An error of the
 /// service's own, such as 500, is its answer.
-fn judge(answer: ServiceAnswer, repeatable: bool) -> Result<ServiceAnswer, FailCause> {
+fn classify_answer(answer: ServiceAnswer, repeatable: bool) -> Result<ServiceAnswer, FailCause> {
     match answer.status {
         429 | 503 if repeatable => Err(FailCause::Rejected),
         502 | 504 if repeatable => Err(FailCause::EndpointError),
@@ -178,7 +179,7 @@
     }
 }
 
-fn whole(answer: ServiceAnswer) -> CompleteAnswer {
+fn complete_answer(answer: ServiceAnswer) -> CompleteAnswer {
     CompleteAnswer {
         status: answer.status,
         content_type: answer.content_type,
@@ -187,7 +188,7 @@
     }
 }
 
-fn forgotten() -> Failure {
+fn scheduler_lost_request() -> Failure {
     let retry_after = Duration::from_secs(1);
     Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
--- a/crates/daemon/src/filter/dispatch/silence.rs
+++ b/crates/daemon/src/filter/dispatch/silence.rs
@@ -17,21 +17,21 @@
 
 /// Silence after which the engine is asked. Between two tokens lie some tens of milliseconds; a
 /// prefill is longer, and costs one listing a second for all streams of an engine together.
-const SILENCE: Duration = Duration::from_secs(1);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Bad signs in a row before the stream is given up. One may be chance: the body is still on its
 /// way there, or the last events on their way here.
-const STRIKES: u32 = 2;
+const MAX_FAILED_CHECKS: u32 = 2;
 
 /// How old a listing may be.
-const LISTING_AGE: Duration = Duration::from_millis(250);
+const MAX_LISTING_AGE: Duration = Duration::from_millis(250);
 
 /// How long a broken connection may wait for word whether the engine's process died.
-const DEATH_CHECK: Duration = Duration::from_millis(300);
+const DEATH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Watches one run's stream. It has one timer for the whole run, because each new one wakes the
 /// thread that waits for sockets, which for every token would cost more than the token.
-pub(super) struct Watch<'a> {
+pub(super) struct StreamWatchdog<'a> {
     /// Where it runs.
     pub(super) endpoint: &'a Endpoint,
     /// Its id there.
@@ -43,26 +43,26 @@
     progress: bool,
 }
 
-enum Step<T> {
+enum WaitEvent<T> {
     Done(T),
-    Looked(Sign),
+    Checked(StreamState),
 }
 
-enum Sign {
+enum StreamState {
     Working,
     Lost,
-    Died,
+    EngineDied,
 }
 
-impl<'a> Watch<'a> {
+impl<'a> StreamWatchdog<'a> {
     /// Begins to watch.
     pub(super) fn new(
         endpoint: &'a Endpoint,
         attempt: &'a str,
         incarnation: Option<Incarnation>,
     ) -> Self {
-        let ticks = Timer::interval(SILENCE);
-        Watch { endpoint, attempt, incarnation, ticks, progress: true }
+        let ticks = Timer::interval(SILENCE_CHECK_INTERVAL);
+        StreamWatchdog { endpoint, attempt, incarnation, ticks, progress: true }
     }
 
     /// Waits for `next`, as long as the engine can be seen to work on it. `offset` is that of the
@@ -73,26 +73,26 @@
         next: impl Future<Output = T>,
     ) -> Result<T, FailCause> {
         let mut next = pin!(next);
-        let mut strikes = 0;
+        let mut failed_checks = 0;
         loop {
-            let done = async { Step::Done((&mut next).await) };
-            let look = async {
+            let done = async { WaitEvent::Done((&mut next).await) };
+            let check = async {
                 self.ticks.next().await;
                 if std::mem::take(&mut self.progress) {
-                    return Step::Looked(Sign::Working);
+                    return WaitEvent::Checked(StreamState::Working);
                 }
-                Step::Looked(self.look(offset).await)
+                WaitEvent::Checked(self.check(offset).await)
             };
-            match done.or(look).await {
-                Step::Done(result) => {
+            match done.or(check).await {
+                WaitEvent::Done(result) => {
                     self.progress = true;
                     return Ok(result);
                 }
-                Step::Looked(Sign::Working) => strikes = 0,
-                Step::Looked(Sign::Lost) => strikes += 1,
-                Step::Looked(Sign::Died) => return Err(FailCause::EndpointDied),
+                WaitEvent::Checked(StreamState::Working) => failed_checks = 0,
+                WaitEvent::Checked(StreamState::Lost) => failed_checks += 1,
+                WaitEvent::Checked(StreamState::EngineDied) => return Err(FailCause::EndpointDied),
             }
-            if strikes >= STRIKES {
+            if failed_checks >= MAX_FAILED_CHECKS {
                 return Err(FailCause::Silent);
             }
         }
@@ -107,10 +107,10 @@
     ///
     /// A link that breaks long answers breaks listings, so the short load report is asked for: a
     /// break taken for a death makes suspects of the prompts there.
-    pub(super) async fn why_broken(&self) -> FailCause {
-        let ask = async {
+    pub(super) async fn classify_break(&self) -> FailCause {
+        let query = async {
             match self.endpoint.engine().load().await {
-                Ok(load) if self.is_other_life(load.incarnation) => FailCause::EndpointDied,
+                Ok(load) if self.is_other_incarnation(load.incarnation) => FailCause::EndpointDied,
                 Ok(_) | Err(EngineError::Refused | EngineError::BadAnswer) => FailCause::Broken,
                 Err(EngineError::NotSent | EngineError::Unknown | EngineError::Broken) => {
                     FailCause::EndpointDied
@@ -118,24 +118,28 @@
             }
         };
         let limit = async {
-            Timer::after(DEATH_CHECK).await;
+            Timer::after(DEATH_CHECK_TIMEOUT).await;
             FailCause::Broken
         };
-        ask.or(limit).await
+        query.or(limit).await
     }
 
-    async fn look(&self, offset: u64) -> Sign {
-        let Ok(page) = self.endpoint.listing(LISTING_AGE).await else { return Sign::Lost };
-        if self.is_other_life(page.incarnation) {
-            return Sign::Died;
+    async fn check(&self, offset: u64) -> StreamState {
+        let Ok(page) = self.endpoint.listing(MAX_LISTING_AGE).await else {
+            return StreamState::Lost;
+        };
+        if self.is_other_incarnation(page.incarnation) {
+            return StreamState::EngineDied;
         }
         match page.held.iter().find(|held| held.id == self.attempt) {
-            Some(held) if held.offset.is_none_or(|there| there <= offset) => Sign::Working,
-            _ => Sign::Lost,
+            Some(held) if held.offset.is_none_or(|held_offset| held_offset <= offset) => {
+                StreamState::Working
+            }
+            _ => StreamState::Lost,
         }
     }
 
-    fn is_other_life(&self, reported: Incarnation) -> bool {
-        self.incarnation.is_some_and(|lifecycle| lifecycle != reported)
+    fn is_other_incarnation(&self, reported: Incarnation) -> bool {
+        self.incarnation.is_some_and(|known| known != reported)
     }
 }
--- a/crates/daemon/src/filter/mod.rs
+++ b/crates/daemon/src/filter/mod.rs
@@ -110,9 +110,9 @@
         // Much of the body may be unread, and the library would read all of it.
         conn.cut_at(shared.clock.now() + crate::server::connection::WRITE_GRACE);
     }
-    let closing = result.as_ref().is_err_and(leaves_body_in_doubt);
+    let must_close = result.as_ref().is_err_and(may_leave_unread_body);
     let mut resp = respond::response(result);
-    if closing {
+    if must_close {
         resp.insert_header("connection", "close");
     }
     record.update(|summary| {
@@ -123,7 +123,7 @@
 }
 
 /// Whether what follows on the connection may still belong to the refused request's body.
-fn leaves_body_in_doubt(e: &CallError) -> bool {
+fn may_leave_unread_body(e: &CallError) -> bool {
     let status = e.status;
     [StatusCode::BadRequest, StatusCode::PayloadTooLarge, StatusCode::RequestTimeout]
         .contains(&status)
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -16,14 +16,14 @@
 
 /// The longest accepted `Idempotency-Key`, `traceparent` and `x-request-id`. They are kept, logged
 /// and passed on.
-const MAX_TEXT: usize = 256;
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
 /// When to come back after meeting an instance that is stopping or has no configuration yet. The
 /// balancer has others, so this need not outlast the stop.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Headers that are passed on to plain services.
-const PASSED_ON: [&str; 6] =
+const FORWARDED_HEADERS: [&str; 6] =
     ["accept", "accept-language", "content-type", "idempotency-key", "traceparent", "tracestate"];
 
 /// A request whose head was read.
@@ -32,7 +32,7 @@
     /// What it asks for.
     pub target: RequestTarget,
     /// The headers that govern it.
-    pub head: RequestHeaders,
+    pub headers: RequestHeaders,
     /// Its body, unread.
     pub body: Body,
     /// Its connection.
@@ -79,9 +79,9 @@
 }
 
 /// The path for chat.
-pub(super) const CHAT: &str = "/v1/chat/completions";
+pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
 /// The path for plain completions.
-pub(super) const COMPLETIONS: &str = "/v1/completions";
+pub(super) const COMPLETIONS_PATH: &str = "/v1/completions";
 
 /// Reads the head.
 pub struct Parse<N> {
@@ -99,12 +99,12 @@
 impl<N: Handler<ParsedRequest>> Handler<InboundRequest> for Parse<N> {
     async fn handle(&self, mut inbound: InboundRequest) -> Result<Answer, CallError> {
         check_framing(&inbound.req)?;
-        check_stage(&self.shared)?;
-        let target = target(&inbound.req)?;
-        let head = head(&inbound.req)?;
+        check_accepts_requests(&self.shared)?;
+        let target = parse_target(&inbound.req)?;
+        let headers = request_headers(&inbound.req)?;
         let body = inbound.req.take_body();
         let (conn, record) = (inbound.conn, inbound.record);
-        self.next.handle(ParsedRequest { target, head, body, conn, record }).await
+        self.next.handle(ParsedRequest { target, headers, body, conn, record }).await
     }
 }
 
@@ -123,9 +123,9 @@
     Ok(())
 }
 
-fn check_stage(shared: &Shared) -> Result<(), CallError> {
+fn check_accepts_requests(shared: &Shared) -> Result<(), CallError> {
     if shared.stage() == Stage::Refusing {
-        let refusal = Refusal::new(RefusalReason::Stopping, COME_BACK);
+        let refusal = Refusal::new(RefusalReason::Stopping, RETRY_AFTER);
         return Err(refusal.into());
     }
     if shared.active().version == Version(0) {
@@ -134,40 +134,40 @@
             code: "not_ready",
             message: "this instance has no configuration yet".to_owned(),
             ran: RunStatus::No,
-            retry_after: Some(COME_BACK),
+            retry_after: Some(RETRY_AFTER),
         });
     }
     Ok(())
 }
 
-fn target(req: &Request) -> Result<RequestTarget, CallError> {
+fn parse_target(req: &Request) -> Result<RequestTarget, CallError> {
     let path = req.url().path();
     if let Some(rest) = path.strip_prefix("/services/") {
-        return service_target(req, rest).map(RequestTarget::Service);
+        return parse_service_target(req, rest).map(RequestTarget::Service);
     }
     let path = match path {
-        CHAT => CHAT,
-        COMPLETIONS => COMPLETIONS,
+        CHAT_PATH => CHAT_PATH,
+        COMPLETIONS_PATH => COMPLETIONS_PATH,
         _ => return Err(router::not_found(path)),
     };
     match req.method() {
         Method::Post => Ok(RequestTarget::Model(path)),
-        method => Err(bad_method(method, path)),
+        method => Err(method_not_allowed(method, path)),
     }
 }
 
-fn service_target(req: &Request, rest: &str) -> Result<ServiceTarget, CallError> {
+fn parse_service_target(req: &Request, rest: &str) -> Result<ServiceTarget, CallError> {
     let (group, path) = rest.split_once('/').unwrap_or((rest, ""));
     let group = group
         .parse()
         .map_err(|e| CallError::malformed(format!("path, after `/services/`: {e}")))?;
     let method = req.method();
     // Others, such as HEAD, have answers without a body of the stated length.
-    let passed = [Method::Get, Method::Post, Method::Put, Method::Patch, Method::Delete];
-    if !passed.contains(&method) {
-        return Err(bad_method(method, req.url().path()));
+    let allowed = [Method::Get, Method::Post, Method::Put, Method::Patch, Method::Delete];
+    if !allowed.contains(&method) {
+        return Err(method_not_allowed(method, req.url().path()));
     }
-    let headers = PASSED_ON.into_iter().filter_map(|name| {
+    let headers = FORWARDED_HEADERS.into_iter().filter_map(|name| {
         let value = text_header(req, name)?;
         Some(Header { name: name.to_owned(), value: value.to_owned() })
     });
@@ -180,21 +180,21 @@
     })
 }
 
-fn bad_method(method: Method, path: &str) -> CallError {
+fn method_not_allowed(method: Method, path: &str) -> CallError {
     let message = format!("`{method}` isn't served at `{path}`");
     CallError::caller(StatusCode::MethodNotAllowed, "method_not_allowed", message)
 }
 
-fn head(req: &Request) -> Result<RequestHeaders, CallError> {
+fn request_headers(req: &Request) -> Result<RequestHeaders, CallError> {
     Ok(RequestHeaders {
         bearer: super::workspace::bearer(req),
-        deadline: deadline(req)?,
+        deadline: parse_deadline(req)?,
         idempotency_key: bounded_header(req, "idempotency-key")?,
         traceparent: bounded_header(req, "traceparent")?,
     })
 }
 
-fn deadline(req: &Request) -> Result<Option<Duration>, CallError> {
+fn parse_deadline(req: &Request) -> Result<Option<Duration>, CallError> {
     let Some(text) = text_header(req, "x-deadline-ms") else { return Ok(None) };
     let millis: u64 = text.parse().ok().filter(|millis| *millis > 0).ok_or_else(|| {
         let text: String = text.chars().take(32).collect();
@@ -208,9 +208,11 @@
 
 fn bounded_header(req: &Request, name: &'static str) -> Result<Option<String>, CallError> {
     let Some(text) = text_header(req, name) else { return Ok(None) };
-    if text.is_empty() || text.len() > MAX_TEXT {
-        let message =
-            format!("header `{name}`: expected 1 to {MAX_TEXT} bytes, found {}", text.len());
+    if text.is_empty() || text.len() > MAX_HEADER_VALUE_BYTES {
+        let message = format!(
+            "header `{name}`: expected 1 to {MAX_HEADER_VALUE_BYTES} bytes, found {}",
+            text.len()
+        );
         return Err(CallError::malformed(message));
     }
     Ok(Some(text.to_owned()))
@@ -219,7 +221,8 @@
 /// The caller's own id for the request, where it gives a usable one.
 pub(crate) fn request_id(req: &Request) -> Option<String> {
     let text = text_header(req, REQUEST_ID)?;
-    let usable = (1..=MAX_TEXT).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+    let usable = (1..=MAX_HEADER_VALUE_BYTES).contains(&text.len())
+        && text.bytes().all(|b| b.is_ascii_graphic());
     usable.then(|| text.to_owned())
 }
 
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -15,8 +15,8 @@
     error::CallError,
     filter::{
         Answer, Handler, ParsedRequest, RequestHeaders, RequestTarget,
-        parse::{CHAT, ServiceTarget},
-        scan::{PromptMember, Scan, scan},
+        parse::{CHAT_PATH, ServiceTarget},
+        scan::{PromptMember, ScannedBody, scan},
         workspace::IdentifiedRequest,
     },
     record::CallRecord,
@@ -29,23 +29,23 @@
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How much is read before others get their turn on the thread.
-const READ_STEP: usize = 256 << 10;
+const READ_CHUNK_BYTES: usize = 256 << 10;
 
 /// Bodies above this are scanned on a thread of their own: at about a gigabyte a second, this
 /// much holds up the other requests of a thread by a tenth of a millisecond.
-const SCAN_INLINE: usize = 64 << 10;
+const MAX_INLINE_SCAN_BYTES: usize = 64 << 10;
 
 /// A request that came in whole.
 #[derive(Debug)]
 pub struct ReceivedRequest {
     /// What it needs.
-    pub work: CallDetails,
+    pub details: CallDetails,
     /// Its deployment.
     pub route: Route,
     /// Whose it is.
     pub workspace: Workspace,
     /// The headers that govern it.
-    pub head: RequestHeaders,
+    pub headers: RequestHeaders,
     /// Its body as it came.
     pub body: Bytes,
     /// Its part of the bytes that may be held at once.
@@ -77,7 +77,7 @@
     /// The model.
     pub model: Model,
     /// What else the body says.
-    pub scan: Scan,
+    pub scan: ScannedBody,
 }
 
 /// A call to a plain service.
@@ -112,24 +112,28 @@
 impl<N: Handler<ReceivedRequest>> Handler<IdentifiedRequest> for Receive<N> {
     async fn handle(&self, identified: IdentifiedRequest) -> Result<Answer, CallError> {
         let IdentifiedRequest { parsed, workspace, active } = identified;
-        let ParsedRequest { target, head, body, conn, record } = parsed;
+        let ParsedRequest { target, headers, body, conn, record } = parsed;
         let max = self.shared.settings.max_body;
         check_size(&body, max)?;
-        let mut body_permit =
-            self.shared.body_budget.try_acquire(body.len().unwrap_or(max)).ok_or_else(full)?;
-        let body = read(body, max).await?;
+        let mut body_permit = self
+            .shared
+            .body_budget
+            .try_acquire(body.len().unwrap_or(max))
+            .ok_or_else(body_budget_exhausted)?;
+        let body = read_body(body, max).await?;
         body_permit.shrink_to(body.len());
-        let (work, route, fingerprint) = match target {
+        let (details, route, fingerprint) = match target {
             RequestTarget::Model(path) => {
                 let scan = scan_body(path, body.clone()).await?;
-                let model = model(&scan)?;
-                let route = active.model_route(&model).cloned().ok_or_else(|| unknown(&model))?;
+                let model = parse_model(&scan)?;
+                let route =
+                    active.model_route(&model).cloned().ok_or_else(|| unknown_model(&model))?;
                 let fingerprint = scan.prompt.fingerprint;
                 (CallDetails::Model(ModelCallDetails { path, model, scan }), route, fingerprint)
             }
             RequestTarget::Service(target) => {
                 let route = active.service_route(&target.group).cloned();
-                let route = route.ok_or_else(|| unknown_group(&target))?;
+                let route = route.ok_or_else(|| unknown_service(&target))?;
                 let rules = route.rules.route(&target.path).cloned();
                 let fingerprint = fingerprint(&target.path, &body);
                 (CallDetails::Service(ServiceCallDetails { target, rules }), route, fingerprint)
@@ -137,13 +141,13 @@
         };
         record.update(|summary| {
             summary.deployment = Some(route.deployment.name.clone());
-            summary.prompt = prompt(&work);
+            summary.prompt = prompt_tokens(&details);
         });
         let received = ReceivedRequest {
-            work,
+            details,
             route,
             workspace,
-            head,
+            headers,
             body,
             body_permit,
             fingerprint,
@@ -155,7 +159,7 @@
     }
 }
 
-fn full() -> CallError {
+fn body_budget_exhausted() -> CallError {
     CallError {
         status: StatusCode::ServiceUnavailable,
         code: "busy",
@@ -165,7 +169,7 @@
     }
 }
 
-async fn read(body: Body, max: usize) -> Result<Bytes, CallError> {
+async fn read_body(body: Body, max: usize) -> Result<Bytes, CallError> {
     let limit = async {
         Timer::after(BODY_TIMEOUT).await;
         let message = "the body didn't come in time";
@@ -192,15 +196,15 @@
 
 /// Reads at most one byte more than `max`.
 async fn read_all(body: Body, max: usize) -> Result<Bytes, CallError> {
-    let broken = |_| CallError::malformed("the body broke off or isn't framed as the head says");
+    let malformed = |_| CallError::malformed("the body broke off or isn't framed as the head says");
     let expected = body.len();
     let mut bytes = Vec::with_capacity(expected.unwrap_or(0).min(max));
     let mut body = body.take(max as u64 + 1);
     loop {
         let before = bytes.len();
-        let mut step = (&mut body).take(READ_STEP as u64);
-        step.read_to_end(&mut bytes).await.map_err(broken)?;
-        if bytes.len() - before < READ_STEP {
+        let mut step = (&mut body).take(READ_CHUNK_BYTES as u64);
+        step.read_to_end(&mut bytes).await.map_err(malformed)?;
+        if bytes.len() - before < READ_CHUNK_BYTES {
             break;
         }
         yield_now().await;
@@ -211,11 +215,11 @@
     Ok(bytes.into())
 }
 
-async fn scan_body(path: &'static str, body: Bytes) -> Result<Scan, CallError> {
-    let member = if path == CHAT { PromptMember::Messages } else { PromptMember::Prompt };
-    let inline = body.len() <= SCAN_INLINE;
-    let work = move || scan(&body, member);
-    let scanned = if inline { work() } else { smol::unblock(work).await };
+async fn scan_body(path: &'static str, body: Bytes) -> Result<ScannedBody, CallError> {
+    let member = if path == CHAT_PATH { PromptMember::Messages } else { PromptMember::Prompt };
+    let inline = body.len() <= MAX_INLINE_SCAN_BYTES;
+    let scan_task = move || scan(&body, member);
+    let scanned = if inline { scan_task() } else { smol::unblock(scan_task).await };
     scanned.map_err(CallError::malformed)
 }
 
@@ -223,23 +227,23 @@
     Fingerprint(xxh3_128(body) ^ xxh3_128(path.as_bytes()))
 }
 
-fn model(scan: &Scan) -> Result<Model, CallError> {
+fn parse_model(scan: &ScannedBody) -> Result<Model, CallError> {
     Model::new(&scan.model).map_err(|e| CallError::malformed(format!("member `model`: {e}")))
 }
 
-fn unknown(model: &Model) -> CallError {
+fn unknown_model(model: &Model) -> CallError {
     let message = format!("member `model`: no deployment serves `{model}`");
     CallError::caller(StatusCode::NotFound, "unknown_model", message)
 }
 
-fn unknown_group(target: &ServiceTarget) -> CallError {
+fn unknown_service(target: &ServiceTarget) -> CallError {
     let message = format!("path: no plain service is called `{}`", target.group);
     CallError::caller(StatusCode::NotFound, "unknown_service", message)
 }
 
-fn prompt(work: &CallDetails) -> Tokens {
-    match work {
-        CallDetails::Model(work) => work.scan.prompt.tokens,
+fn prompt_tokens(details: &CallDetails) -> Tokens {
+    match details {
+        CallDetails::Model(details) => details.scan.prompt.tokens,
         CallDetails::Service(_) => Tokens::ZERO,
     }
 }
--- a/crates/daemon/src/filter/relay.rs
+++ b/crates/daemon/src/filter/relay.rs
@@ -58,23 +58,23 @@
             ended: false,
             _record: record,
         };
-        body.take(first);
+        body.set_frame(first);
         body
     }
 
-    fn take(&mut self, reply: &RelayMessage) {
-        self.frame = match reply {
-            RelayMessage::Event(data) => frame(None, data),
-            RelayMessage::Done => frame(None, DONE.as_bytes()),
-            RelayMessage::Failed(e) => frame(Some("error"), &e.to_json()),
-            RelayMessage::Complete(whole) => frame(None, &whole.body),
+    fn set_frame(&mut self, message: &RelayMessage) {
+        self.frame = match message {
+            RelayMessage::Event(data) => encode_event(None, data),
+            RelayMessage::Done => encode_event(None, DONE.as_bytes()),
+            RelayMessage::Failed(e) => encode_event(Some("error"), &e.to_json()),
+            RelayMessage::Complete(answer) => encode_event(None, &answer.body),
         };
-        self.ended = !matches!(reply, RelayMessage::Event(_));
+        self.ended = !matches!(message, RelayMessage::Event(_));
     }
 }
 
 /// One server-sent event.
-pub fn frame(event: Option<&str>, data: &[u8]) -> Bytes {
+pub fn encode_event(event: Option<&str>, data: &[u8]) -> Bytes {
     let mut buf = BytesMut::with_capacity(data.len() + 32);
     if let Some(event) = event {
         buf.put_slice(b"event: ");
@@ -95,7 +95,7 @@
         let this = self.get_mut();
         while this.frame.is_empty() && !this.ended {
             match ready!(this.messages.as_mut().poll_next(cx)) {
-                Some(reply) => this.take(&reply),
+                Some(message) => this.set_frame(&message),
                 None => return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
             }
         }
--- a/crates/daemon/src/filter/scan.rs
+++ b/crates/daemon/src/filter/scan.rs
@@ -17,7 +17,7 @@
 
 /// What a completion asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Scan {
+pub struct ScannedBody {
     /// The `model` member.
     pub model: String,
     /// The `stream` member.
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// A sentence that names member, line and column.
-pub fn scan(body: &[u8], prompt_member: PromptMember) -> Result<Scan, String> {
+pub fn scan(body: &[u8], prompt_member: PromptMember) -> Result<ScannedBody, String> {
     let members: Members<'_> =
         serde_json::from_slice(body).map_err(|e| format!("the body can't be read: {e}"))?;
     let missing = |name| format!("the body can't be read: member `{name}` is missing");
@@ -41,16 +41,16 @@
     match prompt_member {
         PromptMember::Prompt => {
             let prompt = members.prompt.ok_or_else(|| missing("prompt"))?;
-            text::feed(prompt.get(), &mut hasher)
+            text::hash_string(prompt.get(), &mut hasher)
                 .map_err(|e| format!("the body can't be read: member `prompt`: {e}"))?;
         }
         PromptMember::Messages => {
             let messages = members.messages.ok_or_else(|| missing("messages"))?;
-            text::feed_messages(messages.get(), &mut hasher)
+            text::hash_messages(messages.get(), &mut hasher)
                 .map_err(|e| format!("the body can't be read: member `messages`: {e}"))?;
         }
     }
-    Ok(Scan {
+    Ok(ScannedBody {
         model: members.model.ok_or_else(|| missing("model"))?,
         stream: members.stream.unwrap_or(false),
         max_output: members.max_output.map(Tokens),
@@ -76,7 +76,7 @@
     messages: Option<&'a RawValue>,
 }
 
-enum Name {
+enum MemberName {
     Model,
     Stream,
     MaxOutput,
@@ -87,32 +87,32 @@
     Other,
 }
 
-struct NameVisitor;
+struct MemberNameVisitor;
 
-impl Visitor<'_> for NameVisitor {
-    type Value = Name;
+impl Visitor<'_> for MemberNameVisitor {
+    type Value = MemberName;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the name of a member")
     }
 
-    fn visit_str<E>(self, name: &str) -> Result<Name, E> {
+    fn visit_str<E>(self, name: &str) -> Result<MemberName, E> {
         Ok(match name {
-            "model" => Name::Model,
-            "stream" => Name::Stream,
-            "max_tokens" | "max_completion_tokens" => Name::MaxOutput,
-            "prompt" => Name::Prompt,
-            "messages" => Name::Messages,
-            "n" => Name::Count,
-            "resume" => Name::Resume,
-            _ => Name::Other,
+            "model" => MemberName::Model,
+            "stream" => MemberName::Stream,
+            "max_tokens" | "max_completion_tokens" => MemberName::MaxOutput,
+            "prompt" => MemberName::Prompt,
+            "messages" => MemberName::Messages,
+            "n" => MemberName::Count,
+            "resume" => MemberName::Resume,
+            _ => MemberName::Other,
         })
     }
 }
 
-impl<'de> Deserialize<'de> for Name {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Name, D::Error> {
-        deserializer.deserialize_identifier(NameVisitor)
+impl<'de> Deserialize<'de> for MemberName {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<MemberName, D::Error> {
+        deserializer.deserialize_identifier(MemberNameVisitor)
     }
 }
 
@@ -129,15 +129,17 @@
         let mut members = Members::default();
         while let Some(name) = map.next_key()? {
             match name {
-                Name::Model => set(&mut members.model, "model", &mut map)?,
-                Name::Stream => set(&mut members.stream, "stream", &mut map)?,
-                Name::MaxOutput => set(&mut members.max_output, "max_tokens", &mut map)?,
-                Name::Prompt => set(&mut members.prompt, "prompt", &mut map)?,
-                Name::Messages => set(&mut members.messages, "messages", &mut map)?,
-                Name::Count => check_count(&mut map)?,
+                MemberName::Model => read_once(&mut members.model, "model", &mut map)?,
+                MemberName::Stream => read_once(&mut members.stream, "stream", &mut map)?,
+                MemberName::MaxOutput => {
+                    read_once(&mut members.max_output, "max_tokens", &mut map)?
+                }
+                MemberName::Prompt => read_once(&mut members.prompt, "prompt", &mut map)?,
+                MemberName::Messages => read_once(&mut members.messages, "messages", &mut map)?,
+                MemberName::Count => check_answer_count(&mut map)?,
                 // The daemon adds this member itself when it resumes a request.
-                Name::Resume => return Err(A::Error::custom("member `resume` is reserved")),
-                Name::Other => {
+                MemberName::Resume => return Err(A::Error::custom("member `resume` is reserved")),
+                MemberName::Other => {
                     map.next_value::<IgnoredAny>()?;
                 }
             }
@@ -148,7 +150,7 @@
 
 /// Reads a member that may be null and may stand only once: of two, the engine might heed the
 /// other one.
-fn set<'de, T: Deserialize<'de>, A: MapAccess<'de>>(
+fn read_once<'de, T: Deserialize<'de>, A: MapAccess<'de>>(
     slot: &mut Option<T>,
     name: &str,
     map: &mut A,
@@ -161,9 +163,9 @@
     Ok(())
 }
 
-fn check_count<'de, A: MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
+fn check_answer_count<'de, A: MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
     let mut count = None;
-    set(&mut count, "n", map)?;
+    read_once(&mut count, "n", map)?;
     match count {
         None | Some(1u64) => Ok(()),
         Some(_) => Err(A::Error::custom("member `n`: only 1 answer a request is served")),
--- a/crates/daemon/src/filter/text.rs
+++ b/crates/daemon/src/filter/text.rs
@@ -13,22 +13,22 @@
 /// # Errors
 ///
 /// A sentence that says what was found instead of a string.
-pub(super) fn feed(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
+pub(super) fn hash_string(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
     let inner = raw.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
-    let mut rest = inner.ok_or_else(|| format!("expected a string, found {}", kind(raw)))?;
+    let mut rest = inner.ok_or_else(|| format!("expected a string, found {}", json_type(raw)))?;
     while let Some(at) = rest.find('\\') {
         hasher.update(&rest.as_bytes()[..at]);
-        rest = feed_escape(&rest[at + 1..], hasher)?;
+        rest = hash_escape(&rest[at + 1..], hasher)?;
     }
     hasher.update(rest.as_bytes());
     Ok(())
 }
 
 /// Feeds what an escape stands for and gives the text behind it.
-fn feed_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
-    let broken = || "an escape breaks off".to_owned();
-    let plain = match rest.as_bytes().first().ok_or_else(broken)? {
-        b'u' => return feed_unicode(rest, hasher),
+fn hash_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
+    let truncated = || "an escape breaks off".to_owned();
+    let unescaped = match rest.as_bytes().first().ok_or_else(truncated)? {
+        b'u' => return hash_unicode_escape(rest, hasher),
         b'b' => 8,
         b'f' => 12,
         b'n' => b'\n',
@@ -36,31 +36,31 @@
         b't' => b'\t',
         other => *other,
     };
-    hasher.update(&[plain]);
-    rest.get(1..).ok_or_else(broken)
+    hasher.update(&[unescaped]);
+    rest.get(1..).ok_or_else(truncated)
 }
 
 /// Feeds `uXXXX`, or a pair of surrogates written as two of them.
-fn feed_unicode<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
+fn hash_unicode_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
     let unit = |text: &str| text.get(1..5).and_then(|hex| u16::from_str_radix(hex, 16).ok());
     let first = unit(rest).ok_or("an escape isn't four hexadecimal digits")?;
-    let mut behind = &rest[5..];
-    let second = behind.strip_prefix('\\').filter(|text| text.starts_with('u')).and_then(unit);
+    let mut remaining = &rest[5..];
+    let second = remaining.strip_prefix('\\').filter(|text| text.starts_with('u')).and_then(unit);
     let mut c = char::decode_utf16([first]).next().and_then(Result::ok);
     if c.is_none()
         && let Some(second) = second
     {
         c = char::decode_utf16([first, second]).next().and_then(Result::ok);
         if c.is_some() {
-            behind = &behind[6..];
+            remaining = &remaining[6..];
         }
     }
     let c = c.unwrap_or(char::REPLACEMENT_CHARACTER);
     hasher.update(c.encode_utf8(&mut [0; 4]).as_bytes());
-    Ok(behind)
+    Ok(remaining)
 }
 
-fn kind(raw: &str) -> &'static str {
+fn json_type(raw: &str) -> &'static str {
     match raw.as_bytes().first() {
         Some(b'"') => "a string",
         Some(b'[') => "an array",
@@ -76,42 +76,43 @@
 /// # Errors
 ///
 /// A sentence that names the message and what is wrong with it.
-pub(super) fn feed_messages(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
-    let messages: Vec<Content<'_>> = serde_json::from_str(raw).map_err(|e| e.to_string())?;
+pub(super) fn hash_messages(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
+    let messages: Vec<MessageContent<'_>> = serde_json::from_str(raw).map_err(|e| e.to_string())?;
     for (index, message) in messages.iter().enumerate() {
-        feed_content(message, hasher).map_err(|e| format!("content of message {index}: {e}"))?;
+        hash_content(message, hasher).map_err(|e| format!("content of message {index}: {e}"))?;
     }
     Ok(())
 }
 
-fn feed_content(message: &Content<'_>, hasher: &mut PromptHasher) -> Result<(), String> {
+fn hash_content(message: &MessageContent<'_>, hasher: &mut PromptHasher) -> Result<(), String> {
     let Some(content) = message.content else { return Ok(()) };
     if !content.get().starts_with('[') {
-        return feed(content.get(), hasher);
+        return hash_string(content.get(), hasher);
     }
-    let parts: Vec<Content<'_>> = serde_json::from_str(content.get()).map_err(|e| e.to_string())?;
+    let parts: Vec<MessageContent<'_>> =
+        serde_json::from_str(content.get()).map_err(|e| e.to_string())?;
     // Parts that aren't text, such as images, count nothing here; the engine counts them.
-    parts.iter().filter_map(|part| part.text).try_for_each(|text| feed(text.get(), hasher))
+    parts.iter().filter_map(|part| part.text).try_for_each(|text| hash_string(text.get(), hasher))
 }
 
 /// The text of a message or of a part of one, unread.
 #[derive(Default)]
-struct Content<'a> {
+struct MessageContent<'a> {
     content: Option<&'a RawValue>,
     text: Option<&'a RawValue>,
 }
 
-struct ContentVisitor;
+struct MessageContentVisitor;
 
-impl<'de> Visitor<'de> for ContentVisitor {
-    type Value = Content<'de>;
+impl<'de> Visitor<'de> for MessageContentVisitor {
+    type Value = MessageContent<'de>;
 
     fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "an object")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Content<'de>, A::Error> {
-        let mut content = Content::default();
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<MessageContent<'de>, A::Error> {
+        let mut content = MessageContent::default();
         while let Some(name) = map.next_key::<std::borrow::Cow<'_, str>>()? {
             match &*name {
                 "content" => content.content = map.next_value()?,
@@ -125,8 +126,8 @@
     }
 }
 
-impl<'de: 'a, 'a> Deserialize<'de> for Content<'a> {
+impl<'de: 'a, 'a> Deserialize<'de> for MessageContent<'a> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_map(ContentVisitor)
+        deserializer.deserialize_map(MessageContentVisitor)
     }
 }
--- a/crates/daemon/src/filter/workspace.rs
+++ b/crates/daemon/src/filter/workspace.rs
@@ -40,7 +40,7 @@
 impl<N: Handler<IdentifiedRequest>> Handler<ParsedRequest> for Identify<N> {
     async fn handle(&self, parsed: ParsedRequest) -> Result<Answer, CallError> {
         let active = self.shared.active();
-        let workspace = identify(&active, parsed.head.bearer.as_deref())?;
+        let workspace = identify(&active, parsed.headers.bearer.as_deref())?;
         parsed.record.update(|summary| summary.workspace = Some(workspace.clone()));
         self.next.handle(IdentifiedRequest { parsed, workspace, active }).await
     }
