--- a/crates/daemon/src/peer/compact.rs
+++ b/crates/daemon/src/peer/compact.rs
@@ -20,21 +20,21 @@
 
 /// The most names of one kind that get a number on one link: more than twice the endpoints of the
 /// long-run sizes. Further ones are spelled out each time.
-const MAX_NAMES: usize = 8_192;
+const MAX_INTERNED_NAMES: usize = 8_192;
 
 /// Number of a name that got none.
-const SPELLED: u32 = u32::MAX;
+const NOT_INTERNED: u32 = u32::MAX;
 
 /// A name on the wire, spelled out where it is mentioned first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Name<T> {
+pub(super) struct InternedName<T> {
     number: u32,
-    spelled: Option<T>,
+    value: Option<T>,
 }
 
 /// One life of an endpoint; what most entries are about.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(super) struct EndpointLife {
+pub(super) struct EndpointIncarnation {
     endpoint: EndpointId,
     incarnation: Incarnation,
 }
@@ -42,7 +42,7 @@
 /// [`LoadDigest`] without what both ends know.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct CompactLoad {
-    deployment: Name<Deployment>,
+    deployment: InternedName<Deployment>,
     sequence: u64,
     endpoints: Vec<CompactShare>,
     workspaces: Vec<CompactWorkspace>,
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct CompactShare {
-    life: Name<EndpointLife>,
+    endpoint: InternedName<EndpointIncarnation>,
     waiting_prefill: Tokens,
     waiting_bands: [Tokens; BANDS],
     running: u32,
@@ -68,30 +68,30 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct CompactWorkspace {
-    workspace: Name<Workspace>,
+    workspace: InternedName<Workspace>,
     waiting: Tokens,
     served: f32,
 }
 
 /// The sending end's names.
 #[derive(Debug, Default)]
-pub(super) struct Spoken {
+pub(super) struct LoadEncoder {
     deployments: IndexSet<Deployment>,
-    lives: IndexSet<EndpointLife>,
+    endpoints: IndexSet<EndpointIncarnation>,
     workspaces: IndexSet<Workspace>,
 }
 
-impl Spoken {
+impl LoadEncoder {
     pub(super) fn compact(&mut self, deployment: Deployment, part: LoadDigest) -> CompactLoad {
         let shares = part.endpoints.into_iter();
         let workspaces = part.workspaces.into_iter();
         CompactLoad {
-            deployment: name(&mut self.deployments, deployment),
+            deployment: intern(&mut self.deployments, deployment),
             sequence: part.sequence,
-            endpoints: shares.map(|share| compact_share(&mut self.lives, share)).collect(),
+            endpoints: shares.map(|share| compact_share(&mut self.endpoints, share)).collect(),
             workspaces: workspaces
                 .map(|share| CompactWorkspace {
-                    workspace: name(&mut self.workspaces, share.workspace),
+                    workspace: intern(&mut self.workspaces, share.workspace),
                     waiting: share.waiting,
                     served: share.served.0 as f32,
                 })
@@ -106,10 +106,13 @@
     }
 }
 
-fn compact_share(lives: &mut IndexSet<EndpointLife>, share: EndpointShare) -> CompactShare {
-    let life = EndpointLife { endpoint: share.endpoint, incarnation: share.incarnation };
+fn compact_share(
+    endpoints: &mut IndexSet<EndpointIncarnation>,
+    share: EndpointShare,
+) -> CompactShare {
+    let endpoint = EndpointIncarnation { endpoint: share.endpoint, incarnation: share.incarnation };
     CompactShare {
-        life: name(lives, life),
+        endpoint: intern(endpoints, endpoint),
         waiting_prefill: share.waiting_prefill,
         waiting_bands: share.waiting_bands,
         running: share.running,
@@ -120,33 +123,33 @@
     }
 }
 
-fn name<T: Clone + Eq + Hash>(names: &mut IndexSet<T>, value: T) -> Name<T> {
+fn intern<T: Clone + Eq + Hash>(names: &mut IndexSet<T>, value: T) -> InternedName<T> {
     if let Some(number) = names.get_index_of(&value).and_then(|index| u32::try_from(index).ok()) {
-        return Name { number, spelled: None };
+        return InternedName { number, value: None };
     }
-    if names.len() >= MAX_NAMES {
-        return Name { number: SPELLED, spelled: Some(value) };
+    if names.len() >= MAX_INTERNED_NAMES {
+        return InternedName { number: NOT_INTERNED, value: Some(value) };
     }
     let (index, _) = names.insert_full(value.clone());
-    Name { number: u32::try_from(index).unwrap_or(SPELLED), spelled: Some(value) }
+    InternedName { number: u32::try_from(index).unwrap_or(NOT_INTERNED), value: Some(value) }
 }
 
 /// The receiving end's names.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct LoadDecoder {
     deployments: Vec<Deployment>,
-    lives: Vec<EndpointLife>,
+    endpoints: Vec<EndpointIncarnation>,
     workspaces: Vec<Workspace>,
 }
 
 /// A part of a peer's load in one deployment.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct PartOfLoad {
+pub(super) struct LoadPart {
     pub(super) deployment: Deployment,
     pub(super) part: LoadDigest,
 }
 
-impl Heard {
+impl LoadDecoder {
     /// Puts back what the sender, whose `hello` opened the link, left out.
     ///
     /// # Errors
@@ -156,10 +159,10 @@
         &mut self,
         hello: &Hello,
         load: CompactLoad,
-    ) -> Result<PartOfLoad, PacketError> {
+    ) -> Result<LoadPart, PacketError> {
         let deployment = resolve(&mut self.deployments, load.deployment)?;
         let shares = load.endpoints.into_iter();
-        let endpoints = shares.map(|share| expand_share(&mut self.lives, share));
+        let endpoints = shares.map(|share| expand_share(&mut self.endpoints, share));
         let workspaces = load.workspaces.into_iter().map(|share| {
             Ok(WorkspaceShare {
                 workspace: resolve(&mut self.workspaces, share.workspace)?,
@@ -180,15 +183,15 @@
             suspect_endpoints: load.suspect_endpoints,
             long_prompts_starved: load.long_prompts_starved,
         };
-        Ok(PartOfLoad { deployment, part })
+        Ok(LoadPart { deployment, part })
     }
 }
 
 fn expand_share(
-    lives: &mut Vec<EndpointLife>,
+    endpoints: &mut Vec<EndpointIncarnation>,
     share: CompactShare,
 ) -> Result<EndpointShare, PacketError> {
-    let EndpointLife { endpoint, incarnation } = resolve(lives, share.life)?;
+    let EndpointIncarnation { endpoint, incarnation } = resolve(endpoints, share.endpoint)?;
     Ok(EndpointShare {
         endpoint,
         incarnation,
@@ -202,12 +205,12 @@
     })
 }
 
-fn resolve<T: Clone>(names: &mut Vec<T>, name: Name<T>) -> Result<T, PacketError> {
+fn resolve<T: Clone>(names: &mut Vec<T>, name: InternedName<T>) -> Result<T, PacketError> {
     let number = name.number as usize;
-    match name.spelled {
+    match name.value {
         None => names.get(number).cloned().ok_or(PacketError::Malformed),
-        Some(value) if name.number == SPELLED => Ok(value),
-        Some(value) if number == names.len() && number < MAX_NAMES => {
+        Some(value) if name.number == NOT_INTERNED => Ok(value),
+        Some(value) if number == names.len() && number < MAX_INTERNED_NAMES => {
             names.push(value.clone());
             Ok(value)
         }
--- a/crates/daemon/src/peer/count.rs
+++ b/crates/daemon/src/peer/count.rs
@@ -35,12 +35,12 @@
 }
 
 /// A stream whose bytes are counted.
-pub(super) struct Counted<S> {
+pub(super) struct CountedStream<S> {
     pub(super) stream: S,
     pub(super) counters: Arc<Counters>,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -52,7 +52,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/daemon/src/peer/flood.rs
+++ b/crates/daemon/src/peer/flood.rs
@@ -11,9 +11,9 @@
 /// Which messages for all were taken in already. Two gateways pass each on, and the copies may
 /// come in any order, so a window behind the newest number of each origin is kept.
 #[derive(Debug, Default)]
-pub(super) struct Flood {
+pub(super) struct FloodFilter {
     origins: IndexMap<InstanceId, Window>,
-    own: u64,
+    last_own_number: u64,
 }
 
 #[derive(Debug)]
@@ -21,40 +21,40 @@
     incarnation: Incarnation,
     newest: u64,
     /// Bit n stands for the number `newest - n`.
-    seen: u64,
+    seen_bits: u64,
 }
 
-impl Flood {
+impl FloodFilter {
     /// The number of this instance's next message.
     pub(super) fn next_number(&mut self) -> u64 {
-        self.own += 1;
-        self.own
+        self.last_own_number += 1;
+        self.last_own_number
     }
 
     /// Whether the message is new; it counts as taken in afterwards. One that is so late that the
     /// window has passed it counts as old: what is told to all is a level, and newer ones of the
     /// same origin have come since.
-    pub(super) fn take_in(&mut self, origin: &Origin) -> bool {
+    pub(super) fn insert(&mut self, origin: &Origin) -> bool {
         if !self.origins.contains_key(&origin.instance) && self.origins.len() >= MAX_ORIGINS {
             self.origins.shift_remove_index(0);
         }
-        let fresh = Window { incarnation: origin.incarnation, newest: 0, seen: 0 };
+        let fresh = Window { incarnation: origin.incarnation, newest: 0, seen_bits: 0 };
         let window = self.origins.entry(origin.instance.clone()).or_insert(fresh);
         if origin.incarnation < window.incarnation {
             return false;
         }
         if origin.incarnation > window.incarnation {
-            *window = Window { incarnation: origin.incarnation, newest: 0, seen: 0 };
+            *window = Window { incarnation: origin.incarnation, newest: 0, seen_bits: 0 };
         }
-        window.take_in(origin.number)
+        window.insert(origin.number)
     }
 }
 
 impl Window {
-    fn take_in(&mut self, number: u64) -> bool {
+    fn insert(&mut self, number: u64) -> bool {
         if number > self.newest {
             let shift = u32::try_from(number - self.newest).unwrap_or(u32::MAX);
-            self.seen = self.seen.checked_shl(shift).unwrap_or(0) | 1;
+            self.seen_bits = self.seen_bits.checked_shl(shift).unwrap_or(0) | 1;
             self.newest = number;
             return true;
         }
@@ -62,8 +62,8 @@
         let Some(bit) = 1_u64.checked_shl(behind) else {
             return false;
         };
-        let new = self.seen & bit == 0;
-        self.seen |= bit;
+        let new = self.seen_bits & bit == 0;
+        self.seen_bits |= bit;
         new
     }
 }
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use h2::{RecvStream, SendStream};
 
-use crate::peer::message::{LENGTH, MAX_PACKET_BYTES, Packet, PacketError, decode};
+use crate::peer::message::{LENGTH_PREFIX_BYTES, MAX_PACKET_BYTES, Packet, PacketError, decode};
 
 /// Why a link ended.
 #[derive(Debug)]
@@ -68,17 +68,17 @@
     }
 
     fn take_packet(&mut self) -> Result<Option<Packet>, PacketError> {
-        let Some(prefix) = self.buf.first_chunk::<LENGTH>() else {
+        let Some(prefix) = self.buf.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let len = u32::from_be_bytes(*prefix) as usize;
         if len > MAX_PACKET_BYTES {
             return Err(PacketError::TooLong(len));
         }
-        if self.buf.len() < LENGTH + len {
+        if self.buf.len() < LENGTH_PREFIX_BYTES + len {
             return Ok(None);
         }
-        self.buf.advance(LENGTH);
+        self.buf.advance(LENGTH_PREFIX_BYTES);
         decode(&self.buf.split_to(len)).map(Some)
     }
 }
@@ -98,8 +98,8 @@
         while !bytes.is_empty() {
             self.stream.reserve_capacity(bytes.len());
             let granted = poll_fn(|cx| self.stream.poll_capacity(cx)).await;
-            let room = granted.ok_or(FrameError::Closed)??;
-            let chunk = bytes.split_to(room.min(bytes.len()));
+            let granted_bytes = granted.ok_or(FrameError::Closed)??;
+            let chunk = bytes.split_to(granted_bytes.min(bytes.len()));
             self.stream.send_data(chunk, false)?;
         }
         Ok(())
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -21,9 +21,9 @@
     pub(super) fn broadcast(&self, message: Message) -> Result<(), PacketError> {
         let mut state = self.lock();
         let origin = Origin {
-            instance: self.me.instance.clone(),
-            incarnation: self.me.incarnation,
-            number: state.flood.next_number(),
+            instance: self.local.instance.clone(),
+            incarnation: self.local.incarnation,
+            number: state.flood_filter.next_number(),
         };
         let packet = if message.is_fleet_wide() {
             Packet::Flood { origin, message }
@@ -54,7 +54,7 @@
         let now = self.now();
         for instance in instances {
             let Some(link) = state.links.get_mut(instance) else { continue };
-            link.sent = now;
+            link.sent_at = now;
             if link.outbox.push(bytes.clone()).is_err() {
                 log::warn!(peer = instance.as_str(); "peer_link_overflow");
                 state.links.swap_remove(instance);
@@ -65,7 +65,7 @@
 
     pub(super) fn share_load(&self, deployment: &Deployment, digest: LoadDigest) {
         // The other end takes load on a link for that of the life at this end.
-        if digest.instance != self.me.instance || digest.incarnation != self.me.incarnation {
+        if digest.instance != self.local.instance || digest.incarnation != self.local.incarnation {
             log::error!(instance = digest.instance.as_str(); "load_of_another_life_not_told");
             return;
         }
@@ -73,16 +73,16 @@
         let mut state = self.lock();
         let budget = self.load_budget(&state);
         let load = state.loads.entry(deployment.clone()).or_insert_with(|| OwnLoad {
-            teller: DigestSender::new(budget, now),
+            sender: DigestSender::new(budget, now),
             digest: digest.clone(),
         });
         load.digest = digest;
-        load.teller.set_budget(budget);
-        let Some(part) = load.teller.next_part(&load.digest, now) else {
+        load.sender.set_budget(budget);
+        let Some(part) = load.sender.next_part(&load.digest, now) else {
             return;
         };
-        for link in state.links.values_mut().filter(|link| self.tells_load_to(link)) {
-            link.sent = now;
+        for link in state.links.values_mut().filter(|link| self.sends_load_to(link)) {
+            link.sent_at = now;
             link.outbox.push_load(deployment, &part);
         }
     }
@@ -90,41 +90,41 @@
     /// Bytes a second for one deployment's load on one link: the instance's whole budget, divided
     /// among all links and deployments, so that the cost of control doesn't grow with the fleet.
     fn load_budget(&self, state: &State) -> u32 {
-        let links = state.links.values().filter(|link| self.tells_load_to(link)).count().max(1);
+        let links = state.links.values().filter(|link| self.sends_load_to(link)).count().max(1);
         let shares = links * state.loads.len().max(1);
         self.load_bytes_per_second / u32::try_from(shares).unwrap_or(u32::MAX)
     }
 
     /// In a fleet with gateways, load stays within the data centre: what another one's instances
     /// have under way here shows in the endpoints' own reports.
-    pub(super) fn tells_load_to(&self, link: &Link) -> bool {
-        self.is_full_mesh() || link.hello.data_centre == self.me.data_centre
+    pub(super) fn sends_load_to(&self, link: &Link) -> bool {
+        self.is_full_mesh() || link.hello.data_centre == self.local.data_centre
     }
 
     pub(super) fn apply_list(&self, page: &ListPage) {
         let now = self.now();
         let entries = page.instances.iter().filter(|listed| listed.role == Role::Entry);
         let mut state = self.lock();
-        let mut lines = Vec::new();
+        let mut list_entries = Vec::new();
         for listed in entries {
             // A name that is no instance id can't be one of ours.
             let Ok(instance) = InstanceId::new(&listed.name) else { continue };
-            if instance != self.me.instance {
+            if instance != self.local.instance {
                 state.add_target(listed.address, Some(instance.clone()));
-                state.add_place(&instance, &listed.data_centre);
+                state.set_data_centre(&instance, &listed.data_centre);
                 let leaving = listed.state == ListedState::Leaving;
                 let incarnation = listed.incarnation;
-                lines.push(ListEntry { member: instance, incarnation, leaving });
+                list_entries.push(ListEntry { member: instance, incarnation, leaving });
             }
         }
-        state.members.apply_list(&lines, now);
-        state.forget_unlisted(&lines, now);
+        state.members.apply_list(&list_entries, now);
+        state.forget_unlisted(&list_entries, now);
         self.choose_links(&mut state);
     }
 
     /// Chooses anew which instances to have links with.
     pub(super) fn choose_links(&self, state: &mut State) {
-        let full_mesh = state.choose_links(&self.me);
+        let full_mesh = state.choose_links(&self.local);
         self.full_mesh.store(full_mesh, Ordering::Relaxed);
     }
 
@@ -141,7 +141,7 @@
         instance: &InstanceId,
         incarnation: Incarnation,
     ) -> OwnerStatus {
-        if *instance == self.me.instance && incarnation == self.me.incarnation {
+        if *instance == self.local.instance && incarnation == self.local.incarnation {
             return OwnerStatus::Alive;
         }
         self.lock().members.owner(instance, incarnation, self.now())
@@ -178,14 +178,15 @@
 
 impl State {
     /// Drops what is known of instances that are dead and unlisted.
-    fn forget_unlisted(&mut self, lines: &[ListEntry<InstanceId>], now: policy::Time) {
-        let State { members, places, targets, .. } = self;
-        let listed: IndexSet<&InstanceId> = lines.iter().map(|line| &line.member).collect();
+    fn forget_unlisted(&mut self, list_entries: &[ListEntry<InstanceId>], now: policy::Time) {
+        let State { members, data_centres, targets, .. } = self;
+        let listed: IndexSet<&InstanceId> =
+            list_entries.iter().map(|entry| &entry.member).collect();
         let live = |instance: &InstanceId| {
             listed.contains(instance)
                 || members.state(instance, now) != policy::membership::MemberState::Dead
         };
-        places.retain(|instance, _| live(instance));
-        targets.retain(|_, target| target.seed || target.instance.as_ref().is_some_and(live));
+        data_centres.retain(|instance, _| live(instance));
+        targets.retain(|_, target| target.is_seed || target.instance.as_ref().is_some_and(live));
     }
 }
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -11,20 +11,20 @@
 
 use crate::peer::{
     HELLO_TIMEOUT, PROTOCOL_VERSION, PeerEvent,
-    compact::{Heard, PartOfLoad, Spoken},
+    compact::{LoadDecoder, LoadEncoder, LoadPart},
     frame::{FrameError, FrameReader, FrameWriter},
     message::{Hello, Message, Origin, Packet, PacketError, encode},
-    outbox::{Item, Outbox},
+    outbox::{Outbox, OutboxItem},
     shared::Shared,
-    state::{Link, Rejected, State},
+    state::{Link, LinkRejection, State},
 };
 
 /// How long a replaced link is still read: the other end takes up the new link within this time,
 /// and until then goes on writing to the old one.
-const LINGER: Duration = HELLO_TIMEOUT;
+const LINGER_DURATION: Duration = HELLO_TIMEOUT;
 
 /// The id of all links that aren't kept.
-const NOT_KEPT: u64 = 0;
+const UNREGISTERED_LINK_ID: u64 = 0;
 
 /// Both directions of a new stream between two instances.
 pub(super) struct Streams {
@@ -36,72 +36,79 @@
 
 /// Why a link didn't come about.
 #[derive(Debug)]
-pub(super) enum HelloError {
+pub(super) enum HandshakeError {
     /// The other end closed, or sent what is no packet.
     Frame(FrameError),
     /// The other end began with something else than a hello.
-    NoHello,
+    MissingHello,
     /// The other end speaks another protocol.
-    Protocol(u32),
+    UnsupportedProtocol(u32),
     /// The link isn't wanted.
-    Rejected(Rejected),
+    Rejected(LinkRejection),
 }
 
-impl fmt::Display for HelloError {
+impl fmt::Display for HandshakeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HelloError::Frame(err) => write!(f, "no hello came: {err}"),
-            HelloError::NoHello => write!(f, "the other end didn't begin with a hello in time"),
-            HelloError::Protocol(theirs) => {
+            HandshakeError::Frame(err) => write!(f, "no hello came: {err}"),
+            HandshakeError::MissingHello => {
+                write!(f, "the other end didn't begin with a hello in time")
+            }
+            HandshakeError::UnsupportedProtocol(theirs) => {
                 write!(f, "the other end speaks protocol {theirs}, not {PROTOCOL_VERSION}")
             }
-            HelloError::Rejected(Rejected::Myself) => write!(f, "it leads back to this instance"),
-            HelloError::Rejected(Rejected::OldLife) => {
+            HandshakeError::Rejected(LinkRejection::SelfConnection) => {
+                write!(f, "it leads back to this instance")
+            }
+            HandshakeError::Rejected(LinkRejection::StaleIncarnation) => {
                 write!(f, "the other end's life is known to have been replaced")
             }
-            HelloError::Rejected(Rejected::Duplicate) => {
+            HandshakeError::Rejected(LinkRejection::Duplicate) => {
                 write!(f, "the other end's own link is kept instead")
             }
         }
     }
 }
 
-impl From<FrameError> for HelloError {
+impl From<FrameError> for HandshakeError {
     fn from(err: FrameError) -> Self {
-        HelloError::Frame(err)
+        HandshakeError::Frame(err)
     }
 }
 
 /// Says hello and waits for the other end's.
-pub(super) async fn greet(me: &Hello, streams: &mut Streams) -> Result<Hello, HelloError> {
-    say_hello(me, streams).await?;
-    hear_hello(streams).await
+pub(super) async fn start_handshake(
+    local: &Hello,
+    streams: &mut Streams,
+) -> Result<Hello, HandshakeError> {
+    send_hello(local, streams).await?;
+    receive_hello(streams).await
 }
 
 /// Waits for the hello of the end that dialled, and says one unless that is a life which has been
 /// replaced: it would take the link as standing until it learned of its end.
-pub(super) async fn greet_back(
+pub(super) async fn accept_handshake(
     shared: &Shared,
     streams: &mut Streams,
-) -> Result<Hello, HelloError> {
-    let hello = hear_hello(streams).await?;
-    if shared.lock().is_old_life(&hello) {
-        return Err(HelloError::Rejected(Rejected::OldLife));
+) -> Result<Hello, HandshakeError> {
+    let hello = receive_hello(streams).await?;
+    if shared.lock().is_stale_incarnation(&hello) {
+        return Err(HandshakeError::Rejected(LinkRejection::StaleIncarnation));
     }
-    say_hello(&shared.me, streams).await?;
+    send_hello(&shared.local, streams).await?;
     Ok(hello)
 }
 
-async fn say_hello(me: &Hello, streams: &mut Streams) -> Result<(), HelloError> {
-    let hello = encode(&Packet::Hello(me.clone())).map_err(FrameError::from)?;
+async fn send_hello(local: &Hello, streams: &mut Streams) -> Result<(), HandshakeError> {
+    let hello = encode(&Packet::Hello(local.clone())).map_err(FrameError::from)?;
     Ok(streams.writer.send(hello).await?)
 }
 
-async fn hear_hello(streams: &mut Streams) -> Result<Hello, HelloError> {
+async fn receive_hello(streams: &mut Streams) -> Result<Hello, HandshakeError> {
     match streams.reader.next().await? {
         Some(Packet::Hello(hello)) if hello.protocol == PROTOCOL_VERSION => Ok(hello),
-        Some(Packet::Hello(hello)) => Err(HelloError::Protocol(hello.protocol)),
-        Some(_) | None => Err(HelloError::NoHello),
+        Some(Packet::Hello(hello)) => Err(HandshakeError::UnsupportedProtocol(hello.protocol)),
+        Some(_) | None => Err(HandshakeError::MissingHello),
     }
 }
 
@@ -109,22 +116,22 @@
 ///
 /// # Errors
 ///
-/// [`HelloError::Rejected`] where the link isn't wanted.
+/// [`HandshakeError::Rejected`] where the link isn't wanted.
 pub(super) async fn run(
     shared: &Arc<Shared>,
     hello: Hello,
     streams: Streams,
-) -> Result<(), HelloError> {
+) -> Result<(), HandshakeError> {
     let Streams { mut reader, writer, dialled } = streams;
     let (session, events) = match register(shared, &hello, dialled) {
         Ok(registered) => registered,
         Err(rejected) => {
-            if rejected == Rejected::Duplicate {
+            if rejected == LinkRejection::Duplicate {
                 // The other end took this link up before it heard of the one that is kept.
-                let peer = Peer { link: NOT_KEPT, hello };
+                let peer = Peer { link_id: UNREGISTERED_LINK_ID, hello };
                 or(read(shared, &peer, &mut reader), linger()).await;
             }
-            return Err(HelloError::Rejected(rejected));
+            return Err(HandshakeError::Rejected(rejected));
         }
     };
     let Session { peer, outbox, stop } = session;
@@ -138,14 +145,14 @@
         linger().await
     };
     let end = or(stopped, reading.or(writing)).await;
-    shared.lock().unlink(&peer.hello.instance, peer.link);
+    shared.lock().remove_link(&peer.hello.instance, peer.link_id);
     log::info!(peer = peer.hello.instance.as_str(), end:? = end; "peer_link_down");
     Ok(())
 }
 
 /// The time for which a link that another one takes the place of is still read.
 async fn linger() -> End {
-    Timer::after(LINGER).await;
+    Timer::after(LINGER_DURATION).await;
     End::Replaced
 }
 
@@ -164,7 +171,7 @@
 
 /// Who is at the other end of which link.
 struct Peer {
-    link: u64,
+    link_id: u64,
     hello: Hello,
 }
 
@@ -178,37 +185,38 @@
     shared: &Shared,
     hello: &Hello,
     dialled: bool,
-) -> Result<(Session, Vec<PeerEvent>), Rejected> {
+) -> Result<(Session, Vec<PeerEvent>), LinkRejection> {
     let now = shared.now();
     let mut state = shared.lock();
-    state.check(&shared.me.instance, hello, dialled, now)?;
-    let events = state.met(hello, now);
+    state.check_link(&shared.local.instance, hello, dialled, now)?;
+    let events = state.record_linked(hello, now);
     // An instance that listens on all its addresses can't say which of them others reach.
     if !hello.address.ip().is_unspecified() {
         state.add_target(hello.address, Some(hello.instance.clone()));
     }
     let (stop_tx, stop) = bounded(1);
-    let id = state.next_link;
-    state.next_link += 1;
+    let id = state.next_link_id;
+    state.next_link_id += 1;
     let outbox = Arc::new(Outbox::new());
-    if let Some(old) = state.links.get(&hello.instance).filter(|old| old.is_same_life(hello)) {
-        outbox.take_over(&old.outbox);
+    if let Some(old) = state.links.get(&hello.instance).filter(|old| old.is_same_incarnation(hello))
+    {
+        outbox.take_packets_of(&old.outbox);
     }
     let link = Link {
         id,
         hello: hello.clone(),
         dialled,
         outbox: outbox.clone(),
-        since: now,
-        heard: now,
-        sent: now,
+        established_at: now,
+        received_at: now,
+        sent_at: now,
         leaving: false,
-        listeners: Default::default(),
+        receivers: Default::default(),
         _stop: stop_tx,
     };
-    if shared.tells_load_to(&link) {
+    if shared.sends_load_to(&link) {
         for (deployment, load) in &state.loads {
-            outbox.push_load(deployment, &load.teller.full_digest(&load.digest));
+            outbox.push_load(deployment, &load.sender.full_digest(&load.digest));
         }
     }
     state.links.insert(hello.instance.clone(), link);
@@ -219,18 +227,18 @@
     }
     shared.choose_links(&mut state);
     shared.traffic.links_established.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let peer = Peer { link: id, hello: hello.clone() };
+    let peer = Peer { link_id: id, hello: hello.clone() };
     Ok((Session { peer, outbox, stop }, events))
 }
 
 async fn write(outbox: &Outbox, mut writer: FrameWriter) -> End {
-    let mut names = Spoken::default();
+    let mut load_encoder = LoadEncoder::default();
     while let Some(item) = outbox.next().await {
         let encoded = match item {
-            Item::Packet(bytes) => Ok(bytes),
-            Item::Load(load) => {
-                let PartOfLoad { deployment, part } = *load;
-                encode(&Packet::Load(names.compact(deployment, part)))
+            OutboxItem::Packet(bytes) => Ok(bytes),
+            OutboxItem::Load(load) => {
+                let LoadPart { deployment, part } = *load;
+                encode(&Packet::Load(load_encoder.compact(deployment, part)))
             }
         };
         let bytes = match encoded {
@@ -250,10 +258,10 @@
 }
 
 async fn read(shared: &Shared, peer: &Peer, reader: &mut FrameReader) -> End {
-    let mut names = Heard::default();
+    let mut load_decoder = LoadDecoder::default();
     loop {
         let taken = match reader.next().await {
-            Ok(Some(packet)) => take_in(shared, peer, &mut names, packet),
+            Ok(Some(packet)) => apply_packet(shared, peer, &mut load_decoder, packet),
             Ok(None) | Err(FrameError::Closed) => return End::Closed,
             Err(FrameError::Packet(err)) => Err(err),
         };
@@ -271,23 +279,24 @@
 /// Takes in a packet and says what the instance has to hear; none where the peer has no link any
 /// more, or a new life. On a link that another one of the same life has replaced, only messages
 /// count: load and heartbeats are told anew on the new link.
-fn take_in(
+fn apply_packet(
     shared: &Shared,
     peer: &Peer,
-    names: &mut Heard,
+    load_decoder: &mut LoadDecoder,
     packet: Packet,
 ) -> Result<Option<Vec<PeerEvent>>, PacketError> {
     let now = shared.now();
     let mut state = shared.lock();
     let (instance, incarnation) = (&peer.hello.instance, peer.hello.incarnation);
-    let Some(link) = state.links.get_mut(instance).filter(|link| link.is_same_life(&peer.hello))
+    let Some(link) =
+        state.links.get_mut(instance).filter(|link| link.is_same_incarnation(&peer.hello))
     else {
         return Ok(None);
     };
-    if link.id != peer.link && !matches!(packet, Packet::Direct(_) | Packet::Flood { .. }) {
+    if link.id != peer.link_id && !matches!(packet, Packet::Direct(_) | Packet::Flood { .. }) {
         return Ok(Some(Vec::new()));
     }
-    link.heard = now;
+    link.received_at = now;
     let events = match packet {
         Packet::Hello(_) | Packet::Heartbeat { leaving: false } => Vec::new(),
         Packet::Heartbeat { leaving: true } => {
@@ -297,35 +306,35 @@
             if known { Vec::new() } else { vec![leaving] }
         }
         Packet::Load(load) => {
-            let PartOfLoad { deployment, part } = names.expand(&peer.hello, load)?;
-            let listener = link.listeners.entry(deployment.clone()).or_default();
-            let digest = listener.merge(part).cloned();
+            let LoadPart { deployment, part } = load_decoder.expand(&peer.hello, load)?;
+            let receiver = link.receivers.entry(deployment.clone()).or_default();
+            let digest = receiver.merge(part).cloned();
             digest.map(|digest| PeerEvent::Load { deployment, digest }).into_iter().collect()
         }
         Packet::Direct(message) => vec![PeerEvent::Message { from: instance.clone(), message }],
-        Packet::Flood { origin, message } => flooded(shared, &mut state, peer, origin, message),
-        Packet::Goodbye => goodbye(&mut state, instance, incarnation, now),
+        Packet::Flood { origin, message } => apply_flood(shared, &mut state, peer, origin, message),
+        Packet::Goodbye => apply_goodbye(&mut state, instance, incarnation, now),
     };
     state.members.observe(instance, incarnation, MemberObservation::Alive, now);
     Ok(Some(events))
 }
 
-fn flooded(
+fn apply_flood(
     shared: &Shared,
     state: &mut State,
     peer: &Peer,
     origin: Origin,
     message: Message,
 ) -> Vec<PeerEvent> {
-    if origin.instance == shared.me.instance || !state.flood.take_in(&origin) {
+    if origin.instance == shared.local.instance || !state.flood_filter.insert(&origin) {
         return Vec::new();
     }
     let from = origin.instance.clone();
-    shared.pass_on(state, peer, &Packet::Flood { origin, message: message.clone() });
+    shared.forward(state, peer, &Packet::Flood { origin, message: message.clone() });
     vec![PeerEvent::Message { from, message }]
 }
 
-fn goodbye(
+fn apply_goodbye(
     state: &mut State,
     instance: &InstanceId,
     incarnation: Incarnation,
@@ -344,21 +353,22 @@
 
     /// Passes a message for all on between data centres: what comes from another one goes to all
     /// here, what comes from here goes to the others that this instance is a gateway to.
-    fn pass_on(&self, state: &mut State, peer: &Peer, packet: &Packet) {
+    fn forward(&self, state: &mut State, peer: &Peer, packet: &Packet) {
         if self.is_full_mesh() {
             return;
         }
-        let here = |data_centre: &DataCentre| *data_centre == self.me.data_centre;
-        let from_here = here(&peer.hello.data_centre);
-        let onward: Vec<InstanceId> = state
+        let is_local = |data_centre: &DataCentre| *data_centre == self.local.data_centre;
+        let is_from_local = is_local(&peer.hello.data_centre);
+        let targets: Vec<InstanceId> = state
             .links
             .iter()
             .filter(|(instance, link)| {
-                **instance != peer.hello.instance && here(&link.hello.data_centre) != from_here
+                **instance != peer.hello.instance
+                    && is_local(&link.hello.data_centre) != is_from_local
             })
             .map(|(instance, _)| instance.clone())
             .collect();
         // The packet came over a link, so it isn't too long for one.
-        self.push(state, &onward, packet).ok();
+        self.push(state, &targets, packet).ok();
     }
 }
--- a/crates/daemon/src/peer/message.rs
+++ b/crates/daemon/src/peer/message.rs
@@ -155,15 +155,15 @@
 ///
 /// [`PacketError::TooLong`]; a packet's types can always be written.
 pub(super) fn encode(packet: &Packet) -> Result<Bytes, PacketError> {
-    let mut buf = vec![0; LENGTH];
+    let mut buf = vec![0; LENGTH_PREFIX_BYTES];
     bincode::serde::encode_into_std_write(packet, &mut buf, bincode::config::standard())
         .map_err(|_| PacketError::Malformed)?;
-    let len = buf.len() - LENGTH;
+    let len = buf.len() - LENGTH_PREFIX_BYTES;
     if len > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong(len));
     }
     let prefix = u32::try_from(len).map_err(|_| PacketError::TooLong(len))?;
-    buf[..LENGTH].copy_from_slice(&prefix.to_be_bytes());
+    buf[..LENGTH_PREFIX_BYTES].copy_from_slice(&prefix.to_be_bytes());
     Ok(buf.into())
 }
 
@@ -178,4 +178,4 @@
 }
 
 /// Bytes of the length before each packet.
-pub(super) const LENGTH: usize = 4;
+pub(super) const LENGTH_PREFIX_BYTES: usize = 4;
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -185,7 +185,7 @@
 
     /// Where the mesh listens.
     pub fn address(&self) -> SocketAddr {
-        self.shared.me.address
+        self.shared.local.address
     }
 
     /// Tells all instances that have a link; where [`Message::is_fleet_wide`], gateways pass it on to
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -13,14 +13,14 @@
 use policy::{Deployment, LoadDigest, digest};
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::peer::compact::PartOfLoad;
+use crate::peer::compact::LoadPart;
 
 /// The most packets that wait for one peer. Two seconds of a burst of quarantine and endpoint
 /// news; a peer that is farther behind gets a new link, which begins with the whole state.
-const MAX_WAITING: usize = 256;
+const MAX_QUEUED_PACKETS: usize = 256;
 
 /// The most bytes that wait for one peer: a few configurations.
-const MAX_BYTES: usize = 16 << 20;
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 
 /// The peer doesn't take what is sent: the link has to be closed and made anew. Dropping single
 /// packets instead would leave the two ends with different views for good.
@@ -28,11 +28,11 @@
 pub(super) struct Overflow;
 
 /// What the writer of a link gets to send.
-pub(super) enum Item {
+pub(super) enum OutboxItem {
     /// An encoded packet.
     Packet(Bytes),
     /// A part of the load, to be encoded with the link's names.
-    Load(Box<PartOfLoad>),
+    Load(Box<LoadPart>),
 }
 
 /// The queue of one link. Load digests that wait are merged into one for each deployment, so that
@@ -61,7 +61,9 @@
     /// Queues an encoded packet.
     pub(super) fn push(&self, packet: Bytes) -> Result<(), Overflow> {
         let mut pending = self.lock();
-        if pending.packets.len() >= MAX_WAITING || pending.bytes + packet.len() > MAX_BYTES {
+        if pending.packets.len() >= MAX_QUEUED_PACKETS
+            || pending.bytes + packet.len() > MAX_QUEUED_BYTES
+        {
             return Err(Overflow);
         }
         pending.bytes += packet.len();
@@ -72,12 +74,12 @@
 
     /// Takes the packets that still wait for a link which this one replaces. Its load isn't taken:
     /// a new link begins with the whole.
-    pub(super) fn take_over(&self, old: &Outbox) {
-        let mut old = old.lock();
+    pub(super) fn take_packets_of(&self, replaced: &Outbox) {
+        let mut replaced = replaced.lock();
         let mut pending = self.lock();
-        pending.bytes += std::mem::take(&mut old.bytes);
-        pending.packets.append(&mut old.packets);
-        old.loads.clear();
+        pending.bytes += std::mem::take(&mut replaced.bytes);
+        pending.packets.append(&mut replaced.packets);
+        replaced.loads.clear();
         self.wake();
     }
 
@@ -100,9 +102,9 @@
     }
 
     /// What to send next; none once all is sent and the link is to end.
-    pub(super) async fn next(&self) -> Option<Item> {
+    pub(super) async fn next(&self) -> Option<OutboxItem> {
         loop {
-            if let Some(item) = self.take() {
+            if let Some(item) = self.try_next() {
                 return Some(item);
             }
             if self.closing.load(Ordering::Acquire) {
@@ -113,14 +115,14 @@
         }
     }
 
-    fn take(&self) -> Option<Item> {
+    fn try_next(&self) -> Option<OutboxItem> {
         let mut pending = self.lock();
         if let Some(packet) = pending.packets.pop_front() {
             pending.bytes -= packet.len();
-            return Some(Item::Packet(packet));
+            return Some(OutboxItem::Packet(packet));
         }
         let (deployment, part) = pending.loads.pop()?;
-        Some(Item::Load(Box::new(PartOfLoad { deployment, part })))
+        Some(OutboxItem::Load(Box::new(LoadPart { deployment, part })))
     }
 
     fn wake(&self) {
--- a/crates/daemon/src/peer/shared.rs
+++ b/crates/daemon/src/peer/shared.rs
@@ -18,7 +18,7 @@
 };
 
 pub(super) struct Shared {
-    pub(super) me: Hello,
+    pub(super) local: Hello,
     pub(super) load_bytes_per_second: u32,
     pub(super) traffic: Arc<Counters>,
     /// Whether the fleet is so small that all have links with all.
@@ -34,7 +34,7 @@
 impl Shared {
     pub(super) fn new(cfg: PeerConfig, address: SocketAddr, events: Sender<PeerEvent>) -> Shared {
         let (stop_tx, stop_rx) = bounded(1);
-        let me = Hello {
+        let local = Hello {
             protocol: PROTOCOL_VERSION,
             instance: cfg.instance,
             incarnation: cfg.incarnation,
@@ -46,7 +46,7 @@
             state.add_seed(seed);
         }
         Shared {
-            me,
+            local,
             load_bytes_per_second: cfg.load_bytes_per_second,
             traffic: Arc::default(),
             full_mesh: AtomicBool::new(true),
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -12,7 +12,7 @@
 use smol::channel::Sender;
 
 use crate::peer::{
-    HELLO_TIMEOUT, PeerEvent, dial::Target, flood::Flood, message::Hello, outbox::Outbox,
+    HELLO_TIMEOUT, PeerEvent, dial::Target, flood::FloodFilter, message::Hello, outbox::Outbox,
 };
 
 /// The most addresses that are dialled.
@@ -23,20 +23,20 @@
     pub(super) links: IndexMap<InstanceId, Link>,
     pub(super) targets: IndexMap<SocketAddr, Target>,
     pub(super) loads: IndexMap<Deployment, OwnLoad>,
-    pub(super) flood: Flood,
+    pub(super) flood_filter: FloodFilter,
     /// Where each known instance stands.
-    pub(super) places: IndexMap<InstanceId, DataCentre>,
+    pub(super) data_centres: IndexMap<InstanceId, DataCentre>,
     /// The instances to have links with; none before there is anything to choose from.
     pub(super) wanted: IndexSet<InstanceId>,
     /// Lives told as linked and not yet as gone.
     pub(super) announced: IndexMap<InstanceId, Incarnation>,
     pub(super) leaving: bool,
-    pub(super) next_link: u64,
+    pub(super) next_link_id: u64,
 }
 
 /// What this instance told of one deployment.
 pub(super) struct OwnLoad {
-    pub(super) teller: DigestSender,
+    pub(super) sender: DigestSender,
     pub(super) digest: LoadDigest,
 }
 
@@ -47,30 +47,30 @@
     pub(super) hello: Hello,
     pub(super) dialled: bool,
     pub(super) outbox: Arc<Outbox>,
-    pub(super) since: Time,
-    pub(super) heard: Time,
-    pub(super) sent: Time,
+    pub(super) established_at: Time,
+    pub(super) received_at: Time,
+    pub(super) sent_at: Time,
     /// Whether the peer has said on this link that it is leaving.
     pub(super) leaving: bool,
-    pub(super) listeners: IndexMap<Deployment, DigestReceiver>,
+    pub(super) receivers: IndexMap<Deployment, DigestReceiver>,
     /// Dropping it ends the link shortly after.
     pub(super) _stop: Sender<()>,
 }
 
 impl Link {
     /// Whether the link leads to the life that said this hello.
-    pub(super) fn is_same_life(&self, hello: &Hello) -> bool {
+    pub(super) fn is_same_incarnation(&self, hello: &Hello) -> bool {
         self.hello.incarnation == hello.incarnation
     }
 }
 
 /// Why a new link isn't kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Rejected {
+pub(super) enum LinkRejection {
     /// The other end is this very instance, by one of its addresses.
-    Myself,
+    SelfConnection,
     /// The other end is a life that has been replaced.
-    OldLife,
+    StaleIncarnation,
     /// Both sides dialled at once, and the other link is the one to keep.
     Duplicate,
 }
@@ -82,12 +82,12 @@
             links: IndexMap::new(),
             targets: IndexMap::new(),
             loads: IndexMap::new(),
-            flood: Flood::default(),
-            places: IndexMap::new(),
+            flood_filter: FloodFilter::default(),
+            data_centres: IndexMap::new(),
             wanted: IndexSet::new(),
             announced: IndexMap::new(),
             leaving: false,
-            next_link: 1,
+            next_link_id: 1,
         }
     }
 
@@ -96,39 +96,43 @@
     /// When two instances dial each other in the same moment, each end has to keep the same one of
     /// the two links: that dialled by the smaller name. A link made later replaces an older one,
     /// because its dialler would not have dialled if the older one worked.
-    pub(super) fn check(
+    pub(super) fn check_link(
         &self,
-        me: &InstanceId,
+        local: &InstanceId,
         hello: &Hello,
         dialled: bool,
         now: Time,
-    ) -> Result<(), Rejected> {
-        if &hello.instance == me {
-            return Err(Rejected::Myself);
+    ) -> Result<(), LinkRejection> {
+        if &hello.instance == local {
+            return Err(LinkRejection::SelfConnection);
         }
-        if self.is_old_life(hello) {
-            return Err(Rejected::OldLife);
+        if self.is_stale_incarnation(hello) {
+            return Err(LinkRejection::StaleIncarnation);
         }
         let Some(link) = self.links.get(&hello.instance) else {
             return Ok(());
         };
-        let same_moment = now.since(link.since) < HELLO_TIMEOUT * 2;
-        let preferred = dialled == (me < &hello.instance);
-        if same_moment && link.is_same_life(hello) && link.dialled != dialled && !preferred {
-            return Err(Rejected::Duplicate);
+        let is_simultaneous = now.since(link.established_at) < HELLO_TIMEOUT * 2;
+        let is_preferred = dialled == (local < &hello.instance);
+        if is_simultaneous
+            && link.is_same_incarnation(hello)
+            && link.dialled != dialled
+            && !is_preferred
+        {
+            return Err(LinkRejection::Duplicate);
         }
         Ok(())
     }
 
     /// Whether a newer life of the instance that said this hello is known.
-    pub(super) fn is_old_life(&self, hello: &Hello) -> bool {
+    pub(super) fn is_stale_incarnation(&self, hello: &Hello) -> bool {
         self.members.incarnation(&hello.instance).is_some_and(|i| i > hello.incarnation)
     }
 
     /// Takes note of a life that was met on a link, and says what the instance has to hear.
-    pub(super) fn met(&mut self, hello: &Hello, now: Time) -> Vec<PeerEvent> {
+    pub(super) fn record_linked(&mut self, hello: &Hello, now: Time) -> Vec<PeerEvent> {
         self.members.observe(&hello.instance, hello.incarnation, MemberObservation::Alive, now);
-        self.add_place(&hello.instance, &hello.data_centre);
+        self.set_data_centre(&hello.instance, &hello.data_centre);
         let mut events = Vec::new();
         let known = self.announced.insert(hello.instance.clone(), hello.incarnation);
         if let Some(incarnation) = known.filter(|known| *known < hello.incarnation) {
@@ -153,34 +157,34 @@
     pub(super) fn add_seed(&mut self, address: SocketAddr) {
         self.add_target(address, None);
         if let Some(target) = self.targets.get_mut(&address) {
-            target.seed = true;
+            target.is_seed = true;
         }
     }
 
     /// Takes note of where an instance stands. It stays in the choice of links until a list lacks
     /// it, even if it seems dead: both ends of a link that was cut would else stop dialling.
-    pub(super) fn add_place(&mut self, instance: &InstanceId, data_centre: &DataCentre) {
-        if self.places.len() < MAX_TARGETS || self.places.contains_key(instance) {
-            self.places.insert(instance.clone(), data_centre.clone());
+    pub(super) fn set_data_centre(&mut self, instance: &InstanceId, data_centre: &DataCentre) {
+        if self.data_centres.len() < MAX_TARGETS || self.data_centres.contains_key(instance) {
+            self.data_centres.insert(instance.clone(), data_centre.clone());
         }
     }
 
     /// Chooses anew which instances to have links with, and says whether these are all.
-    pub(super) fn choose_links(&mut self, me: &Hello) -> bool {
-        let placed = |instance: &InstanceId, data_centre: &DataCentre| InstanceLocation {
+    pub(super) fn choose_links(&mut self, local: &Hello) -> bool {
+        let location = |instance: &InstanceId, data_centre: &DataCentre| InstanceLocation {
             instance: instance.clone(),
             data_centre: data_centre.clone(),
         };
-        let myself = placed(&me.instance, &me.data_centre);
+        let local = location(&local.instance, &local.data_centre);
         let mut all: Vec<InstanceLocation> =
-            self.places.iter().map(|(instance, place)| placed(instance, place)).collect();
-        all.push(myself.clone());
-        self.wanted = topology::links(&myself, &all).into_iter().collect();
+            self.data_centres.iter().map(|(instance, place)| location(instance, place)).collect();
+        all.push(local.clone());
+        self.wanted = topology::links(&local, &all).into_iter().collect();
         all.len() <= topology::MAX_FULL_MESH_INSTANCES
     }
 
     /// Ends a link, unless another one has taken its place.
-    pub(super) fn unlink(&mut self, instance: &InstanceId, id: u64) {
+    pub(super) fn remove_link(&mut self, instance: &InstanceId, id: u64) {
         if self.links.get(instance).is_some_and(|link| link.id == id) {
             self.links.swap_remove(instance);
         }
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -18,12 +18,12 @@
 
 use super::{
     PeerConfig, PeerEvent, PeerMesh,
-    compact::{Heard, PartOfLoad, Spoken},
+    compact::{LoadDecoder, LoadEncoder, LoadPart},
     dial,
-    flood::Flood,
+    flood::FloodFilter,
     message::{
-        EndpointStateUpdate, Hello, LENGTH, Message, Origin, PROTOCOL_VERSION, Packet, decode,
-        encode,
+        EndpointStateUpdate, Hello, LENGTH_PREFIX_BYTES, Message, Origin, PROTOCOL_VERSION, Packet,
+        decode, encode,
     },
 };
 
@@ -36,24 +36,24 @@
 fn a_length_within_a_packet_allocates_nothing_it_cannot_hold() {
     // A configuration of 2^60 bytes, of which none follows.
     let packet = Packet::Direct(Message::Config { version: Version(1), content: vec![].into() });
-    let mut bytes = encode(&packet).unwrap()[LENGTH..].to_vec();
+    let mut bytes = encode(&packet).unwrap()[LENGTH_PREFIX_BYTES..].to_vec();
     bytes.pop();
     bytes.extend([0xfd, 0, 0, 0, 0, 0, 0, 0, 0x10]);
     assert!(decode(&bytes).is_err());
 }
 
-macro_rules! takes_in {
+macro_rules! flood_filter_accepts {
     ($($case:ident: $messages:expr => $new:expr;)*) => {$(
         #[test]
         fn $case() {
-            let mut flood = Flood::default();
-            let new = $messages.map(|(life, number)| flood.take_in(&origin(life, number)));
+            let mut flood = FloodFilter::default();
+            let new = $messages.map(|(incarnation, number)| flood.insert(&origin(incarnation, number)));
             assert_eq!(new, $new);
         }
     )*};
 }
 
-takes_in! {
+flood_filter_accepts! {
     copies_by_two_gateways_count_once: [(1, 1), (1, 1), (1, 2), (1, 2)] => [true, false, true, false];
     messages_may_overtake_each_other: [(1, 3), (1, 1), (1, 2), (1, 1)] => [true, true, true, false];
     a_new_life_counts_anew: [(1, 3), (2, 1), (1, 4)] => [true, true, false];
@@ -101,18 +101,18 @@
         data_centre: DataCentre::new("brasov-a").unwrap(),
         address: ([127, 0, 0, 1], 1).into(),
     };
-    let (mut spoken, mut heard) = (Spoken::default(), Heard::default());
+    let (mut encoder, mut decoder) = (LoadEncoder::default(), LoadDecoder::default());
     let mut lengths = Vec::new();
     for waiting in [1_000, 2_000, 3_000] {
-        let compact = spoken.compact(deployment.clone(), load(waiting));
+        let compact = encoder.compact(deployment.clone(), load(waiting));
         lengths.push(encode(&Packet::Load(compact.clone())).unwrap().len());
-        let part = heard.expand(&hello, compact).unwrap();
-        assert_eq!(part, PartOfLoad { deployment: deployment.clone(), part: load(waiting) });
+        let part = decoder.expand(&hello, compact).unwrap();
+        assert_eq!(part, LoadPart { deployment: deployment.clone(), part: load(waiting) });
     }
     println!("bytes of a part with one endpoint and one workspace: {lengths:?}");
     assert!(lengths[1] + 40 < lengths[0] && lengths[1] == lengths[2], "{lengths:?}");
-    let stranger = spoken.compact(deployment, load(1));
-    assert!(Heard::default().expand(&hello, stranger).is_err(), "numbers without names");
+    let foreign = encoder.compact(deployment, load(1));
+    assert!(LoadDecoder::default().expand(&hello, foreign).is_err(), "numbers without names");
 }
 
 fn mesh(name: &str, executor: &Arc<Executor<'static>>) -> (PeerMesh, Receiver<PeerEvent>) {
@@ -129,27 +129,27 @@
     PeerMesh::start(cfg).unwrap()
 }
 
-fn news(incarnation: u64) -> Message {
+fn endpoint_update(incarnation: u64) -> Message {
     let endpoint = EndpointId::new("model-redactare-0001").unwrap();
     let (incarnation, state) = (Incarnation(incarnation), EndpointState::Leaving);
     Message::Endpoint(EndpointStateUpdate { endpoint, incarnation, state })
 }
 
-async fn next_news(events: &Receiver<PeerEvent>) -> Option<u64> {
-    let news = async {
+async fn next_update(events: &Receiver<PeerEvent>) -> Option<u64> {
+    let endpoint_update = async {
         loop {
-            if let PeerEvent::Message { message: Message::Endpoint(news), .. } =
+            if let PeerEvent::Message { message: Message::Endpoint(endpoint_update), .. } =
                 events.recv().await.unwrap()
             {
-                return Some(news.incarnation.0);
+                return Some(endpoint_update.incarnation.0);
             }
         }
     };
-    let patience = async {
+    let timeout = async {
         Timer::after(Duration::from_secs(5)).await;
         None
     };
-    futures_lite::future::or(news, patience).await
+    futures_lite::future::or(endpoint_update, timeout).await
 }
 
 /// Guards against messages lost on a link that a second dial replaces.
@@ -159,30 +159,30 @@
     let (first, _events) = mesh("entry-1", &executor);
     let (second, events) = mesh("entry-2", &executor);
     smol::block_on(executor.run(async {
-        let mut told = 0;
+        let mut sent = 0;
         for _ in 0..20 {
             // The smaller name's dial replaces a link that stands.
             first.shared.spawn(dial::run(first.shared.clone(), second.address()));
             for _ in 0..20 {
-                told += 1;
-                first.broadcast(news(told)).unwrap();
+                sent += 1;
+                first.broadcast(endpoint_update(sent)).unwrap();
                 Timer::after(Duration::from_micros(200)).await;
             }
         }
         // What is told before the first link stands is told to nobody; what is told on a replaced
         // link may come after what is told on the new one.
-        let (mut heard, mut first_heard) = (Vec::new(), told);
-        while heard.len() as u64 <= told - first_heard
-            && let Some(number) = next_news(&events).await
+        let (mut received, mut first_received) = (Vec::new(), sent);
+        while received.len() as u64 <= sent - first_received
+            && let Some(number) = next_update(&events).await
         {
-            heard.push(number);
-            first_heard = first_heard.min(number);
+            received.push(number);
+            first_received = first_received.min(number);
         }
-        assert!(first_heard < told / 2, "{first_heard} of {told}");
+        assert!(first_received < sent / 2, "{first_received} of {sent}");
         let lost: Vec<u64> =
-            (first_heard..=told).filter(|number| !heard.contains(number)).collect();
+            (first_received..=sent).filter(|number| !received.contains(number)).collect();
         assert_eq!(lost, Vec::<u64>::new());
-        assert_eq!(heard.len() as u64, told + 1 - first_heard, "each once");
+        assert_eq!(received.len() as u64, sent + 1 - first_received, "each once");
     }));
 }
 
@@ -197,6 +197,6 @@
     fn a_packet_reads_back(version: u64, content: Vec<u8>) -> bool {
         let content = content.into();
         let packet = Packet::Direct(Message::Config { version: Version(version), content });
-        encode(&packet).is_ok_and(|bytes| decode(&bytes[LENGTH..]) == Ok(packet))
+        encode(&packet).is_ok_and(|bytes| decode(&bytes[LENGTH_PREFIX_BYTES..]) == Ok(packet))
     }
 }
--- a/crates/daemon/src/peer/tick.rs
+++ b/crates/daemon/src/peer/tick.rs
@@ -16,37 +16,37 @@
 };
 
 /// A quarter of a heartbeat, so that deadlines are kept within that.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) async fn run(shared: Arc<Shared>) {
     loop {
         let events = tick(&shared);
         shared.emit(events).await;
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
 }
 
 fn tick(shared: &Arc<Shared>) -> Vec<PeerEvent> {
     let mut state = shared.lock();
-    drop_silent(shared, &mut state);
-    heartbeats(shared, &mut state);
+    drop_silent_links(shared, &mut state);
+    send_heartbeats(shared, &mut state);
     let due = state.take_due(shared.now());
-    let gone = take_gone(shared, &mut state);
+    let removed = take_removed(shared, &mut state);
     drop(state);
     for address in due {
         shared.spawn(dial::run(shared.clone(), address));
     }
-    gone
+    removed
 }
 
 /// Drops links that gave no sign of life. Something between the two ends may have lost track of
 /// the connection: it then stays open and silent for good, while a new one works. Dropping it
 /// makes both ends dial anew within a tick or two, well before the peer counts as dead.
-fn drop_silent(shared: &Shared, state: &mut State) {
+fn drop_silent_links(shared: &Shared, state: &mut State) {
     let now = shared.now();
     let before = state.links.len();
     state.links.retain(|instance, link| {
-        let silent = now.since(link.heard) >= LINK_SILENCE_TIMEOUT;
+        let silent = now.since(link.received_at) >= LINK_SILENCE_TIMEOUT;
         if silent {
             log::warn!(peer = instance.as_str(); "peer_link_silent");
         }
@@ -57,30 +57,30 @@
 }
 
 /// Sends a heartbeat on each link that had nothing else to say for a while.
-fn heartbeats(shared: &Shared, state: &mut State) {
+fn send_heartbeats(shared: &Shared, state: &mut State) {
     let now = shared.now();
-    let quiet: Vec<InstanceId> = state
+    let idle: Vec<InstanceId> = state
         .links
         .iter()
-        .filter(|(_, link)| now.since(link.sent) + TICK > HEARTBEAT_INTERVAL)
+        .filter(|(_, link)| now.since(link.sent_at) + TICK_INTERVAL > HEARTBEAT_INTERVAL)
         .map(|(instance, _)| instance.clone())
         .collect();
     let packet = Packet::Heartbeat { leaving: state.leaving };
     // A heartbeat is never too long.
-    shared.push(state, &quiet, &packet).ok();
+    shared.push(state, &idle, &packet).ok();
 }
 
-fn take_gone(shared: &Shared, state: &mut State) -> Vec<PeerEvent> {
+fn take_removed(shared: &Shared, state: &mut State) -> Vec<PeerEvent> {
     let now = shared.now();
     let State { announced, members, .. } = state;
-    let mut gone = Vec::new();
+    let mut removed = Vec::new();
     announced.retain(|instance, incarnation| {
         let live = members.state(instance, now) != membership::MemberState::Dead;
         if !live {
             let (instance, incarnation) = (instance.clone(), *incarnation);
-            gone.push(PeerEvent::Removed { instance, incarnation });
+            removed.push(PeerEvent::Removed { instance, incarnation });
         }
         live
     });
-    gone
+    removed
 }
