--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -107,7 +107,7 @@
 }
 
 fn ready(shared: &Shared) -> Response {
-    match shared.unready() {
+    match shared.unready_reason() {
         None => respond::text(StatusCode::Ok, "ready\n"),
         Some(why) => respond::text(StatusCode::ServiceUnavailable, &format!("not ready: {why}\n")),
     }
--- a/crates/daemon/src/admin/fleet.rs
+++ b/crates/daemon/src/admin/fleet.rs
@@ -24,14 +24,14 @@
 
 /// Questions to peers that are under way.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct StatusQueries {
     next: AtomicU64,
     open: Mutex<HashMap<u64, Sender<Bytes>>>,
 }
 
-impl Questions {
+impl StatusQueries {
     /// Takes a peer's answer.
-    pub fn answered(&self, query: u64, content: Bytes) {
+    pub fn record_reply(&self, query: u64, content: Bytes) {
         if let Some(tx) = lock(&self.open).get(&query) {
             // Each peer answers once, and there is room for all of them.
             tx.try_send(content).ok();
@@ -45,8 +45,8 @@
     let Some(mesh) = shared.mesh() else { return all };
     let peers: Vec<_> = mesh.status().into_iter().filter(|peer| peer.linked).collect();
     let (tx, rx) = bounded(peers.len().max(1));
-    let query = shared.questions.next.fetch_add(1, Ordering::Relaxed);
-    lock(&shared.questions.open).insert(query, tx);
+    let query = shared.status_queries.next.fetch_add(1, Ordering::Relaxed);
+    lock(&shared.status_queries.open).insert(query, tx);
     let asked = peers
         .iter()
         .filter(|peer| mesh.send_to(&peer.instance, Message::StatusWanted { query }).is_ok());
@@ -61,7 +61,7 @@
         Timer::after(PATIENCE).await;
     };
     answers.or(late).await;
-    lock(&shared.questions.open).remove(&query);
+    lock(&shared.status_queries.open).remove(&query);
     all[1..].sort_by(|a, b| a.instance.cmp(&b.instance));
     all
 }
--- a/crates/daemon/src/controller/cache.rs
+++ b/crates/daemon/src/controller/cache.rs
@@ -55,7 +55,7 @@
             from: run[0].sequence,
             events: run.iter().map(|event| (event.block, event.stored)).collect(),
         };
-        shared.tell(endpoint, &Event::Cache(events));
+        shared.notify_schedulers(endpoint, &Event::Cache(events));
     }
     cursor.next = page.next;
 }
--- a/crates/daemon/src/controller/load.rs
+++ b/crates/daemon/src/controller/load.rs
@@ -72,10 +72,10 @@
         running: load.running,
         leaving: load.leaving,
     };
-    shared.tell(endpoint, &Event::Load(report));
+    shared.notify_schedulers(endpoint, &Event::Load(report));
 }
 
 fn probe(shared: &Arc<Shared>, endpoint: &Endpoint, healthy: bool) {
     let event = Event::Probe { endpoint: endpoint.config.id.clone(), healthy };
-    shared.tell(endpoint, &event);
+    shared.notify_schedulers(endpoint, &event);
 }
--- a/crates/daemon/src/controller/peers.rs
+++ b/crates/daemon/src/controller/peers.rs
@@ -134,7 +134,7 @@
             tell(shared, from, Message::Status { query, content });
         }
         Message::LedgerRead(ends) => ledgers::heard(shared, &ends),
-        Message::Status { query, content } => shared.questions.answered(query, content),
+        Message::Status { query, content } => shared.status_queries.record_reply(query, content),
         Message::ConfigVersion(_) => {}
     }
 }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -12,7 +12,7 @@
     if shared.stage() != Stage::Serving {
         return;
     }
-    shared.enter(Stage::Leaving);
+    shared.advance_to(Stage::Leaving);
     if let Some(mesh) = shared.mesh() {
         mesh.set_leaving();
     }
@@ -20,7 +20,7 @@
     let (state, wait) = (shared.clone(), shared.settings.balancer_wait_ms);
     shared.spawn(async move {
         Timer::after(Duration::from_millis(wait)).await;
-        state.enter(Stage::Refusing);
+        state.advance_to(Stage::Refusing);
         log::info!("refusing");
     });
 }
@@ -52,7 +52,7 @@
 /// Waits until new requests are refused, every request under way has ended and idle connections
 /// are closed. Each request has a deadline, and so has this.
 pub async fn finished(shared: &Shared) {
-    while shared.stage() != Stage::Refusing || shared.requests_under_way() > 0 {
+    while shared.stage() != Stage::Refusing || shared.requests_in_flight() > 0 {
         Timer::after(LOOK_PERIOD).await;
     }
     for _ in 0..CONNECTION_LOOKS {
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -60,7 +60,7 @@
         };
         let outcome = ledgers.ledger_for(&key).claim(req).await;
         let deployment = &admitted.guard.deployment.name;
-        self.shared.metrics.once_call(deployment, outcome.name());
+        self.shared.metrics.record_at_most_once_call(deployment, outcome.name());
         match outcome {
             ClaimOutcome::Run(claim) => self.run_detached(admitted, claim).await,
             other => {
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -7,7 +7,7 @@
 use crate::{
     error::CallError,
     filter::{Answer, CallDetails, Handler, ReceivedRequest},
-    server::connection::WRITE_GRACE,
+    server::connection::WRITE_GRACE_PERIOD,
     shared::Shared,
 };
 
@@ -41,7 +41,7 @@
         if deadline <= self.shared.clock.now() {
             return Err(deadline_error(RunStatus::No));
         }
-        received.conn.cut_at(deadline + WRITE_GRACE);
+        received.conn.set_cut_time(deadline + WRITE_GRACE_PERIOD);
         self.next.handle(RequestWithDeadline { received, deadline }).await
     }
 }
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -89,7 +89,7 @@
             RequestEnd::Expired
         };
         let hung_up = async {
-            conn.hung_up().or(messages.closed()).await;
+            conn.wait_for_hang_up().or(messages.closed()).await;
             RequestEnd::HungUp
         };
         let end = self.follow_decisions().or(hung_up).or(deadline_passed).await;
@@ -131,7 +131,7 @@
     }
 
     fn attempt_failed(&self, start: &Start, cause: FailCause) {
-        self.shared.metrics.attempt_failed(&self.guard.deployment.name, cause);
+        self.shared.metrics.record_failed_attempt(&self.guard.deployment.name, cause);
         self.request.received.record.update(|summary| summary.last_failure = Some(cause));
         log::info!(
             request = start.request.0,
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -48,7 +48,7 @@
         // when it is sent again.
         match runs_at_most_once {
             true => std::future::pending().await,
-            false => conn.hung_up().await,
+            false => conn.wait_for_hang_up().await,
         }
         ServiceCallEnd::HungUp
     };
@@ -104,7 +104,7 @@
     }
 
     fn report_failure(&self, guard: &AdmissionGuard, start: &Start, cause: FailCause) {
-        self.shared.metrics.attempt_failed(&guard.deployment.name, cause);
+        self.shared.metrics.record_failed_attempt(&guard.deployment.name, cause);
         self.admitted.request.received.record.update(|summary| summary.last_failure = Some(cause));
         let (request, attempt, passed_on) = (start.request, start.attempt, Tokens::ZERO);
         let event = Event::AttemptFailed { request, attempt, cause, passed_on };
--- a/crates/daemon/src/filter/mod.rs
+++ b/crates/daemon/src/filter/mod.rs
@@ -98,17 +98,17 @@
     conn: Arc<Connection>,
     req: Request,
 ) -> Response {
-    let record = shared.begin(parse::request_id(&req));
-    conn.begin(record.clone());
-    conn.cut_at(
-        shared.clock.now() + receive::BODY_TIMEOUT + crate::server::connection::WRITE_GRACE,
+    let record = shared.begin_request(parse::request_id(&req));
+    conn.begin_request(record.clone());
+    conn.set_cut_time(
+        shared.clock.now() + receive::BODY_TIMEOUT + crate::server::connection::WRITE_GRACE_PERIOD,
     );
     let inbound = InboundRequest { req, conn: conn.clone(), record: record.clone() };
     let result = chain.handle(inbound).await;
     if let Err(e) = &result {
         record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
         // Much of the body may be unread, and the library would read all of it.
-        conn.cut_at(shared.clock.now() + crate::server::connection::WRITE_GRACE);
+        conn.set_cut_time(shared.clock.now() + crate::server::connection::WRITE_GRACE_PERIOD);
     }
     let must_close = result.as_ref().is_err_and(may_leave_unread_body);
     let mut resp = respond::response(result);
--- a/crates/daemon/src/logging/mod.rs
+++ b/crates/daemon/src/logging/mod.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::cli::LogLevel;
-use queue::{LineQueue, LineWriter, Rank};
+use queue::{LinePriority, LineQueue, LineWriter};
 
 /// Keeps logging going. Dropping it writes the last lines and ends it.
 pub struct Logging {
@@ -65,7 +65,8 @@
         bytes.push(b'\n');
         let is_routine = record.level() >= Level::Info
             && record.args().as_str().is_some_and(|event| ROUTINE.contains(&event));
-        self.queue.push(bytes, if is_routine { Rank::Routine } else { Rank::Kept });
+        self.queue
+            .push(bytes, if is_routine { LinePriority::Routine } else { LinePriority::Important });
         Ok(())
     }
 
--- a/crates/daemon/src/logging/queue.rs
+++ b/crates/daemon/src/logging/queue.rs
@@ -25,11 +25,11 @@
 
 /// How much a line matters when there is no room for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rank {
+pub enum LinePriority {
     /// One of many of its kind.
     Routine,
     /// A failure, or a change of what the instance believes.
-    Kept,
+    Important,
 }
 
 #[derive(Debug, Default)]
@@ -61,13 +61,13 @@
 
 impl LineQueue {
     /// Adds a line, or counts it as left out.
-    pub fn push(&self, line: Vec<u8>, rank: Rank) {
+    pub fn push(&self, line: Vec<u8>, rank: LinePriority) {
         let mut state = self.state();
-        let limit = if rank == Rank::Routine { MAX_ROUTINE } else { MAX_LINES };
+        let limit = if rank == LinePriority::Routine { MAX_ROUTINE } else { MAX_LINES };
         if state.lines.len() >= limit {
             match rank {
-                Rank::Routine => state.left_out_routine += 1,
-                Rank::Kept => state.left_out_kept += 1,
+                LinePriority::Routine => state.left_out_routine += 1,
+                LinePriority::Important => state.left_out_kept += 1,
             }
             return;
         }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Metrics {
     /// Requests under way.
-    pub under_way: UpDownCounter<i64>,
+    pub requests_in_flight: UpDownCounter<i64>,
     /// Connections of callers.
     pub connections: UpDownCounter<i64>,
     requests: Counter<u64>,
@@ -59,7 +59,11 @@
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("trefoilhall");
         Ok(Metrics {
-            under_way: gauge(&meter, "trefoilhall_requests_under_way", "requests under way"),
+            requests_in_flight: gauge(
+                &meter,
+                "trefoilhall_requests_under_way",
+                "requests under way",
+            ),
             connections: gauge(&meter, "trefoilhall_connections", "connections of callers"),
             requests: counter(&meter, "trefoilhall_requests", "requests that ended"),
             attempt_failures: counter(&meter, "trefoilhall_attempt_failures", "failed attempts"),
@@ -76,7 +80,7 @@
     }
 
     /// Counts a request that ended.
-    pub fn request_ended(
+    pub fn record_request(
         &self,
         summary: &RequestSummary,
         first_token: Option<Duration>,
@@ -96,14 +100,14 @@
     }
 
     /// Counts a failed attempt.
-    pub fn attempt_failed(&self, deployment: &Deployment, cause: FailCause) {
+    pub fn record_failed_attempt(&self, deployment: &Deployment, cause: FailCause) {
         let deployment = KeyValue::new("deployment", deployment.as_str().to_owned());
         let cause = KeyValue::new("cause", format!("{cause:?}"));
         self.attempt_failures.add(1, &[deployment, cause]);
     }
 
     /// Counts a call that may not be repeated.
-    pub fn once_call(&self, deployment: &Deployment, outcome: &'static str) {
+    pub fn record_at_most_once_call(&self, deployment: &Deployment, outcome: &'static str) {
         let deployment = KeyValue::new("deployment", deployment.as_str().to_owned());
         self.once_calls.add(1, &[deployment, KeyValue::new("outcome", outcome)]);
     }
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -18,26 +18,26 @@
 
 /// The folder can't be used, for all these reasons.
 #[derive(Debug)]
-pub struct BadFolder(pub Findings);
+pub struct FolderError(pub Findings);
 
-impl fmt::Display for BadFolder {
+impl fmt::Display for FolderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let texts: Vec<_> = self.0.iter().map(ToString::to_string).collect();
         write!(f, "the configuration folder can't be used: {}", texts.join("; "))
     }
 }
 
-impl std::error::Error for BadFolder {}
+impl std::error::Error for FolderError {}
 
 impl Options {
     /// Reads the folder that `args` name.
     ///
     /// # Errors
     ///
-    /// [`BadFolder`] with every finding.
-    pub fn read(args: &Args) -> Result<Options, Report<BadFolder>> {
-        let files = read_folder(&args.config).map_err(BadFolder)?;
-        let loaded = load(&files).map_err(BadFolder)?;
+    /// [`FolderError`] with every finding.
+    pub fn read(args: &Args) -> Result<Options, Report<FolderError>> {
+        let files = read_folder(&args.config).map_err(FolderError)?;
+        let loaded = load(&files).map_err(FolderError)?;
         let mut findings = Findings::default();
         let settings = match &loaded.settings {
             Some(node) => Settings::read(node, &mut findings),
@@ -46,8 +46,8 @@
                 None
             }
         };
-        let settings = findings.into_result(settings).map_err(BadFolder)?;
-        let settings = settings.ok_or_else(|| Report::new(BadFolder(Findings::default())))?;
+        let settings = findings.into_result(settings).map_err(FolderError)?;
+        let settings = settings.ok_or_else(|| Report::new(FolderError(Findings::default())))?;
         let is_local = settings.log.is_none() && settings.routing.is_none();
         let config = is_local.then_some(loaded.config);
         Ok(Options { settings, config })
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -10,7 +10,7 @@
 
 use smol::Timer;
 
-use crate::shared::{Shared, Unready};
+use crate::shared::{Shared, UnreadyReason};
 
 /// Time between two looks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -23,11 +23,13 @@
     let started = Instant::now();
     let mut next_warning_after = FIRST_WARNING_AFTER;
     loop {
-        let Some(unready) = shared.upgrade().map(|shared| shared.unready()) else { return };
+        let Some(unready_reason) = shared.upgrade().map(|shared| shared.unready_reason()) else {
+            return;
+        };
         let since_ms = started.elapsed().as_millis() as u64;
-        match unready {
+        match unready_reason {
             None => return log::info!(since_ms; "ready"),
-            Some(Unready::Stopping) => return,
+            Some(UnreadyReason::Stopping) => return,
             Some(reason) if started.elapsed() >= next_warning_after => {
                 log::warn!(since_ms, cause:% = reason; "not_ready");
                 next_warning_after *= 2;
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -59,7 +59,7 @@
         metrics: Arc<Metrics>,
         open: Arc<()>,
     ) -> Self {
-        metrics.under_way.add(1, &[]);
+        metrics.requests_in_flight.add(1, &[]);
         let summary = RequestSummary {
             request_id,
             workspace: None,
@@ -94,8 +94,8 @@
         let summary = lock(&self.summary).clone();
         let total = self.clock.now().since(self.arrived);
         let first = summary.first_token.map(|time| time.since(self.arrived));
-        self.metrics.under_way.add(-1, &[]);
-        self.metrics.request_ended(&summary, first, total);
+        self.metrics.requests_in_flight.add(-1, &[]);
+        self.metrics.record_request(&summary, first, total);
         log::info!(
             id = summary.request_id.as_str(),
             workspace = summary.workspace.as_ref().map_or("-", Workspace::as_str),
--- a/crates/daemon/src/server/connection.rs
+++ b/crates/daemon/src/server/connection.rs
@@ -25,7 +25,7 @@
 
 /// How long after a request's deadline its caller may still be taking the answer's last bytes.
 /// Beyond it a caller that reads nothing would hold the connection for ever.
-pub const WRITE_GRACE: Duration = Duration::from_secs(2);
+pub const WRITE_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// One caller's connection.
 #[derive(Debug)]
@@ -63,18 +63,18 @@
     }
 
     /// Notes that a request is under way, which keeps a stopping instance from closing.
-    pub fn begin(&self, record: Arc<CallRecord>) {
+    pub fn begin_request(&self, record: Arc<CallRecord>) {
         lock(&self.state).record = Some(record);
     }
 
     /// Cuts the connection at `time` if the request under way still is by then.
-    pub fn cut_at(&self, time: Time) {
+    pub fn set_cut_time(&self, time: Time) {
         lock(&self.state).cut_at = time;
     }
 
     /// Waits until the caller has hung up. The HTTP library notices that only when it writes,
     /// which for a long prompt is minutes too late for the engine's memory.
-    pub async fn hung_up(&self) {
+    pub async fn wait_for_hang_up(&self) {
         let socket: Arc<Async<std::net::TcpStream>> = self.socket.clone().into();
         let mut byte = [0];
         // The system is asked only when the socket has something to tell. `peek` of the
@@ -148,7 +148,7 @@
         let text = "the head of the request can't be read: it needs a method, a path, `HTTP/1.1`, \
                     a `Host` header, and at most 128 headers in 8 KB";
         let e = CallError::malformed(finding.unwrap_or_else(|| text.to_owned()));
-        let record = service.shared.begin(None);
+        let record = service.shared.begin_request(None);
         record.update(|summary| (summary.status, summary.outcome) = (e.status.into(), e.code));
         let bytes = respond::raw(&e, Some(&record.request_id()));
         last_words::say(self.socket.clone(), &bytes).await;
--- a/crates/daemon/src/server/router.rs
+++ b/crates/daemon/src/server/router.rs
@@ -34,7 +34,7 @@
     }
     if req.method() == Method::Get && req.url().path() == "/v1/models" {
         let mut resp = models(service, &req);
-        let record = service.shared.begin(parse::request_id(&req));
+        let record = service.shared.begin_request(parse::request_id(&req));
         record
             .update(|summary| (summary.status, summary.outcome) = (resp.status().into(), "listed"));
         resp.insert_header(respond::REQUEST_ID, record.request_id());
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     active::{ActiveConfig, ActiveConfigBuilder, AnyDeployment},
-    admin::fleet::Questions,
+    admin::fleet::StatusQueries,
     budget::BodyBudget,
     clock::Clock,
     controller::{
@@ -52,7 +52,7 @@
 
 /// Why an instance isn't ready.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unready {
+pub enum UnreadyReason {
     /// It is stopping.
     Stopping,
     /// No configuration is in force.
@@ -66,12 +66,12 @@
     },
 }
 
-impl fmt::Display for Unready {
+impl fmt::Display for UnreadyReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unready::Stopping => write!(f, "the instance is stopping"),
-            Unready::Configuration => write!(f, "no configuration is in force"),
-            Unready::Endpoints { count, first } => {
+            UnreadyReason::Stopping => write!(f, "the instance is stopping"),
+            UnreadyReason::Configuration => write!(f, "no configuration is in force"),
+            UnreadyReason::Endpoints { count, first } => {
                 let names: Vec<&str> = first.iter().map(EndpointId::as_str).collect();
                 write!(f, "endpoints not asked for their load ({count}): {}", names.join(" "))
             }
@@ -105,7 +105,7 @@
     /// Shared by the records of all requests under way, which are counted by it.
     open_requests: Arc<()>,
     /// Questions to other instances that are under way.
-    pub questions: Questions,
+    pub status_queries: StatusQueries,
     /// Bodies of requests under way.
     pub body_budget: BodyBudget,
     /// Open connections of callers and operators.
@@ -135,7 +135,7 @@
             warm: AtomicBool::new(false),
             next_request: AtomicU64::new(1),
             open_requests: Arc::default(),
-            questions: Questions::default(),
+            status_queries: StatusQueries::default(),
             body_budget: BodyBudget::default(),
             connections: Registry::default(),
         }
@@ -239,25 +239,25 @@
     }
 
     /// Moves on towards the stop.
-    pub fn enter(&self, stage: Stage) {
+    pub fn advance_to(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
     }
 
     /// Whether the balancer may send callers here.
     pub fn is_ready(&self) -> bool {
-        self.unready().is_none()
+        self.unready_reason().is_none()
     }
 
     /// Why the balancer may not send callers here: there is no configuration, or some endpoint was
     /// never asked for its load. Before that the scheduler knows no engine's memory, and would
     /// send prompts where they don't fit. Endpoints that come later change nothing.
-    pub fn unready(&self) -> Option<Unready> {
+    pub fn unready_reason(&self) -> Option<UnreadyReason> {
         if self.stage() != Stage::Serving {
-            return Some(Unready::Stopping);
+            return Some(UnreadyReason::Stopping);
         }
         let active = self.active();
         if active.version == Version(0) {
-            return Some(Unready::Configuration);
+            return Some(UnreadyReason::Configuration);
         }
         if self.warm.load(Ordering::Relaxed) {
             return None;
@@ -267,11 +267,11 @@
             unknown.by_ref().take(NAMED).map(|endpoint| endpoint.config.id.clone()).collect();
         let count = first.len() + unknown.count();
         self.warm.fetch_or(count == 0, Ordering::Relaxed);
-        (count > 0).then_some(Unready::Endpoints { count, first })
+        (count > 0).then_some(UnreadyReason::Endpoints { count, first })
     }
 
     /// Begins the record of a request.
-    pub fn begin(&self, request_id: Option<String>) -> Arc<CallRecord> {
+    pub fn begin_request(&self, request_id: Option<String>) -> Arc<CallRecord> {
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         let request_id = request_id.unwrap_or_else(|| format!("{}/{id}", self.owner));
         let open = self.open_requests.clone();
@@ -279,7 +279,7 @@
     }
 
     /// Requests that were begun and haven't ended to the last byte of their answer.
-    pub fn requests_under_way(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         Arc::strong_count(&self.open_requests) - 1
     }
 
@@ -302,7 +302,7 @@
                 state: change.state,
             }));
         }
-        self.tell(endpoint, &Event::Endpoint(change));
+        self.notify_schedulers(endpoint, &Event::Endpoint(change));
     }
 
     /// The links to other instances, while they stand.
@@ -325,7 +325,7 @@
     }
 
     /// Tells the schedulers of all deployments that `endpoint` serves.
-    pub fn tell(&self, endpoint: &Endpoint, event: &Event) {
+    pub fn notify_schedulers(&self, endpoint: &Endpoint, event: &Event) {
         for deployment in self.active().served_by(endpoint) {
             deployment.observe(event.clone());
         }
--- a/crates/daemon/tests/log_queue.rs
+++ b/crates/daemon/tests/log_queue.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use daemon::logging::queue::{LineQueue, Rank};
+use daemon::logging::queue::{LinePriority, LineQueue};
 
 #[derive(Clone, Default)]
 struct Page(Arc<Mutex<Vec<u8>>>);
@@ -52,7 +52,7 @@
     let (queue, page) = (LineQueue::default(), Page::default());
     let writer = queue.write_to(page.clone()).unwrap();
     for i in 0..100 {
-        queue.push(format!("{i}\n").into_bytes(), Rank::Routine);
+        queue.push(format!("{i}\n").into_bytes(), LinePriority::Routine);
     }
     writer.close();
     let expected: String = (0..100).map(|i| format!("{i}\n")).collect();
@@ -68,10 +68,10 @@
     let writer = queue.write_to(Stuck { go_on, page: page.clone() }).unwrap();
     let began = Instant::now();
     for i in 0..20_000 {
-        queue.push(format!("routine {i}\n").into_bytes(), Rank::Routine);
+        queue.push(format!("routine {i}\n").into_bytes(), LinePriority::Routine);
     }
     for i in 0..500 {
-        queue.push(format!("failure {i}\n").into_bytes(), Rank::Kept);
+        queue.push(format!("failure {i}\n").into_bytes(), LinePriority::Important);
     }
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
     drop(tx);
@@ -88,7 +88,7 @@
     let (tx, go_on) = mpsc::channel();
     let queue = LineQueue::default();
     let writer = queue.write_to(Stuck { go_on, page: Page::default() }).unwrap();
-    queue.push(b"line\n".to_vec(), Rank::Kept);
+    queue.push(b"line\n".to_vec(), LinePriority::Important);
     let began = Instant::now();
     writer.close();
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
