--- a/crates/policy/src/config/deployments.rs
+++ b/crates/policy/src/config/deployments.rs
@@ -1,4 +1,4 @@
-//! Reads and checks deployments: their weights, limits and routes.
+//! Reads and checks the `deployments` section: groups, models, weights, limits and routes.
 
 use indexmap::IndexMap;
 
@@ -6,32 +6,32 @@
     DeploymentRules, EndpointKind, Limits, RouteRules, ServeRules, Weights,
     fields::Fields,
     finding::Findings,
-    load::section,
-    names::Names,
+    load::read_section,
+    names::NameIndex,
     tree::{Node, Value},
 };
 use crate::{Deployment, EndpointGroup, Model, Tokens};
 
-/// The latest deadline that may be configured, in milliseconds: a day.
+/// Maximum deadline that may be configured, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1_000;
-/// The longest queue that may be configured. A waiting request takes some kilobytes, so that more
-/// would not fit into a small instance.
-const MAX_WAITING: u64 = 1_000_000;
-/// The largest weight. Only ratios count, and a ratio beyond a thousand means to ignore one side,
-/// for which there is zero.
+/// Maximum queue length that may be configured. A waiting request takes a few kilobytes, so that
+/// a longer queue wouldn't fit into a small instance's memory.
+const MAX_WAITING_REQUESTS: u64 = 1_000_000;
+/// Maximum weight. Only the ratio of the weights matters, and a ratio above 1000 amounts to
+/// ignoring one of them, which weight 0 expresses.
 const MAX_WEIGHT: f64 = 1_000.0;
-/// The longest output in tokens that may be configured, as large as the largest prompts.
-const MAX_OUTPUT: u64 = 1_000_000;
-/// The longest path of a route in bytes.
-const MAX_PATH: usize = 1_024;
+/// Maximum output that may be configured, as large as the largest prompts.
+const MAX_OUTPUT_TOKENS: u64 = 1_000_000;
+/// Maximum length of a route's path.
+const MAX_PATH_BYTES: usize = 1_024;
 
-/// Reads all deployments.
+/// Reads all deployments; faulty ones are reported and left out.
 pub(super) fn read_deployments(
     node: Option<&Node>,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) -> IndexMap<Deployment, DeploymentRules> {
-    section(node, "deployments", findings, |node, path, findings| {
+    read_section(node, "deployments", findings, |node, path, findings| {
         read_deployment(node, path, names, findings)
     })
 }
@@ -39,7 +39,7 @@
 fn read_deployment(
     node: &Node,
     path: &str,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) -> Option<DeploymentRules> {
     let mut fields = Fields::open(node, path, findings)?;
@@ -55,7 +55,7 @@
     let routes = read_routes(routes, &fields.path("routes"), &limits, findings);
     let policy = fields.optional("policy", "a scheduler's name", findings).unwrap_or_default();
     let serve = fields.optional("serve", "a model and a version to load", findings);
-    check_serve(&fields, serve.as_ref(), kind, findings);
+    check_model_to_load(&fields, serve.as_ref(), kind, findings);
     check_group(&fields, group.as_ref(), kind, names, findings);
     check_models(&fields, models.as_deref().unwrap_or_default(), kind, names, findings);
     fields.close(findings);
@@ -75,16 +75,16 @@
     fields: &Fields<'_>,
     group: Option<&EndpointGroup>,
     kind: Option<EndpointKind>,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) {
     let Some(group) = group else { return };
     let location = fields.location_of("group");
     let path = fields.path("group");
-    if !names.is_served(group.as_str()) {
+    if !names.has_endpoints_in(group.as_str()) {
         findings.push(location, &path, format!("no endpoint serves in the group {group}"));
     }
-    if names.group_uses(group.as_str()) > 1 {
+    if names.count_group_uses(group.as_str()) > 1 {
         let message = format!(
             "another deployment has the group {group} too; each would fill the endpoints as if \
              the other weren't there"
@@ -97,10 +97,10 @@
     }
 }
 
-/// The roles that engines know.
-const ROLES: [&str; 3] = ["mixed", "prefill", "decode"];
+/// Roles that engines accept.
+const ENGINE_ROLES: [&str; 3] = ["mixed", "prefill", "decode"];
 
-fn check_serve(
+fn check_model_to_load(
     fields: &Fields<'_>,
     serve: Option<&ServeRules>,
     kind: Option<EndpointKind>,
@@ -111,11 +111,11 @@
     if kind == Some(EndpointKind::Service) {
         findings.push(location, &path, "expected nothing to load for a plain service");
     }
-    if !ROLES.contains(&serve.role.as_str()) {
+    if !ENGINE_ROLES.contains(&serve.role.as_str()) {
         let message = format!("expected the role mixed, prefill or decode, found {}", serve.role);
         findings.push(location, &path, message);
     }
-    // Both become segments of a path at the weight store.
+    // Model and version become path segments of the weight store's URLs.
     let is_segment = |text: &str| {
         !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
     };
@@ -129,7 +129,7 @@
     fields: &Fields<'_>,
     models: &[Model],
     kind: Option<EndpointKind>,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) {
     let location = fields.location_of("models");
@@ -144,7 +144,7 @@
         _ => {}
     }
     for model in models {
-        if names.model_uses(model.as_str()) > 1 {
+        if names.count_model_uses(model.as_str()) > 1 {
             let message = format!("the model {model} is listed more than once");
             findings.push(location, &path, message);
         }
@@ -152,17 +152,17 @@
 }
 
 fn read_weights(node: &Node, path: &str, findings: &mut Findings) -> Option<Weights> {
-    let base = Weights::default();
+    let defaults = Weights::default();
     let mut fields = Fields::open(node, path, findings)?;
     let range = 0.0..=MAX_WEIGHT;
     let weights = Weights {
         long_first_token: fields.number(
             "long_first_token",
             range.clone(),
-            base.long_first_token,
+            defaults.long_first_token,
             findings,
         ),
-        short_slowdown: fields.number("short_slowdown", range, base.short_slowdown, findings),
+        short_slowdown: fields.number("short_slowdown", range, defaults.short_slowdown, findings),
     };
     fields.close(findings);
     if weights.long_first_token == 0.0 && weights.short_slowdown == 0.0 {
@@ -173,31 +173,36 @@
 }
 
 fn read_limits(node: &Node, path: &str, findings: &mut Findings) -> Option<Limits> {
-    let base = Limits::default();
+    let defaults = Limits::default();
     let mut fields = Fields::open(node, path, findings)?;
     let deadline = 1..=MAX_DEADLINE_MS;
     let limits = Limits {
         default_deadline_ms: fields.whole(
             "default_deadline_ms",
             deadline.clone(),
-            base.default_deadline_ms,
+            defaults.default_deadline_ms,
+            findings,
+        ),
+        max_deadline_ms: fields.whole(
+            "max_deadline_ms",
+            deadline,
+            defaults.max_deadline_ms,
             findings,
         ),
-        max_deadline_ms: fields.whole("max_deadline_ms", deadline, base.max_deadline_ms, findings),
         waiting: usize::try_from(fields.whole(
             "waiting",
-            1..=MAX_WAITING,
-            base.waiting as u64,
+            1..=MAX_WAITING_REQUESTS,
+            defaults.waiting as u64,
             findings,
         ))
-        .unwrap_or(base.waiting),
+        .unwrap_or(defaults.waiting),
         default_output: Tokens(fields.whole(
             "default_output",
-            1..=MAX_OUTPUT,
-            base.default_output.0,
+            1..=MAX_OUTPUT_TOKENS,
+            defaults.default_output.0,
             findings,
         )),
-        retry_share: fields.number("retry_share", 0.0..=1.0, base.retry_share, findings),
+        retry_share: fields.number("retry_share", 0.0..=1.0, defaults.retry_share, findings),
     };
     if limits.default_deadline_ms > limits.max_deadline_ms {
         let message = format!(
@@ -227,10 +232,10 @@
     for (i, item) in items.iter().enumerate() {
         let path = format!("{path}[{i}]");
         let Some(route) = read_route(item, &path, limits, findings) else { continue };
-        let overlaps = |other: &RouteRules| {
+        let has_same_path = |other: &RouteRules| {
             other.path.trim_end_matches('/') == route.path.trim_end_matches('/')
         };
-        if routes.iter().any(overlaps) {
+        if routes.iter().any(has_same_path) {
             let message = format!("another route has the path {} too", route.path);
             findings.push(Some(&item.location), &path, message);
         }
@@ -259,20 +264,20 @@
         let message = "deduplicates has a meaning only with \"repeatable\": false";
         findings.push(fields.location_of("deduplicates"), &fields.path("deduplicates"), message);
     }
-    if let Some(message) = route_path.as_deref().and_then(path_fault) {
+    if let Some(message) = route_path.as_deref().and_then(path_error) {
         findings.push(fields.location_of("path"), &fields.path("path"), message);
     }
     fields.close(findings);
     Some(RouteRules { path: route_path?, repeatable, timeout_ms, deduplicates })
 }
 
-/// What is wrong with a route's path. Paths that callers' requests can never match would leave a
-/// call that must not be repeated without its rule.
-fn path_fault(path: &str) -> Option<&'static str> {
+/// The error in a route's path, if any. A path that no request can match would leave calls that
+/// must run at most once without their rule.
+fn path_error(path: &str) -> Option<&'static str> {
     if !path.starts_with('/') {
         return Some("expected a path that starts with `/`");
     }
-    if path.len() > MAX_PATH {
+    if path.len() > MAX_PATH_BYTES {
         return Some("expected a path of at most 1024 bytes");
     }
     if path.contains("//") || path.split('/').any(|segment| segment == "." || segment == "..") {
--- a/crates/policy/src/config/fields.rs
+++ b/crates/policy/src/config/fields.rs
@@ -1,5 +1,5 @@
-//! Reads the members of an object one by one and reports what doesn't fit, so that one wrong
-//! member doesn't hide the next.
+//! Reads the members of a JSON object one by one and reports each invalid member, so that one
+//! error doesn't hide the next.
 
 use std::ops::RangeInclusive;
 
@@ -10,15 +10,16 @@
     tree::{Node, Value, join},
 };
 
-/// The members of one object that is being read.
+/// Reader of the members of one object. It records which members were requested, so that
+/// [`Fields::close`] can report unknown ones.
 pub struct Fields<'a> {
     node: &'a Node,
     path: String,
-    known: Vec<&'static str>,
+    requested: Vec<&'static str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Starts reading `node`, or reports that it is no object.
+    /// Starts reading `node`, or reports that it isn't an object.
     pub fn open(node: &'a Node, path: &str, findings: &mut Findings) -> Option<Self> {
         if !matches!(node.value, Value::Object(_)) {
             findings.push(
@@ -28,23 +29,24 @@
             );
             return None;
         }
-        Some(Fields { node, path: path.to_owned(), known: Vec::new() })
+        Some(Fields { node, path: path.to_owned(), requested: Vec::new() })
     }
 
-    /// The node of a member; `null` counts as absent, so that a later file can take a member back.
+    /// The node of a member. `null` counts as absent, so that a later file can remove a member.
     pub fn node(&mut self, name: &'static str) -> Option<&'a Node> {
-        if !self.known.contains(&name) {
-            self.known.push(name);
+        if !self.requested.contains(&name) {
+            self.requested.push(name);
         }
         self.node.member(name).filter(|node| node.value != Value::Null)
     }
 
-    /// The path of a member.
+    /// The path of a member, for findings.
     pub fn path(&self, name: &str) -> String {
         join(&self.path, name)
     }
 
-    /// A member that has to be there. `expected` names the kind of value, as `a number`.
+    /// A mandatory member; its absence is reported. `expected` describes the value in findings, such
+    /// as `a number`.
     pub fn required<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
@@ -59,7 +61,7 @@
         self.optional(name, expected, findings)
     }
 
-    /// A member that may be absent.
+    /// An optional member. `expected` describes the value in findings.
     pub fn optional<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
@@ -67,10 +69,10 @@
         findings: &mut Findings,
     ) -> Option<T> {
         let node = self.node(name)?;
-        read(node, &self.path(name), expected, findings)
+        read_value(node, &self.path(name), expected, findings)
     }
 
-    /// A whole number within `range`, or `default` where it is absent or wrong.
+    /// A whole number within `range`, or `default` if it is absent or invalid.
     pub fn whole(
         &mut self,
         name: &'static str,
@@ -81,7 +83,7 @@
         self.optional_whole(name, range, findings).unwrap_or(default)
     }
 
-    /// A whole number within `range`, if it is there.
+    /// A whole number within `range`, or `None` if it is absent or invalid.
     pub fn optional_whole(
         &mut self,
         name: &'static str,
@@ -98,7 +100,7 @@
         Some(number)
     }
 
-    /// A number within `range`, or `default` where it is absent or wrong.
+    /// A number within `range`, or `default` if it is absent or invalid.
     pub fn number(
         &mut self,
         name: &'static str,
@@ -116,30 +118,30 @@
         number
     }
 
-    /// `true` or `false`, or `default` where it is absent or wrong.
+    /// A Boolean, or `default` if it is absent or invalid.
     pub fn flag(&mut self, name: &'static str, default: bool, findings: &mut Findings) -> bool {
         self.optional(name, "true or false", findings).unwrap_or(default)
     }
 
-    /// Where a member stands, or the object where the member is absent.
+    /// The source location of a member, or of the object if the member is absent.
     pub fn location_of(&self, name: &str) -> Option<&'a super::finding::SourceLocation> {
         Some(&self.node.member(name).unwrap_or(self.node).location)
     }
 
-    /// Ends reading and reports members that nobody asked for, which are mostly misspelt.
+    /// Ends reading and reports members that weren't requested, which are mostly misspelt.
     pub fn close(self, findings: &mut Findings) {
         for (name, node) in self.node.members() {
-            if self.known.contains(&name) {
+            if self.requested.contains(&name) {
                 continue;
             }
-            let message = format!("unknown member; expected one of {}", self.known.join(", "));
+            let message = format!("unknown member; expected one of {}", self.requested.join(", "));
             findings.push(Some(&node.location), &join(&self.path, name), message);
         }
     }
 }
 
-/// Reads one value, or reports that it isn't `expected`.
-pub fn read<T: DeserializeOwned>(
+/// Deserializes one value, or reports that it isn't what `expected` describes.
+pub fn read_value<T: DeserializeOwned>(
     node: &Node,
     path: &str,
     expected: &str,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Reads an identifier that stands as a member's name.
+/// Parses a member's name as an identifier, or reports why it isn't one.
 pub fn read_name<T: std::str::FromStr<Err = crate::ids::IdError>>(
     name: &str,
     node: &Node,
--- a/crates/policy/src/config/finding.rs
+++ b/crates/policy/src/config/finding.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a configuration, and where.
+//! Errors found by the configuration check, with their locations.
 //!
-//! Operators see all findings of a folder at once, so that one round of mending is enough.
+//! All findings of a folder are reported at once, so that operators can correct them in one pass.
 
 use std::{fmt, sync::Arc};
 
-/// The most findings that are kept. A file of another format yields one finding a member; nobody
-/// reads thousands, and content published by strangers must not cost unbounded memory.
+/// Maximum number of findings that are kept. A file of a different format yields one finding per
+/// member; nobody reads thousands, and untrusted content must not take unbounded memory.
 const MAX_FINDINGS: usize = 500;
 
-/// A place in a file.
+/// A position in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SourceLocation {
-    /// The file's name.
+    /// Name of the file within the folder.
     pub file: Arc<str>,
-    /// Counts from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Counts characters from 1.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
@@ -25,14 +25,15 @@
     }
 }
 
-/// One thing that is wrong.
+/// One error in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// Where; absent where the folder as a whole is meant.
+    /// The position of the error; `None` if it concerns the folder as a whole.
     pub location: Option<SourceLocation>,
-    /// The member, as `deployments.redactare.routes[0].path`; empty for a whole file.
+    /// The path of the member, such as `deployments.redactare.routes[0].path`; empty if the error
+    /// concerns a whole file.
     pub path: String,
-    /// A sentence that says what was expected.
+    /// What was expected, and what was found instead.
     pub message: String,
 }
 
@@ -52,11 +53,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Findings {
     list: Vec<Finding>,
-    dropped: usize,
+    /// Number of findings beyond [`MAX_FINDINGS`].
+    omitted: usize,
 }
 
 impl Findings {
-    /// Adds a finding, unless there are too many already.
+    /// Adds a finding; beyond the maximum it is only counted.
     pub fn push(
         &mut self,
         location: Option<&SourceLocation>,
@@ -64,7 +66,7 @@
         message: impl Into<String>,
     ) {
         if self.list.len() == MAX_FINDINGS {
-            self.dropped += 1;
+            self.omitted += 1;
             return;
         }
         self.list.push(Finding {
@@ -74,22 +76,22 @@
         });
     }
 
-    /// Whether nothing is wrong.
+    /// Whether the check found no errors.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// The findings in the order in which the folder is read.
+    /// The kept findings, in the order in which the folder was read.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.list.iter()
     }
 
-    /// How many there are, those beyond the kept ones included.
+    /// Total number of findings, including those that weren't kept.
     pub fn count(&self) -> usize {
-        self.list.len() + self.dropped
+        self.list.len() + self.omitted
     }
 
-    /// `value` where nothing is wrong; otherwise the findings.
+    /// `value` if there are no findings, otherwise the findings as the error.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
@@ -103,8 +105,8 @@
             }
             write!(f, "{finding}")?;
         }
-        if self.dropped > 0 {
-            write!(f, "\n{} more findings", self.dropped)?;
+        if self.omitted > 0 {
+            write!(f, "\n{} more findings", self.omitted)?;
         }
         Ok(())
     }
--- a/crates/policy/src/config/load.rs
+++ b/crates/policy/src/config/load.rs
@@ -1,8 +1,8 @@
-//! From a folder's files to a checked configuration: one pass that reports everything it finds.
+//! Reads a folder's files into a checked configuration, in one pass that reports all errors.
 //! `docs/CONFIG.md` states the same rules for operators.
 //!
-//! The same function checks a folder before it is published and a published change before it is
-//! in force, so that what one instance refuses every instance refuses.
+//! The same function checks a folder before it is published and a published change before it takes
+//! effect, so that all instances accept or reject the same configurations.
 
 use indexmap::IndexMap;
 
@@ -11,34 +11,35 @@
     deployments::read_deployments,
     fields::{Fields, read_name},
     finding::Findings,
-    names::Names,
+    names::NameIndex,
     tree::{Node, SourceFile, merge},
 };
 use crate::DataCentre;
 
-/// The largest distance between data centres in milliseconds: half way round the earth in glass
-/// takes about 100 ms; ten times that is a slip of the pen.
+/// Maximum one-way delay between data centres, in milliseconds. Optical fibre half way round the
+/// earth takes about 100 ms; more than ten times that is a typing error.
 const MAX_DISTANCE_MS: f64 = 1_000.0;
-/// The largest weight of a workspace. Shares finer than a thousandth can't be kept anyway.
+/// Maximum weight of a workspace. The scheduler can't keep shares finer than a thousandth.
 const MAX_WEIGHT: u64 = 1_000;
-/// The most ledger streams. Each takes its own appends, and the log takes a few hundred a second.
-const MAX_STREAMS: u64 = 64;
-/// The longest window in which keys are kept, in minutes: 30 days.
+/// Maximum number of ledger streams. Each stream has its own appends, and the log handles a few
+/// hundred appends per second.
+const MAX_LEDGER_STREAMS: u64 = 64;
+/// Maximum retention of idempotency keys, in minutes: 30 days.
 const MAX_WINDOW_MINUTES: u64 = 30 * 24 * 60;
-/// The member that holds the settings of one process. It is read by the daemon and never
+/// Name of the root member that holds the settings of one process. The daemon reads it; it is never
 /// published.
 pub const SETTINGS_MEMBER: &str = "settings";
 
-/// What a folder holds.
+/// The content of a configuration folder.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadedConfig {
-    /// The configuration.
+    /// The checked configuration, as it is published.
     pub config: Config,
-    /// The settings of one process, where the folder has them; not yet checked.
+    /// The settings of one process, if the folder has them. The daemon checks them.
     pub settings: Option<Node>,
 }
 
-/// Merges and checks a folder's files.
+/// Merges and checks a folder's files; the error lists all findings.
 pub fn load(files: &[SourceFile]) -> Result<LoadedConfig, Findings> {
     let mut findings = Findings::default();
     let Some(root) = merge(files, &mut findings) else {
@@ -55,7 +56,7 @@
 }
 
 fn read_root(root: &Node, findings: &mut Findings) -> Option<LoadedConfig> {
-    let names = Names::collect(root);
+    let names = NameIndex::collect(root);
     let mut fields = Fields::open(root, "", findings)?;
     let settings = fields.node(SETTINGS_MEMBER).cloned();
     let data_centres = fields.node("data_centres");
@@ -65,13 +66,16 @@
     let ledger = fields.node("ledger");
     fields.close(findings);
     let config = Config {
-        data_centres: section(data_centres, "data_centres", findings, |node, path, findings| {
-            read_data_centre(node, path, &names, findings)
-        }),
-        workspaces: section(workspaces, "workspaces", findings, |node, path, findings| {
+        data_centres: read_section(
+            data_centres,
+            "data_centres",
+            findings,
+            |node, path, findings| read_data_centre(node, path, &names, findings),
+        ),
+        workspaces: read_section(workspaces, "workspaces", findings, |node, path, findings| {
             read_workspace(node, path, &names, findings)
         }),
-        endpoints: section(endpoints, "endpoints", findings, |node, path, findings| {
+        endpoints: read_section(endpoints, "endpoints", findings, |node, path, findings| {
             read_endpoint(node, path, &names, findings)
         }),
         deployments: read_deployments(deployments, &names, findings),
@@ -80,8 +84,8 @@
     Some(LoadedConfig { config, settings })
 }
 
-/// Reads an object whose members are named things of one kind.
-pub(super) fn section<K, T>(
+/// Reads an object that maps identifiers to values of one kind.
+pub(super) fn read_section<K, T>(
     node: Option<&Node>,
     path: &str,
     findings: &mut Findings,
@@ -109,7 +113,7 @@
 fn read_data_centre(
     node: &Node,
     path: &str,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) -> Option<DataCentreRules> {
     let mut fields = Fields::open(node, path, findings)?;
@@ -117,10 +121,10 @@
     let distances = fields.node("distance_ms");
     let path = fields.path("distance_ms");
     fields.close(findings);
-    let distance_ms = section(distances, &path, findings, |node, path, findings| {
+    let distance_ms = read_section(distances, &path, findings, |node, path, findings| {
         let other = path.rsplit_once("distance_ms.").map_or(path, |(_, name)| name);
         names.require_data_centre(other, node, path, findings);
-        let ms: f64 = super::fields::read(node, path, "milliseconds", findings)?;
+        let ms: f64 = super::fields::read_value(node, path, "milliseconds", findings)?;
         if !(0.0..=MAX_DISTANCE_MS).contains(&ms) {
             let message = format!("expected milliseconds from 0 to {MAX_DISTANCE_MS}, found {ms}");
             findings.push(Some(&node.location), path, message);
@@ -133,7 +137,7 @@
 fn read_workspace(
     node: &Node,
     path: &str,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) -> Option<WorkspaceRules> {
     let mut fields = Fields::open(node, path, findings)?;
@@ -158,8 +162,8 @@
         if !is_sha256(key) {
             let message = "expected the SHA-256 of a key: 64 digits from 0-9 and a-f";
             findings.push(location, &path, message);
-        } else if names.key_uses(key) > 1 {
-            let message = "this key is given twice, so that its caller couldn't be told";
+        } else if names.count_key_uses(key) > 1 {
+            let message = "this key is given twice, so that its workspace would be ambiguous";
             findings.push(location, &path, message);
         }
     }
@@ -173,7 +177,7 @@
 fn read_endpoint(
     node: &Node,
     path: &str,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) -> Option<EndpointRules> {
     let mut fields = Fields::open(node, path, findings)?;
@@ -183,7 +187,7 @@
     let leaving = fields.flag("leaving", false, findings);
     let checks_fencing = fields.flag("checks_fencing", false, findings);
     if let Some(name) = node.member("group").and_then(Node::text)
-        && !names.has_group(name)
+        && !names.is_group_used(name)
     {
         let message = format!("no deployment has the group {name}");
         findings.push(fields.location_of("group"), &fields.path("group"), message);
@@ -209,31 +213,32 @@
 fn check_address(
     address: &std::net::SocketAddr,
     fields: &Fields<'_>,
-    names: &Names<'_>,
+    names: &NameIndex<'_>,
     findings: &mut Findings,
 ) {
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
         let message = format!("nobody can connect to {address}");
         findings.push(fields.location_of("address"), &fields.path("address"), message);
     }
-    if names.address_uses(address) > 1 {
+    if names.count_address_uses(address) > 1 {
         let message = format!("another endpoint has the address {address} too");
         findings.push(fields.location_of("address"), &fields.path("address"), message);
     }
 }
 
 fn read_ledger(node: &Node, findings: &mut Findings) -> Option<LedgerRules> {
-    let base = LedgerRules::default();
+    let defaults = LedgerRules::default();
     let mut fields = Fields::open(node, "ledger", findings)?;
-    let streams = fields.whole("streams", 1..=MAX_STREAMS, base.streams.into(), findings);
+    let streams =
+        fields.whole("streams", 1..=MAX_LEDGER_STREAMS, defaults.streams.into(), findings);
     let window = 1..=MAX_WINDOW_MINUTES;
     let rules = LedgerRules {
-        streams: u32::try_from(streams).unwrap_or(base.streams),
-        window_minutes: fields.whole("window_minutes", window, base.window_minutes, findings),
+        streams: u32::try_from(streams).unwrap_or(defaults.streams),
+        window_minutes: fields.whole("window_minutes", window, defaults.window_minutes, findings),
         log_keeps_minutes: fields.whole(
             "log_keeps_minutes",
             1..=u64::from(u32::MAX),
-            base.log_keeps_minutes,
+            defaults.log_keeps_minutes,
             findings,
         ),
     };
--- a/crates/policy/src/config/mod.rs
+++ b/crates/policy/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration as the daemon uses it: deployments, data centres, workspaces, endpoints.
 //!
-//! Operators write a folder of small JSON files, merged in name order; `docs/CONFIG.md` is the
-//! reference. Whatever is read here has passed every check.
+//! Operators write a folder of small JSON files, which are merged in the order of their names;
+//! `docs/CONFIG.md` is the reference. A [`Config`] returned by [`load`] has passed every check.
 
 mod deployments;
 pub mod fields;
@@ -21,7 +21,7 @@
 
 use crate::{DataCentre, Deployment, EndpointGroup, EndpointId, Model, Tokens, Workspace};
 
-/// A number that each accepted configuration raises by one.
+/// Version of the configuration. Each accepted configuration increments it by one.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -42,79 +42,83 @@
     }
 }
 
-/// Everything operators publish.
+/// The configuration that operators publish, identical on all instances.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// The site's data centres.
+    /// The site's data centres, by name.
     pub data_centres: IndexMap<DataCentre, DataCentreRules>,
-    /// The workspaces and their keys, weights and limits.
+    /// The workspaces, with their keys, weights and limits.
     pub workspaces: WorkspaceTable,
-    /// Every server that may get work.
+    /// All endpoints that may receive requests.
     pub endpoints: IndexMap<EndpointId, EndpointRules>,
-    /// What is served, and how.
+    /// The deployments, with their models, limits and routes.
     pub deployments: IndexMap<Deployment, DeploymentRules>,
-    /// How calls that may not be repeated are kept.
+    /// Settings of the ledger of calls that must run at most once.
     #[serde(default)]
     pub ledger: LedgerRules,
 }
 
-/// How calls that may not be repeated are kept on the log.
+/// Settings of the ledger, which records on the log the calls that must run at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LedgerRules {
-    /// Streams that keys are spread over. It can't be changed once published, because a key's
-    /// claim would then be looked for in another stream.
+    /// Number of streams that keys are distributed over. It can't be changed once published,
+    /// because a key's claim would then be looked up in a different stream.
     pub streams: u32,
-    /// How long a key is remembered, in minutes.
+    /// How long a key is retained, in minutes.
     pub window_minutes: u64,
-    /// How long the log service keeps records, in minutes; checkpoints are written well before.
+    /// Retention of the log service's records, in minutes; checkpoints are written well before
+    /// records expire.
     pub log_keeps_minutes: u64,
 }
 
 impl Default for LedgerRules {
-    /// One stream: four instances fold every claim of today's sites without effort. A day's
-    /// window: callers and clerks re-send within minutes, a portal's retry queue within the night.
-    /// A log that keeps an hour is the least that is worth running on.
+    /// - One stream: four instances easily process every claim of the present sites.
+    /// - A window of one day: callers and clerks re-send within minutes, a portal's retry queue
+    ///   within the night.
+    /// - A log retention of one hour, the shortest that is worth running with.
     fn default() -> Self {
         LedgerRules { streams: 1, window_minutes: 24 * 60, log_keeps_minutes: 60 }
     }
 }
 
-/// All workspaces by name.
+/// Workspaces by name.
 pub type WorkspaceTable = IndexMap<Workspace, WorkspaceRules>;
 
-/// One data centre.
+/// Rules of one data centre.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreRules {
-    /// The region it belongs to, as `ro-centru`.
+    /// The region it belongs to, such as `ro-centru`.
     pub region: String,
-    /// One-way delay to other data centres, in milliseconds. Where a pair is missing, the other
-    /// direction counts, and failing that [`DataCentreRules::DEFAULT_DISTANCE_MS`].
+    /// One-way delay to other data centres, in milliseconds. A missing entry is taken from the
+    /// opposite direction, and failing that from [`DataCentreRules::DEFAULT_DISTANCE_MS`].
     #[serde(default)]
     pub distance_ms: IndexMap<DataCentre, f64>,
 }
 
 impl DataCentreRules {
-    /// Delay assumed between data centres of which none states a distance: between regions.
+    /// One-way delay between two data centres that state no distance, in milliseconds: typical
+    /// between regions.
     pub const DEFAULT_DISTANCE_MS: f64 = 40.0;
 }
 
-/// One workspace.
+/// Rules of one workspace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceRules {
-    /// SHA-256 of each bearer key, in hexadecimal. Keys are never published in the clear, because
-    /// every instance and the audit trail hold the configuration.
+    /// SHA-256 hash of each bearer key, in hexadecimal. Keys are never published in plain text,
+    /// because every instance and the audit trail hold the configuration.
     pub key_sha256: Vec<String>,
-    /// Its share relative to the others when all are hungry.
+    /// Weight in fair sharing: its share relative to the other workspaces when all have waiting
+    /// requests.
     #[serde(default = "one")]
     pub weight: u32,
-    /// The most weighted tokens a second over all instances; no limit where absent.
+    /// Rate limit in weighted tokens per second over all instances; unlimited if absent.
     #[serde(default)]
     pub tokens_per_second: Option<u64>,
-    /// The most requests under way at once on one instance; no limit where absent.
+    /// Maximum number of requests in flight on one instance; unlimited if absent.
     #[serde(default)]
     pub concurrent: Option<u32>,
 }
@@ -123,46 +127,46 @@
     1
 }
 
-/// One endpoint.
+/// Rules of one endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointRules {
-    /// The group it serves in.
+    /// The endpoint group it belongs to.
     pub group: EndpointGroup,
-    /// Where it listens, as `10.0.0.7:8000`.
+    /// The address it listens on, such as `10.0.0.7:8000`.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// Set by operators to take it out of service: it finishes what it has.
+    /// Set by operators to drain it: it finishes its requests and receives no new ones.
     #[serde(default)]
     pub leaving: bool,
-    /// Whether it refuses orders and calls with an old fencing number.
+    /// Whether it rejects orders and calls that carry an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// What kind of endpoints a deployment has.
+/// The kind of a deployment's endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// Model engines.
+    /// LLM engines.
     Engine,
     /// Servers of a plain service.
     Service,
 }
 
-/// Which scheduler decides. All but the first are baselines to measure against.
+/// The scheduler of a deployment. All but the first are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyName {
-    /// The product's own.
+    /// The adaptive scheduler, [`crate::adaptive`].
     #[default]
     Trefoilhall,
-    /// Endpoints in turn; no queue, no limits, retries without a budget.
+    /// Round robin without a queue or limits, with retries that have no budget.
     RoundRobin,
-    /// The endpoint with the fewest own requests; otherwise as round robin.
+    /// The endpoint with the fewest requests of this instance; otherwise like round robin.
     LeastOutstanding,
-    /// One queue in order of arrival before all endpoints, with no limits.
+    /// A single queue in order of arrival for all endpoints, without limits.
     FirstComeFirstServed,
 }
 
@@ -177,46 +181,46 @@
     }
 }
 
-/// One deployment.
+/// Rules of one deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentRules {
-    /// The endpoints that serve it.
+    /// The endpoint group that serves it.
     pub group: EndpointGroup,
-    /// What they are.
+    /// The kind of the group's endpoints.
     pub kind: EndpointKind,
     /// The models it serves; empty for a plain service.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// What the site weighs how much.
+    /// Relative weights of the placement costs.
     #[serde(default)]
     pub weights: Weights,
-    /// Bounds on waiting and running.
+    /// Limits on deadlines, queue length, output and retries.
     #[serde(default)]
     pub limits: Limits,
-    /// Rules by path, the longest matching prefix first in force.
+    /// Rules by path prefix; the longest matching prefix applies.
     #[serde(default)]
     pub routes: Vec<RouteRules>,
-    /// Which scheduler decides.
+    /// The scheduler that places its requests.
     #[serde(default)]
     pub policy: PolicyName,
-    /// What the engines have to load; where absent, they are left as they are.
+    /// The model that its engines have to load; if absent, the engines are left unchanged.
     #[serde(default)]
     pub serve: Option<ServeRules>,
 }
 
-/// What a deployment's engines have to load.
+/// The model that a deployment's engines have to load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServeRules {
-    /// The model by the weight store's name.
+    /// Name of the model in the weight store.
     pub model: String,
-    /// Its version there.
+    /// Version of the model in the weight store.
     pub version: String,
-    /// An adapter on top, if any.
+    /// Adapter to load on top of the model, if any.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// `mixed`, `prefill` or `decode`.
+    /// Role of the engines: `mixed`, `prefill` or `decode`.
     #[serde(default = "mixed")]
     pub role: String,
 }
@@ -225,13 +229,13 @@
     "mixed".to_owned()
 }
 
-/// What the site weighs how much, relative to one another. Both enter one cost.
+/// Relative weights of the two terms of the placement cost. Only their ratio matters.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Weight of the first token of long prompts.
+    /// Weight of the delay of long prompts' first token.
     pub long_first_token: f64,
-    /// Weight of the slowdown of short prompts beside long ones.
+    /// Weight of the slowdown that long prompts cause for concurrent short ones.
     pub short_slowdown: f64,
 }
 
@@ -241,19 +245,19 @@
     }
 }
 
-/// Bounds on waiting and running in one deployment, per instance.
+/// Limits of one deployment. The queue length counts on each instance separately.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Deadline of requests that state none, in milliseconds.
+    /// Deadline of requests that don't state one, in milliseconds.
     pub default_deadline_ms: u64,
-    /// The latest deadline a caller may ask for, in milliseconds.
+    /// Maximum deadline that a caller may ask for, in milliseconds.
     pub max_deadline_ms: u64,
-    /// The most requests that wait at once.
+    /// Maximum number of requests that wait in the queue of one instance.
     pub waiting: usize,
-    /// The most output tokens where the caller states no bound.
+    /// Maximum number of output tokens of requests that don't state one.
     pub default_output: Tokens,
-    /// Retries as a share of successes.
+    /// Retry budget as a share of the successful requests.
     pub retry_share: f64,
 }
 
@@ -270,28 +274,29 @@
 }
 
 impl Limits {
-    /// The deadline for a caller that asked for `asked`.
-    pub fn deadline(&self, asked: Option<Duration>) -> Duration {
-        let wanted = asked.unwrap_or(Duration::from_millis(self.default_deadline_ms));
-        wanted.min(Duration::from_millis(self.max_deadline_ms))
+    /// The deadline of a request: the one that its caller `requested`, or else the default, but at
+    /// most the maximum.
+    pub fn deadline(&self, requested: Option<Duration>) -> Duration {
+        let deadline = requested.unwrap_or(Duration::from_millis(self.default_deadline_ms));
+        deadline.min(Duration::from_millis(self.max_deadline_ms))
     }
 }
 
-/// Rules for calls below one path.
+/// Rules for calls whose path has a given prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRules {
-    /// The path prefix within the deployment, as `/registrations`.
+    /// The path prefix within the deployment, such as `/registrations`.
     pub path: String,
-    /// Whether calls are idempotent. Calls that aren't need an `Idempotency-Key` and run at most
-    /// once.
+    /// Whether calls are idempotent. Calls that aren't need an `Idempotency-Key` header and run at
+    /// most once.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Deadline of calls on this route, in milliseconds, where the caller states none.
+    /// Deadline of calls that don't state one, in milliseconds.
     #[serde(default)]
     pub timeout_ms: Option<u64>,
-    /// Whether the endpoint itself answers a repeated key with the first answer, so that a call
-    /// of unknown outcome may be asked again.
+    /// Whether the endpoint itself answers a repeated idempotency key with the first response, so
+    /// that a call of unknown outcome may be sent again.
     #[serde(default)]
     pub deduplicates: bool,
 }
@@ -302,16 +307,16 @@
 
 impl DeploymentRules {
     /// The rules for `path`: those of the longest matching prefix. A prefix matches whole path
-    /// segments, so that `/hold` doesn't cover `/holders`.
+    /// segments, so that `/hold` doesn't match `/holders`.
     pub fn route(&self, path: &str) -> Option<&RouteRules> {
         self.routes
             .iter()
-            .filter(|rules| covers(&rules.path, path))
+            .filter(|rules| is_path_prefix(&rules.path, path))
             .max_by_key(|rules| rules.path.len())
     }
 }
 
-fn covers(prefix: &str, path: &str) -> bool {
+fn is_path_prefix(prefix: &str, path: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
--- a/crates/policy/src/config/names.rs
+++ b/crates/policy/src/config/names.rs
@@ -1,6 +1,6 @@
-//! The names that other parts of a configuration refer to, taken from the merged files before
-//! they are read. A deployment that has a finding of its own thus still counts as known, and one
-//! mistake doesn't cause a row of follow-up findings.
+//! Index of the names that other parts of a configuration refer to. It is built from the merged
+//! files before they are checked, so that a deployment with an error still counts as defined and
+//! one mistake doesn't cause a series of follow-up findings.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -12,9 +12,9 @@
     tree::{Node, Value},
 };
 
-/// What stands where, by name.
+/// Defined names, and how often values that must be unique are used.
 #[derive(Default)]
-pub(super) struct Names<'a> {
+pub(super) struct NameIndex<'a> {
     data_centres: HashSet<&'a str>,
     groups: HashMap<&'a str, usize>,
     served_groups: HashSet<&'a str>,
@@ -23,16 +23,16 @@
     keys: HashMap<&'a str, usize>,
 }
 
-impl<'a> Names<'a> {
-    /// Collects the names of all sections.
+impl<'a> NameIndex<'a> {
+    /// Collects the names from all sections.
     pub(super) fn collect(root: &'a Node) -> Self {
         let data_centres = section(root, "data_centres").map(|(name, _)| name).collect();
-        let mut names = Names { data_centres, ..Names::default() };
+        let mut names = NameIndex { data_centres, ..NameIndex::default() };
         for (_, deployment) in section(root, "deployments") {
             if let Some(group) = deployment.member("group").and_then(Node::text) {
                 *names.groups.entry(group).or_default() += 1;
             }
-            for model in texts(deployment.member("models")) {
+            for model in string_items(deployment.member("models")) {
                 *names.models.entry(model).or_default() += 1;
             }
         }
@@ -46,14 +46,14 @@
             }
         }
         for (_, workspace) in section(root, "workspaces") {
-            for key in texts(workspace.member("key_sha256")) {
+            for key in string_items(workspace.member("key_sha256")) {
                 *names.keys.entry(key).or_default() += 1;
             }
         }
         names
     }
 
-    /// Reports `name` where no such data centre is defined.
+    /// Reports `name` unless a data centre of this name is defined.
     pub(super) fn require_data_centre(
         &self,
         name: &str,
@@ -67,33 +67,33 @@
         }
     }
 
-    /// Whether a deployment has this endpoint group.
-    pub(super) fn has_group(&self, name: &str) -> bool {
+    /// Whether a deployment uses this endpoint group.
+    pub(super) fn is_group_used(&self, name: &str) -> bool {
         self.groups.contains_key(name)
     }
 
-    /// How many deployments have this endpoint group.
-    pub(super) fn group_uses(&self, name: &str) -> usize {
+    /// Number of deployments that use this endpoint group.
+    pub(super) fn count_group_uses(&self, name: &str) -> usize {
         self.groups.get(name).copied().unwrap_or(0)
     }
 
-    /// Whether an endpoint serves in this group.
-    pub(super) fn is_served(&self, group: &str) -> bool {
+    /// Whether an endpoint belongs to this group.
+    pub(super) fn has_endpoints_in(&self, group: &str) -> bool {
         self.served_groups.contains(group)
     }
 
-    /// How often a model is listed in all deployments.
-    pub(super) fn model_uses(&self, model: &str) -> usize {
+    /// Number of times that a model is listed, over all deployments.
+    pub(super) fn count_model_uses(&self, model: &str) -> usize {
         self.models.get(model).copied().unwrap_or(0)
     }
 
-    /// How many endpoints have this address.
-    pub(super) fn address_uses(&self, address: &SocketAddr) -> usize {
+    /// Number of endpoints with this address.
+    pub(super) fn count_address_uses(&self, address: &SocketAddr) -> usize {
         self.addresses.get(address).copied().unwrap_or(0)
     }
 
-    /// How often a key's hash is listed in all workspaces.
-    pub(super) fn key_uses(&self, key: &str) -> usize {
+    /// Number of times that a key's hash is listed, over all workspaces.
+    pub(super) fn count_key_uses(&self, key: &str) -> usize {
         self.keys.get(key).copied().unwrap_or(0)
     }
 }
@@ -102,7 +102,7 @@
     root.member(name).into_iter().flat_map(Node::members)
 }
 
-fn texts(node: Option<&Node>) -> impl Iterator<Item = &str> {
+fn string_items(node: Option<&Node>) -> impl Iterator<Item = &str> {
     let items = match node.map(|node| &node.value) {
         Some(Value::Array(items)) => items.as_slice(),
         _ => &[],
--- a/crates/policy/src/config/tree.rs
+++ b/crates/policy/src/config/tree.rs
@@ -1,5 +1,6 @@
-//! JSON with places: parses each file, refuses what isn't plain JSON, and merges files in name
-//! order. Objects merge by member; of anything else the later file's value stands.
+//! JSON values with their source locations. Parses each file, rejects extensions of JSON, and
+//! merges the files in the order of their names: objects are merged by member, any other value is
+//! replaced by that of the later file.
 
 use std::{str::FromStr, sync::Arc};
 
@@ -9,29 +10,30 @@
 
 use super::finding::{Findings, SourceLocation};
 
-/// How deep objects and arrays may nest. The configuration needs six levels; the parser recurses,
-/// so that unbounded nesting in published content would overflow the stack of every instance.
-const MAX_DEPTH: usize = 32;
+/// Maximum nesting of objects and arrays. The configuration needs six levels; the parser is
+/// recursive, so that unbounded nesting in published content would overflow the stack of every
+/// instance.
+const MAX_NESTING_LEVELS: usize = 32;
 
-/// The largest accepted file in bytes. The configuration of 350 endpoints is about 60 KB.
+/// Maximum size of one file. The configuration of 350 endpoints takes about 60 KB.
 pub const MAX_FILE_BYTES: usize = 4 << 20;
 
 /// One file of a configuration folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SourceFile {
-    /// Its name within the folder, as `20-endpoints.json`.
+    /// Name of the file within the folder, such as `20-endpoints.json`.
     pub name: String,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
-/// A JSON value and where it stands.
+/// A JSON value and its source location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
-    /// Where the value begins; for members of an object, where their name begins.
+    /// Start of the value; for members of an object, start of the member's name.
     pub location: SourceLocation,
-    /// The value.
+    /// The JSON value at this location.
     pub value: Value,
 }
 
@@ -48,12 +50,12 @@
     Text(String),
     /// An array.
     Array(Vec<Node>),
-    /// An object; members in order of first appearance.
+    /// An object, with its members in the order of their first appearance.
     Object(IndexMap<String, Node>),
 }
 
 impl Node {
-    /// The member `name`, if this is an object that has it.
+    /// The member `name`, or `None` if this isn't an object or has no such member.
     pub fn member(&self, name: &str) -> Option<&Node> {
         match &self.value {
             Value::Object(members) => members.get(name),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The members; none if this isn't an object.
+    /// The members of an object; empty for other values.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Node)> {
         let members = match &self.value {
             Value::Object(members) => Some(members),
@@ -70,7 +72,7 @@
         members.into_iter().flatten().map(|(name, node)| (name.as_str(), node))
     }
 
-    /// The text, if this is a string.
+    /// The content of a string; `None` for other values.
     pub fn text(&self) -> Option<&str> {
         match &self.value {
             Value::Text(text) => Some(text),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// What kind of value this is, for messages.
+    /// The type of the value, as findings name it.
     pub fn kind(&self) -> &'static str {
         match self.value {
             Value::Null => "null",
@@ -90,7 +92,7 @@
         }
     }
 
-    /// The value without places.
+    /// The value without source locations.
     pub fn to_json(&self) -> serde_json::Value {
         match &self.value {
             Value::Null => serde_json::Value::Null,
@@ -105,23 +107,24 @@
     }
 }
 
-/// Parses and merges `files` in name order. What can't be read is reported and left out.
+/// Parses `files` and merges them in the order of their names. Files that can't be parsed are
+/// reported and left out.
 pub fn merge(files: &[SourceFile], findings: &mut Findings) -> Option<Node> {
     let mut sorted: Vec<_> = files.iter().collect();
     sorted.sort_by(|a, b| a.name.cmp(&b.name));
-    report_repeated_names(&sorted, findings);
+    report_duplicate_file_names(&sorted, findings);
     let mut merged: Option<Node> = None;
     for file in sorted {
         let Some(node) = parse(file, findings) else { continue };
         match &mut merged {
-            Some(base) => overlay(base, node),
+            Some(base) => merge_into(base, node),
             None => merged = Some(node),
         }
     }
     merged
 }
 
-fn report_repeated_names(sorted: &[&SourceFile], findings: &mut Findings) {
+fn report_duplicate_file_names(sorted: &[&SourceFile], findings: &mut Findings) {
     for pair in sorted.windows(2) {
         if pair[0].name == pair[1].name {
             findings.push(None, "", format!("the file {} is given twice", pair[0].name));
@@ -129,13 +132,13 @@
     }
 }
 
-fn overlay(base: &mut Node, later: Node) {
+fn merge_into(base: &mut Node, later: Node) {
     let location = later.location.clone();
     match (&mut base.value, later.value) {
-        (Value::Object(members), Value::Object(others)) => {
-            for (name, node) in others {
+        (Value::Object(members), Value::Object(later_members)) => {
+            for (name, node) in later_members {
                 match members.get_mut(&name) {
-                    Some(member) => overlay(member, node),
+                    Some(member) => merge_into(member, node),
                     None => {
                         members.insert(name, node);
                     }
@@ -147,7 +150,7 @@
 }
 
 fn parse(file: &SourceFile, findings: &mut Findings) -> Option<Node> {
-    let lines = Lines::new(file);
+    let lines = LineIndex::new(file);
     if file.text.len() > MAX_FILE_BYTES {
         findings.push(
             Some(&lines.location(0)),
@@ -156,9 +159,9 @@
         );
         return None;
     }
-    if let Some(at) = too_deep(&file.text) {
-        let message = format!("objects and arrays nest deeper than {MAX_DEPTH} levels");
-        findings.push(Some(&lines.location(at)), "", message);
+    if let Some(offset) = find_excessive_nesting(&file.text) {
+        let message = format!("objects and arrays nest deeper than {MAX_NESTING_LEVELS} levels");
+        findings.push(Some(&lines.location(offset)), "", message);
         return None;
     }
     let options = ParseOptions {
@@ -185,13 +188,14 @@
     }
 }
 
-/// Where brackets nest too deep, if they do. Guards against a stack overflow in the parser, which
-/// would end the process and can't be caught: brackets outside strings are counted before parsing.
-fn too_deep(text: &str) -> Option<usize> {
+/// The offset of the first bracket that exceeds [`MAX_NESTING_LEVELS`], if any. Brackets outside strings
+/// are counted before parsing, because a stack overflow in the parser would abort the process and
+/// can't be caught.
+fn find_excessive_nesting(text: &str) -> Option<usize> {
     let mut depth = 0_usize;
     let mut quote = None;
     let mut escaped = false;
-    for (at, c) in text.bytes().enumerate() {
+    for (offset, c) in text.bytes().enumerate() {
         match (quote, c) {
             (Some(_), _) if escaped => escaped = false,
             (Some(_), b'\\') => escaped = true,
@@ -202,37 +206,37 @@
             (None, b'}' | b']') => depth = depth.saturating_sub(1),
             (None, _) => {}
         }
-        if depth > MAX_DEPTH {
-            return Some(at);
+        if depth > MAX_NESTING_LEVELS {
+            return Some(offset);
         }
     }
     None
 }
 
-/// Finds lines and columns by byte position.
-struct Lines<'a> {
+/// Converts byte offsets into lines and columns.
+struct LineIndex<'a> {
     name: Arc<str>,
     text: &'a str,
-    starts: Vec<usize>,
+    line_starts: Vec<usize>,
 }
 
-impl<'a> Lines<'a> {
+impl<'a> LineIndex<'a> {
     fn new(file: &'a SourceFile) -> Self {
         let breaks = file.text.bytes().enumerate().filter(|(_, c)| *c == b'\n');
-        let starts = std::iter::once(0).chain(breaks.map(|(at, _)| at + 1)).collect();
-        Lines { name: file.name.as_str().into(), text: &file.text, starts }
+        let line_starts = std::iter::once(0).chain(breaks.map(|(offset, _)| offset + 1)).collect();
+        LineIndex { name: file.name.as_str().into(), text: &file.text, line_starts }
     }
 
-    fn location(&self, at: usize) -> SourceLocation {
-        let line = self.starts.partition_point(|start| *start <= at);
-        let start = self.starts[line - 1];
-        let before = self.text.get(start..at.min(self.text.len())).unwrap_or_default();
+    fn location(&self, offset: usize) -> SourceLocation {
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let start = self.line_starts[line - 1];
+        let before = self.text.get(start..offset.min(self.text.len())).unwrap_or_default();
         SourceLocation { file: self.name.clone(), line, column: before.chars().count() + 1 }
     }
 }
 
 struct Converter<'a, 'f> {
-    lines: Lines<'a>,
+    lines: LineIndex<'a>,
     findings: &'f mut Findings,
 }
 
@@ -244,7 +248,7 @@
             ast::Value::BooleanLit(lit) => Value::Bool(lit.value),
             ast::Value::NumberLit(lit) => self.number(lit.value, &location, path),
             ast::Value::StringLit(lit) => {
-                self.refuse_single_quotes(lit.range.start, path);
+                self.reject_single_quotes(lit.range.start, path);
                 Value::Text(lit.value.into_owned())
             }
             ast::Value::Array(array) => Value::Array(
@@ -263,14 +267,14 @@
     fn object(&mut self, object: ast::Object<'_>, path: &str) -> Value {
         let mut members = IndexMap::new();
         for property in object.properties {
-            let at = property.range.start;
-            self.refuse_single_quotes(at, path);
+            let offset = property.range.start;
+            self.reject_single_quotes(offset, path);
             let name = property.name.into_string();
             let path = join(path, &name);
             let mut node = self.convert(property.value, &path);
-            node.location = self.lines.location(at);
+            node.location = self.lines.location(offset);
             if members.contains_key(&name) {
-                let message = "this member stands twice in one file";
+                let message = "this member appears twice in one file";
                 self.findings.push(Some(&node.location), &path, message);
                 continue;
             }
@@ -283,23 +287,23 @@
         match serde_json::Number::from_str(text) {
             Ok(number) => Value::Number(number),
             Err(_) => {
-                self.findings.push(Some(location), path, format!("{text} is no JSON number"));
+                self.findings.push(Some(location), path, format!("{text} isn't a JSON number"));
                 Value::Null
             }
         }
     }
 
-    /// The parser takes single-quoted strings; JSON doesn't, and neither would other tools that
-    /// read the same files.
-    fn refuse_single_quotes(&mut self, at: usize, path: &str) {
-        if self.lines.text.as_bytes().get(at) == Some(&b'\'') {
-            let location = self.lines.location(at);
+    /// Reports a single-quoted string. The parser accepts them, but JSON and other tools that read
+    /// the same files don't.
+    fn reject_single_quotes(&mut self, offset: usize, path: &str) {
+        if self.lines.text.as_bytes().get(offset) == Some(&b'\'') {
+            let location = self.lines.location(offset);
             self.findings.push(Some(&location), path, "expected a string in double quotes");
         }
     }
 }
 
-/// The path of the member `name` of what stands at `path`.
+/// The path of the member `name` of the object at `path`.
 pub fn join(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -1,4 +1,4 @@
-//! A folder of files becomes a configuration or a list of all that is wrong with it.
+//! Loading of a folder: it yields a configuration or the findings with their locations.
 
 use policy::config::{Config, Finding, SourceFile, load};
 use quickcheck::quickcheck;
@@ -31,7 +31,7 @@
     load(files).err().map(|findings| findings.iter().cloned().collect()).unwrap_or_default()
 }
 
-/// Loads the site with a second file on top.
+/// Loads the site with `overlay` merged over it as a second file.
 fn with(overlay: &str) -> Result<Config, Vec<Finding>> {
     let files = [file("10.json", &site()), file("20.json", overlay)];
     load(&files).map(|loaded| loaded.config).map_err(|_| findings(&files))
@@ -68,7 +68,8 @@
     assert_eq!(found[1].path, "workspaces.desk.weight");
 }
 
-/// Each case: what is laid over the site, and the path and a part of the finding's message.
+/// Each case: the file merged over the site, then the path of the expected finding and a part of
+/// its message.
 macro_rules! found {
     ($($case:ident: $overlay:expr => $path:expr, $message:expr;)*) => {$(
         #[test]
@@ -84,7 +85,7 @@
 
 found! {
     unknown_member: r#"{"endpoints": {"e1": {"grup": "x"}}}"# => "endpoints.e1.grup", "unknown member";
-    member_given_twice: r#"{"ledger": {"streams": 1, "streams": 2}}"# => "ledger.streams", "stands twice";
+    member_given_twice: r#"{"ledger": {"streams": 1, "streams": 2}}"# => "ledger.streams", "appears twice";
     comment: "{} // no" => "", "Comments are not allowed";
     trailing_comma: r#"{"ledger": {"streams": 1,}}"# => "", "Trailing commas";
     single_quotes: "{'ledger': {}}" => "", "double quotes";
@@ -142,7 +143,7 @@
         load(&files).is_ok() || !findings(&files).is_empty()
     }
 
-    /// Random text is rarely near JSON, so here a valid site is damaged at one place.
+    /// Random text is rarely close to JSON, so this test replaces one range of a valid site's text.
     fn a_damaged_site_gives_findings_or_a_configuration(at: usize, len: u8, put: String) -> bool {
         let mut text: Vec<char> = site().chars().collect();
         let at = at % text.len();
