--- a/crates/daemon/src/active.rs
+++ b/crates/daemon/src/active.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, in the form that requests look things up in.
+//! The configuration in force, indexed for lookups by requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,39 +16,39 @@
     endpoint::{Endpoint, EndpointConfig},
 };
 
-/// The hash of a workspace's key.
+/// SHA-256 hash of a workspace's key.
 pub type KeyHash = [u8; 32];
 
-/// A deployment with the scheduler that its configuration names.
+/// A deployment whose scheduler is selected by its configuration.
 pub type AnyDeployment = DeploymentState<AnyScheduler>;
 
-/// The configuration in force. Requests keep the one they began with.
+/// The configuration in force. A request routes by the one in force when it was identified.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
-    /// Its version; zero where none is in force yet.
+    /// Its version; zero if none is in force yet.
     pub version: Version,
-    /// As published.
+    /// The configuration as published.
     pub config: Config,
-    /// Every endpoint.
+    /// All endpoints whose group is used by a deployment.
     pub endpoints: IndexMap<EndpointId, Arc<Endpoint>>,
-    /// Every deployment.
+    /// All deployments, in the order of the configuration.
     pub deployments: IndexMap<Deployment, Route>,
     keys: IndexMap<KeyHash, Workspace>,
     models: IndexMap<Model, Deployment>,
     services: IndexMap<EndpointGroup, Deployment>,
 }
 
-/// Where a request belongs.
+/// The deployment that serves a request.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// The deployment's scheduler.
+    /// The deployment with its scheduler.
     pub deployment: Arc<AnyDeployment>,
-    /// The deployment's rules.
+    /// The deployment's configuration.
     pub rules: Arc<DeploymentRules>,
 }
 
 impl ActiveConfig {
-    /// Whose key this is.
+    /// The workspace that `key` belongs to.
     pub fn workspace(&self, key: &[u8]) -> Option<&Workspace> {
         self.keys.get(&KeyHash::from(Sha256::digest(key)))
     }
@@ -68,7 +68,7 @@
         self.models.keys()
     }
 
-    /// Deployments that `endpoint` serves.
+    /// The deployments that use `endpoint`'s group.
     pub fn served_by<'a>(
         &'a self,
         endpoint: &'a Endpoint,
@@ -79,19 +79,19 @@
     }
 }
 
-/// What building a new [`Active`] needs to know of the instance.
+/// Builds an [`ActiveConfig`] from a published configuration.
 pub struct ActiveConfigBuilder<'a, F> {
-    /// The instance's data centre.
+    /// The instance's data centre, from which distances are measured.
     pub data_centre: &'a DataCentre,
-    /// The instance's clock.
+    /// The clock that new deployments use.
     pub clock: Clock,
-    /// Makes the scheduler of a new deployment.
+    /// Creates the scheduler of a new deployment.
     pub scheduler: F,
 }
 
 impl<F: Fn(&DeploymentRules) -> AnyScheduler> ActiveConfigBuilder<'_, F> {
-    /// The state for `config`. Endpoints and schedulers of `old` are kept where they serve on,
-    /// so that requests under way and all that was learned stay.
+    /// Builds the state for `config`. Endpoints and schedulers of `old` that remain in use are
+    /// kept, with their requests in flight and the estimates they have learned.
     pub fn build(&self, config: Config, version: Version, old: &ActiveConfig) -> ActiveConfig {
         let mut active = ActiveConfig { version, config, ..ActiveConfig::default() };
         self.add_endpoints(&mut active, old);
--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -1,25 +1,25 @@
-//! A bound on the bytes of bodies that an instance holds at once.
+//! Limits the total size of the request bodies that an instance buffers.
 //!
-//! The failure: many large uploads come together, each within its own limit, and the process runs
-//! out of memory, which cuts every caller and not only the ones who caused it. A request that
-//! would pass the bound is refused before its body is read.
+//! Guards against many concurrent large uploads, each within its own limit, that exhaust the memory
+//! of the process and so cut off all callers, not only those that caused it. A request that would
+//! exceed the limit is refused before its body is read.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// The most bytes of bodies held at once: two hundred prompts of a million tokens. More than that
-/// many can't meet their deadlines on a fleet of today's size anyway.
+/// Maximum total size of buffered bodies: two hundred prompts of a million tokens. A fleet of
+/// today's size couldn't serve more than that within their deadlines anyway.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 30;
 
-/// Counts what is held.
+/// Counts the bytes of all permits.
 #[derive(Debug, Clone, Default)]
 pub struct BodyBudget {
     used_bytes: Arc<AtomicUsize>,
 }
 
-/// Bytes taken from a budget; dropping it gives them back.
+/// Permission to buffer a number of bytes. Dropping it returns them to the budget.
 #[derive(Debug)]
 pub struct BodyPermit {
     budget: BodyBudget,
@@ -27,7 +27,7 @@
 }
 
 impl BodyBudget {
-    /// Takes `bytes`, or none where that would pass [`BODY_BYTES`].
+    /// Acquires `bytes`, unless the total would exceed [`MAX_BUFFERED_BODY_BYTES`].
     pub fn try_acquire(&self, bytes: usize) -> Option<BodyPermit> {
         let grown = |used_bytes: usize| {
             used_bytes.checked_add(bytes).filter(|sum| *sum <= MAX_BUFFERED_BODY_BYTES)
@@ -38,7 +38,7 @@
 }
 
 impl BodyPermit {
-    /// Gives back what is above `bytes`.
+    /// Reduces the permit to `bytes` and returns the rest to the budget.
     pub fn shrink_to(&mut self, bytes: usize) {
         let over = self.bytes.saturating_sub(bytes);
         self.budget.used_bytes.fetch_sub(over, Ordering::AcqRel);
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -1,4 +1,4 @@
-//! One deployment's scheduler under its own lock, driven from sockets and a timer.
+//! One deployment's scheduler behind its own lock, driven by requests, events and a timer.
 
 use std::{
     sync::{Arc, Mutex, Weak},
@@ -19,18 +19,19 @@
 
 use crate::{clock::Clock, endpoint::lock};
 
-/// Decisions that may wait for one request's driver. A request has one attempt under way, and
-/// each needs a start, a cancel and perhaps the end; more than this is a fault of the scheduler.
+/// Maximum number of decisions queued for one request's driver. A request has one attempt in
+/// flight, and each needs a start, a cancellation and perhaps the end; more than this is a bug of
+/// the scheduler.
 const MAX_QUEUED_DECISIONS: usize = 16;
 
-/// The longest pause between two polls of the scheduler, so that a wake-up it forgot to ask for
-/// costs a caller at most this.
+/// Maximum interval between two polls of the scheduler. It bounds the delay of a caller if the
+/// scheduler fails to request a wake-up.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One deployment's scheduler and the requests it decides about.
+/// One deployment's scheduler and the channels to the drivers of its requests.
 #[derive(Debug)]
 pub struct DeploymentState<S> {
-    /// Its name.
+    /// The deployment's name in the configuration.
     pub name: Deployment,
     clock: Clock,
     inner: Mutex<Inner<S>>,
@@ -45,14 +46,14 @@
 }
 
 impl<S: Scheduler + 'static> DeploymentState<S> {
-    /// A deployment decided by `scheduler`.
+    /// A deployment whose requests `scheduler` decides about.
     pub fn new(name: Deployment, scheduler: S, clock: Clock) -> Arc<Self> {
         let (wake, woken) = bounded(1);
         let inner = Mutex::new(Inner { scheduler, decision_txs: IndexMap::new() });
         Arc::new(DeploymentState { name, clock, inner, wake, woken })
     }
 
-    /// Takes over new rules.
+    /// Applies a new configuration.
     pub fn configure(
         &self,
         rules: &DeploymentRules,
@@ -66,11 +67,11 @@
         self.wake.try_send(()).ok();
     }
 
-    /// Offers a request. Where it is admitted, decisions about it arrive on the channel.
+    /// Offers a request to the scheduler. If it is admitted, its decisions arrive on the channel.
     ///
     /// # Errors
     ///
-    /// The scheduler's refusal.
+    /// Returns the scheduler's refusal.
     pub fn offer(&self, spec: Arc<RequestSpec>) -> Result<Receiver<Decision>, Refusal> {
         let now = self.clock.now();
         let id = spec.id;
@@ -81,12 +82,12 @@
         let (tx, rx) = bounded(MAX_QUEUED_DECISIONS);
         inner.decision_txs.insert(id, tx);
         inner.poll_and_deliver(now);
-        // The timer has to look at the new request's wake-up.
+        // The timer has to take the new request's wake-up into account.
         self.wake.try_send(()).ok();
         Ok(rx)
     }
 
-    /// Tells the scheduler what happened.
+    /// Reports an event to the scheduler.
     pub fn observe(&self, event: Event) {
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
@@ -98,17 +99,17 @@
         self.wake.try_send(()).ok();
     }
 
-    /// This instance's part of the load.
+    /// Summary of the load that this instance causes.
     pub fn digest(&self) -> LoadDigest {
         lock(&self.inner).scheduler.digest(self.clock.now())
     }
 
-    /// Requests that the scheduler has admitted and that haven't ended.
+    /// Number of requests that have been admitted and haven't ended.
     pub fn in_flight_requests(&self) -> usize {
         lock(&self.inner).decision_txs.len()
     }
 
-    /// Polls the scheduler whenever it asks for it, until the deployment is dropped.
+    /// Polls the scheduler at the times it requests, until the deployment is dropped.
     pub async fn run(this: Weak<Self>) {
         loop {
             let Some(state) = this.upgrade() else { return };
@@ -130,7 +131,7 @@
         let mut inner = lock(&self.inner);
         inner.poll_and_deliver(now);
         let wakeup = inner.scheduler.next_wakeup(now).unwrap_or(Time::MAX);
-        // At least a millisecond, so that a wake-up in the past can't keep a thread spinning.
+        // At least a millisecond, so that a wake-up in the past can't cause a busy loop.
         wakeup.since(now).clamp(Duration::from_millis(1), MAX_POLL_INTERVAL)
     }
 }
--- a/crates/daemon/src/endpoint.rs
+++ b/crates/daemon/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this instance knows it, and what this instance holds there.
+//! One endpoint's configuration and reported state, and the memory that this instance holds there.
 
 use std::{
     net::SocketAddr,
@@ -24,47 +24,47 @@
 
 use crate::holdings::Holdings;
 
-/// What is known of an endpoint's life.
+/// The lifecycle state that an endpoint last reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifecycleState {
-    /// Its incarnation; zero where nothing was heard yet.
+    /// Its incarnation; zero if it hasn't reported one yet.
     pub incarnation: Incarnation,
-    /// It said itself that it wants no new work.
+    /// Whether the endpoint itself announced that it takes no new work.
     pub leaving: bool,
 }
 
-/// Where an endpoint stands and what the configuration says of it.
+/// An endpoint's configuration, and its distance from this instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointConfig {
-    /// Its name.
+    /// Its name in the configuration.
     pub id: EndpointId,
-    /// The group it serves in.
+    /// The group of interchangeable endpoints that it belongs to.
     pub group: EndpointGroup,
-    /// Engine or plain service.
+    /// Whether it is an engine or a plain service.
     pub kind: EndpointKind,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// One-way delay from here.
+    /// One-way network delay from this instance.
     pub distance: Duration,
-    /// Operators take it out of service.
+    /// Whether operators are taking it out of service.
     pub leaving: bool,
 }
 
-/// One endpoint.
+/// One endpoint with the state that this instance keeps about it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Where it stands.
+    /// Its entry in the configuration.
     pub config: EndpointConfig,
     state: Arc<State>,
 }
 
-/// What outlives a change of the endpoint's place in the configuration: a stream that began under
-/// the old configuration still holds its memory under the new one.
+/// State that is kept when the endpoint's configuration changes: a stream that started under the
+/// old configuration still holds its memory under the new one.
 #[derive(Debug)]
 struct State {
-    /// Its load was asked for, whatever came of it.
+    /// Whether its load has been queried, even without success.
     load_queried: AtomicBool,
     lifecycle: Mutex<LifecycleState>,
     holdings: Mutex<Holdings>,
@@ -80,7 +80,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing was heard yet.
+    /// An endpoint that hasn't reported anything yet.
     pub fn new(config: EndpointConfig) -> Endpoint {
         let (abandoned_tx, abandoned_rx) = bounded(1);
         let state = State {
@@ -94,24 +94,25 @@
         Endpoint { config, state: Arc::new(state) }
     }
 
-    /// The same endpoint under a changed configuration.
+    /// The same endpoint under a changed configuration, sharing its state.
     pub fn with_config(&self, config: EndpointConfig) -> Endpoint {
         Endpoint { config, state: self.state.clone() }
     }
 
-    /// Its management interface, where it is an engine.
+    /// A client of its management interface, for engines.
     pub fn engine(&self) -> HttpEngine {
         HttpEngine::new(self.config.address)
     }
 
-    /// What is known of its life.
+    /// The lifecycle state that it last reported.
     pub fn lifecycle(&self) -> LifecycleState {
         *lock(&self.state.lifecycle)
     }
 
-    /// Notes what an answer said of its life, and tells whether that was new. An answer of an
-    /// older life arrives late and says nothing. Within one life, leaving is never taken back:
-    /// reports lag, and an older one must not bring a leaving endpoint back into service.
+    /// Records the lifecycle state reported by an answer and returns whether it changed. Late
+    /// answers of an older incarnation are ignored. Within one incarnation, `leaving` is never
+    /// reset: reports may arrive out of order, and an older one must not return a leaving endpoint
+    /// to service.
     pub fn record_lifecycle(&self, mut lifecycle: LifecycleState) -> bool {
         let mut known = lock(&self.state.lifecycle);
         lifecycle.leaving |= known.leaving && lifecycle.incarnation == known.incarnation;
@@ -122,17 +123,17 @@
         true
     }
 
-    /// Whether its load was asked for, whatever came of it.
+    /// Whether its load has been queried, even without success.
     pub fn was_load_queried(&self) -> bool {
         self.state.load_queried.load(Ordering::Relaxed)
     }
 
-    /// Notes that its load was asked for.
+    /// Records that its load has been queried.
     pub fn set_load_queried(&self) {
         self.state.load_queried.store(true, Ordering::Relaxed);
     }
 
-    /// The endpoint as the scheduler wants to hear of it.
+    /// The endpoint's state in the form that schedulers take.
     pub fn change(&self) -> EndpointChange {
         let lifecycle = self.lifecycle();
         let leaving = self.config.leaving || lifecycle.leaving;
@@ -146,26 +147,26 @@
         }
     }
 
-    /// Notes that this instance is about to hold memory there under `id`, until the result is
-    /// dropped.
+    /// Registers memory that this instance is about to hold on the endpoint under `id`, until the
+    /// result is dropped.
     pub fn hold(self: &Arc<Self>, id: String, kind: HeldKind) -> Holding {
         lock(&self.state.holdings).insert(id.clone(), kind);
         Holding { endpoint: self.clone(), id, may_remain_held: true }
     }
 
-    /// What this instance holds there.
+    /// The memory that this instance holds on the endpoint, locked.
     pub fn holdings(&self) -> MutexGuard<'_, Holdings> {
         lock(&self.state.holdings)
     }
 
-    /// Waits until something that was held there is no longer wanted.
+    /// Waits until a holding is abandoned.
     pub async fn wait_for_abandoned(&self) {
         // The sender lives in `self`, so the channel can't be closed.
         self.state.abandoned_rx.recv().await.ok();
     }
 
-    /// The engine's listing of held memory, at most `max_age` old. Many silent streams ask at
-    /// once, and one call answers them all.
+    /// The engine's listing of held memory, at most `max_age` old. The result is cached, because
+    /// many silent streams ask for it at once.
     ///
     /// # Errors
     ///
@@ -184,9 +185,8 @@
     }
 }
 
-/// Memory that this instance holds on an engine, or is about to. Dropping it says that the memory
-/// is no longer wanted; the engine's memory controller then releases it, and again until the
-/// engine has confirmed that it is gone.
+/// Memory that this instance holds on an engine, or is about to. Dropping it abandons the memory:
+/// the memory controller then releases it, and repeats this until the engine has confirmed it.
 #[derive(Debug)]
 pub struct Holding {
     endpoint: Arc<Endpoint>,
@@ -195,17 +195,17 @@
 }
 
 impl Holding {
-    /// Ends a holding that the engine has ended as well, so that nothing has to be released.
+    /// Ends a holding that the engine has ended itself, so that nothing has to be released.
     pub fn close(mut self) {
         self.may_remain_held = false;
     }
 
-    /// Its id on the engine.
+    /// The id under which the engine lists it.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The endpoint.
+    /// The engine that holds the memory.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
         &self.endpoint
     }
@@ -217,7 +217,7 @@
             return self.endpoint.holdings().record_ended(&self.id);
         }
         self.endpoint.holdings().abandon(&self.id, Instant::now());
-        // A full channel already says it.
+        // If the channel is full, a wake-up is already pending.
         self.endpoint.state.abandoned_tx.try_send(()).ok();
     }
 }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! The one shape in which callers hear of errors; `docs/PROTOCOLS.md` describes it.
+//! The error format for callers; `docs/PROTOCOLS.md` describes it.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use policy::{FailCause, Failure, Refusal, RefusalReason, RunStatus};
 use serde::Serialize;
 
-/// Why a call has no answer.
+/// An error returned to the caller in place of an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallError {
-    /// The HTTP status.
+    /// The HTTP status, where no part of an answer has been sent yet.
     pub status: StatusCode,
-    /// A name that programs can compare.
+    /// A stable, machine-readable code.
     pub code: &'static str,
-    /// A sentence for people.
+    /// A human-readable description.
     pub message: String,
-    /// Whether the call was run.
+    /// Whether the call ran.
     pub ran: RunStatus,
-    /// When asking again is likely to succeed; absent where it won't.
+    /// Delay after which a retry is likely to succeed; `None` if retries can't succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl CallError {
-    /// An error in the call itself, which therefore was not run.
+    /// An error of the caller; the call was not run.
     pub fn caller(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         CallError { status, code, message: message.into(), ran: RunStatus::No, retry_after: None }
     }
 
-    /// A malformed call.
+    /// A malformed call: 400, `bad_request`.
     pub fn malformed(message: impl Into<String>) -> Self {
         Self::caller(StatusCode::BadRequest, "bad_request", message)
     }
 
-    /// The error as JSON.
+    /// Serializes the error as JSON.
     pub fn to_json(&self) -> Bytes {
         let body = ErrorBody {
             error: ErrorContent {
@@ -43,11 +43,11 @@
                 retry_after: self.retry_after.map(|wait| wait.as_secs_f64()),
             },
         };
-        // Plain strings and numbers can always be written.
+        // Serializing plain strings and numbers can't fail.
         serde_json::to_vec(&body).unwrap_or_default().into()
     }
 
-    /// The value of `Retry-After`: whole seconds, rounded up so that nobody comes back early.
+    /// The value of `Retry-After` in whole seconds, rounded up so that no caller retries early.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after.map(|wait| wait.as_secs_f64().ceil().max(1.0) as u64)
     }
--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -1,4 +1,4 @@
-//! Offers the request to the deployment's scheduler, which admits it or refuses it at once.
+//! Admission control: the deployment's scheduler admits or refuses each request immediately.
 
 use std::sync::Arc;
 
@@ -11,33 +11,33 @@
     filter::{Answer, CallDetails, Handler, RequestWithDeadline, SharedClaim},
 };
 
-/// An admitted request.
+/// A request that the scheduler has admitted.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// The request.
+    /// The request with its deadline.
     pub request: RequestWithDeadline,
-    /// What the scheduler knows of it.
+    /// The description of the request that the scheduler was given.
     pub spec: Arc<RequestSpec>,
-    /// Its place with the scheduler.
+    /// Reports the end of the request to the scheduler.
     pub guard: AdmissionGuard,
-    /// The right to run it, where it may not be repeated.
+    /// The ledger's claim, for calls that run at most once; set by the at-most-once filter.
     pub claim: Option<SharedClaim>,
 }
 
-/// An admitted request's place with the scheduler. Dropping it without [`Ticket::end`] says that
-/// the caller hung up, so that no request can stay admitted for ever.
+/// Reports the end of an admitted request to the scheduler. Dropping it without
+/// [`AdmissionGuard::end`] reports a cancellation, so that no request stays admitted forever.
 #[derive(Debug)]
 pub struct AdmissionGuard {
-    /// The deployment.
+    /// The deployment that admitted the request.
     pub deployment: Arc<AnyDeployment>,
-    /// What the scheduler decides about the request.
+    /// The scheduler's decisions about the request, in order.
     pub decisions: Receiver<Decision>,
     spec: Arc<RequestSpec>,
     ended: bool,
 }
 
 impl AdmissionGuard {
-    /// Tells the scheduler how the request ended.
+    /// Reports the request's outcome.
     pub fn end(mut self, outcome: Outcome) {
         self.report_end(outcome);
     }
@@ -55,13 +55,13 @@
     }
 }
 
-/// Offers requests to their schedulers.
+/// The filter that offers requests to their deployments' schedulers.
 pub struct Admission<N> {
     next: N,
 }
 
 impl<N> Admission<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(next: N) -> Self {
         Admission { next }
     }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once. `docs/decisions/ledger.md` says how.
+//! Runs calls that aren't idempotent at most once; `docs/decisions/ledger.md` describes how.
 
 use std::{panic::AssertUnwindSafe, sync::Arc, time::Duration};
 
@@ -18,22 +18,22 @@
     shared::Shared,
 };
 
-/// When to come back after the log was down. Its outages last minutes, but clerks try again soon.
+/// `Retry-After` while the log is unavailable. Its outages last minutes, but people retry sooner.
 const LOG_OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// When to ask again for an outcome that isn't known yet.
+/// `Retry-After` while the outcome of an earlier call with the same key is unknown.
 const UNKNOWN_OUTCOME_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A claim that is shared between this filter and the one that sends.
+/// A claim that this filter shares with the dispatch filter, which sends the call.
 pub type SharedClaim = Arc<RunClaim<HttpLog>>;
 
-/// Guards calls that may not be repeated.
+/// The filter that claims a call's key in the ledger before the call is dispatched.
 pub struct AtMostOnce<N> {
     shared: Arc<Shared>,
     next: Arc<N>,
 }
 
 impl<N> AtMostOnce<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         AtMostOnce { shared, next: Arc::new(next) }
     }
@@ -72,10 +72,10 @@
 }
 
 impl<N: Handler<AdmittedRequest> + 'static> AtMostOnce<N> {
-    /// Runs the call beside the connection.
+    /// Runs the call in a task that outlives the connection.
     ///
-    /// Guards against a caller that hangs up while its call runs and sends it again: the call goes
-    /// on, and the answer is kept for the second time.
+    /// Guards against a caller that hangs up while its call runs and then sends it again: the call
+    /// completes, and the stored answer is returned to the repeated call.
     async fn run_detached(
         &self,
         mut admitted: AdmittedRequest,
@@ -87,7 +87,7 @@
         let next = self.next.clone();
         self.shared.spawn(async move {
             let result = AssertUnwindSafe(next.handle(admitted)).catch_unwind().await;
-            // Where it panicked, dropping the claim marks the outcome.
+            // After a panic, dropping the claim records the outcome.
             let Ok(result) = result else { return };
             tx.send(settle_claim(claim, result)).await.ok();
         });
@@ -95,15 +95,15 @@
     }
 }
 
-/// Tells the ledger how a call ended, and the caller what the ledger makes true.
+/// Records the outcome of a call in the ledger and derives the caller's result from it.
 fn settle_claim(
     claim: SharedClaim,
     result: Result<Answer, CallError>,
 ) -> Result<Answer, CallError> {
-    // The sending filter has dropped its share by now.
+    // The dispatch filter has dropped its reference by now.
     let claim = Arc::into_inner(claim).ok_or_else(outcome_unknown)?;
     match result {
-        // Such an answer is no proof that nothing ran, and none that it did.
+        // Such a status proves neither that the call ran nor that it didn't.
         Ok(Answer::Complete(answer)) if answer.status == 429 || answer.status >= 500 => {
             claim.mark_unknown();
             Ok(Answer::Complete(answer))
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -1,4 +1,4 @@
-//! When a request has to have ended.
+//! Sets the deadline of a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,23 +11,24 @@
     shared::Shared,
 };
 
-/// A request with its deadline.
+/// A received request together with its deadline.
 #[derive(Debug)]
 pub struct RequestWithDeadline {
-    /// The request.
+    /// The request with its body.
     pub received: ReceivedRequest,
-    /// When it has to have ended.
+    /// When the last byte of the answer is due.
     pub deadline: Time,
 }
 
-/// Sets the deadline: what the caller asks for, else what the route or the deployment says.
+/// The filter that sets the deadline: the caller's `x-deadline-ms`, else the timeout of the route,
+/// else the deployment's default, up to the deployment's maximum.
 pub struct Deadline<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Deadline<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Deadline { shared, next }
     }
@@ -46,8 +47,8 @@
     }
 }
 
-/// What a caller hears whose request didn't end in time. It may come back at once: how soon asking
-/// again would succeed, only the scheduler can tell.
+/// The error for a request that missed its deadline. `Retry-After` is the minimum, because only the
+/// scheduler could predict when a retry would succeed.
 pub(super) fn deadline_error(ran: RunStatus) -> CallError {
     let retry_after = Duration::from_secs(1);
     Failure { cause: FailCause::Deadline, ran, retry_after }.into()
--- a/crates/daemon/src/filter/dispatch/assemble.rs
+++ b/crates/daemon/src/filter/dispatch/assemble.rs
@@ -1,4 +1,4 @@
-//! The whole answer for callers who didn't ask for events.
+//! Assembles the JSON answer for callers that didn't ask for a stream.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -11,18 +11,18 @@
 
 use crate::filter::{CompleteAnswer, ModelCallDetails, parse::CHAT_PATH};
 
-/// What was generated so far, over all attempts.
+/// The output generated so far, over all attempts.
 #[derive(Debug, Default)]
 pub(super) struct GeneratedOutput {
-    /// The text.
+    /// The concatenated text of all tokens.
     pub(super) text: String,
-    /// Offset of the next token.
+    /// Offset of the next token, which is the number of tokens received.
     pub(super) offset: u64,
-    /// Where the last token's text begins.
+    /// Byte offset in `text` at which the last token's text starts.
     pub(super) last_token_start: usize,
-    /// Why generation ended, once it has.
+    /// The engine's reason for the end of generation, such as `length`, once received.
     pub(super) finish_reason: Option<String>,
-    /// The engine's counts, once known.
+    /// The engine's token counts, once received.
     pub(super) usage: Option<Usage>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl GeneratedOutput {
-    /// Adds a piece.
+    /// Appends one token.
     pub(super) fn push(&mut self, piece: Piece) {
         self.offset += 1;
         self.last_token_start = self.text.len();
@@ -69,9 +69,9 @@
         self.finish_reason = piece.finish_reason.or(self.finish_reason.take());
     }
 
-    /// Where a further attempt goes on; none where nothing has come yet. Where every token has
-    /// come and only the end mark is missing, the last token is asked for again, because an
-    /// engine that has nothing left to generate may refuse.
+    /// The position at which a further attempt resumes; `None` to start from the beginning. Where
+    /// all tokens have been received and only the end mark is missing, the last token is requested
+    /// again, because an engine that has nothing left to generate may refuse the request.
     pub(super) fn resume(&self) -> Option<Resume> {
         match (self.offset, &self.finish_reason) {
             (0, _) => None,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The answer as one JSON document.
+    /// The answer as one JSON document, in the format of the API that was called.
     pub(super) fn assemble(&self, id: &str, details: &ModelCallDetails) -> CompleteAnswer {
         let chat = details.path == CHAT_PATH;
         let text = self.text.as_str();
@@ -109,7 +109,7 @@
                 total_tokens: prompt_tokens + self.offset,
             },
         };
-        // Plain strings and numbers can always be written.
+        // Serializing plain strings and numbers can't fail.
         let body = serde_json::to_vec(&completion).unwrap_or_default();
         CompleteAnswer {
             status: 200,
--- a/crates/daemon/src/filter/dispatch/attempt.rs
+++ b/crates/daemon/src/filter/dispatch/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt to run a completion on an engine.
 //!
-//! Guards against pieces of an answer that are late, crossed, repeated or missing: each names the
-//! attempt and its offset. Repeated ones are dropped; a gap or a stranger's piece ends the attempt,
-//! and the next one resumes behind what the caller has. Without the end mark and the reason why
-//! generation ended, nothing counts as whole.
+//! Guards against events that are delayed, repeated, missing or from another run: each event names
+//! its run and its offset. Repeated events are dropped. A gap or an event of another run fails the
+//! attempt, and the next attempt resumes after the last token that the caller has. An answer is
+//! complete only with the end mark and a finish reason.
 
 use std::sync::Arc;
 
@@ -29,17 +29,17 @@
     filter::relay::RelayMessage,
 };
 
-/// Tokens between two reports of progress to the scheduler.
+/// Number of tokens between two progress reports to the scheduler.
 const PROGRESS_INTERVAL_TOKENS: u64 = 32;
 
-/// How often one attempt may go on over a new connection to the same engine. A link that loses
-/// more connections than this within one answer is no better than none.
+/// Maximum number of new connections to the same engine within one attempt. A link that loses more
+/// connections than this within one answer is treated as failed.
 const MAX_RECONNECTS: u32 = 2;
 
 impl Driver {
-    /// Runs the request where the scheduler wants it. A connection that is lost while the engine
-    /// lives is replaced here: the engine has the prompt in its cache, so going on there costs the
-    /// least, and the scheduler has nothing to decide.
+    /// Runs the request on the engines that the scheduler chose. A connection that is lost while
+    /// the engine's process lives is replaced without asking the scheduler: the engine has the
+    /// prompt in its cache, so resuming there costs least.
     pub(super) async fn attempt(&mut self, start: &Start) -> AttemptEnd {
         let active = self.shared.active();
         let [primary, others @ ..] = &start.shards[..] else { return failed(FailCause::NotSent) };
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The name under which the next run is sent. It counts runs and not the scheduler's attempts,
-    /// because a run over a new connection must not be taken for the one before.
+    /// The id under which the next run is sent. It counts runs instead of the scheduler's attempts,
+    /// so that a run over a new connection isn't mistaken for the previous one.
     fn next_run_id(&self, start: &Start) -> AttemptId {
         let owner = self.shared.owner.clone();
         AttemptId { owner, request: start.request, attempt: self.runs + 1 }
@@ -88,9 +88,9 @@
         let run = self.run_call(target, attempt.clone());
         let known = (primary.incarnation != Incarnation(0)).then_some(primary.incarnation);
         let mut watchdog = StreamWatchdog::new(endpoint, &id, known);
-        // On the heap, so that a stream under way doesn't carry the room that sending took.
-        let sent = Box::pin(run.send());
-        let running = match watchdog.wait(self.output.offset, sent).await {
+        // Boxed, so that the future of a running stream doesn't include the state of sending.
+        let sending = Box::pin(run.send());
+        let running = match watchdog.wait(self.output.offset, sending).await {
             Ok(Ok(running)) => running,
             Ok(Err(e)) => {
                 if !matches!(e, RunError::Broken | RunError::BadAnswer) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The body, with the place to resume at where the caller already has a part of the answer.
+    /// The request's body, with a `resume` member if the caller already has a part of the answer.
     fn body(&self) -> Vec<Bytes> {
         let body = &self.request.received.body;
         match self.output.resume() {
@@ -149,7 +149,7 @@
                 }
                 failed(FailCause::Rejected)
             }
-            // In mid-stream such an answer can't be passed on, and another engine may resume.
+            // After the first token such an answer can't be relayed, and another engine may resume.
             RunError::Final(answer) if self.output.offset == 0 => {
                 AttemptEnd::Request(RequestEnd::Answered(answer))
             }
@@ -200,7 +200,7 @@
         self.output.push(piece);
         self.request.received.record.update(|summary| summary.output = Tokens(self.output.offset));
         if self.details.scan.stream {
-            // A caller that is gone ends the request elsewhere.
+            // If the caller has hung up, `Driver::run` ends the request.
             self.messages.send(RelayMessage::Event(event.data)).await.ok();
         }
     }
@@ -221,7 +221,7 @@
     }
 }
 
-/// Where one attempt runs.
+/// The engines that run one attempt. Memory on further engines is already reserved.
 struct AttemptTarget<'a> {
     start: &'a Start,
     primary: &'a Shard,
@@ -230,8 +230,8 @@
 }
 
 impl AttemptTarget<'_> {
-    /// Whether the engine still lives the life that was chosen, and has let go of the run `name`,
-    /// whose memory the next run needs.
+    /// Whether the engine is still the chosen incarnation and has released the run `run_id`, whose
+    /// memory the next run needs.
     async fn has_released(&self, run_id: &str) -> bool {
         let engine = self.endpoint.engine();
         let Ok(load) = engine.load().await else { return false };
@@ -249,15 +249,15 @@
     resume: &'a Resume,
 }
 
-/// `body` with the `resume` member added at its end, without a copy of `body`.
+/// Appends the `resume` member to the JSON object in `body`, without copying `body`.
 fn body_with_resume(body: &Bytes, resume: &Resume) -> Vec<Bytes> {
     let end = body.iter().rposition(|byte| *byte == b'}').unwrap_or(body.len());
-    // Plain strings and numbers can always be written.
+    // Serializing plain strings and numbers can't fail.
     let mut member = serde_json::to_vec(&ResumeMember { resume }).unwrap_or_default();
-    // The brace that opens the member's own object becomes the comma behind the body's last one;
-    // the brace that closes it closes the body.
-    if let Some(is_first_piece) = member.first_mut() {
-        *is_first_piece = b',';
+    // The opening brace of the serialized object becomes the comma after the body's last member;
+    // its closing brace closes the body.
+    if let Some(brace) = member.first_mut() {
+        *brace = b',';
     }
     vec![body.slice(..end), Bytes::from(member)]
 }
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -1,4 +1,4 @@
-//! Follows one completion from its admission to its end.
+//! Drives one completion from its admission to its end.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     shared::Shared,
 };
 
-/// Follows one completion.
+/// Carries out the scheduler's decisions about one completion.
 pub(super) struct Driver {
     pub(super) shared: Arc<Shared>,
     pub(super) request: RequestWithDeadline,
@@ -26,31 +26,31 @@
     pub(super) details: ModelCallDetails,
     pub(super) messages: Sender<RelayMessage>,
     pub(super) output: GeneratedOutput,
-    /// Runs sent to engines.
+    /// Number of runs sent to engines; an attempt has several if its connection is replaced.
     pub(super) runs: u32,
 }
 
-/// How a completion ended.
+/// The result of a completion.
 #[derive(Debug)]
 pub(super) enum RequestEnd {
-    /// The answer is whole.
+    /// The complete answer was generated.
     Finished,
-    /// The engine gave an answer that another would give too.
+    /// An engine refused the request in a way that other engines would repeat, such as a 400.
     Answered(FinalAnswer),
-    /// The scheduler gave it up.
+    /// The scheduler ended the request.
     Failed(Failure),
     /// The deadline has passed.
     Expired,
-    /// The caller is gone.
+    /// The caller closed the connection.
     HungUp,
 }
 
-/// What became of one attempt.
+/// The result of one attempt.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// It ended the request.
+    /// The attempt ended the request.
     Request(RequestEnd),
-    /// It failed.
+    /// The attempt failed, and the scheduler decides whether to retry.
     Failed(FailCause),
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Driver {
-    /// A driver that passes the answer on by `replies`.
+    /// A driver that relays the answer through `messages`.
     pub(super) fn new(
         shared: Arc<Shared>,
         admitted: AdmittedRequest,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Follows the request to its end. The deadline and the caller's hang-up end it from outside,
-    /// whatever engine and scheduler do or fail to do.
+    /// Runs the request to its end. The deadline and the caller's hang-up end it independently of
+    /// engine and scheduler, even if these hang.
     pub(super) async fn run(mut self) {
         let (clock, deadline) = (self.shared.clock, self.request.deadline);
         let (conn, messages) = (self.request.received.conn.clone(), self.messages.clone());
@@ -104,7 +104,7 @@
                 Some(decision) => decision,
                 None => match decisions.recv().await {
                     Ok(decision) => decision,
-                    // The scheduler has forgotten the request, which only its own fault explains.
+                    // The scheduler dropped the request without a decision, which is a bug in it.
                     Err(_) => return RequestEnd::Failed(scheduler_lost_request()),
                 },
             };
@@ -149,8 +149,8 @@
         });
     }
 
-    /// Tells the scheduler, the record and the caller, in this order: the scheduler may give the
-    /// place away while a slow caller still takes the last bytes.
+    /// Reports the end to the scheduler, the record and the caller, in this order, so that the
+    /// scheduler can reuse the capacity while a slow caller still receives the last bytes.
     async fn finish(self, end: RequestEnd) {
         let Driver { shared, request, guard, details, messages, output, runs } = self;
         let record = &request.received.record;
@@ -196,8 +196,8 @@
     }
 }
 
-/// Passes the last reply on: at once where there is room, else before the deadline. A caller that
-/// still hasn't made room then is cut, which it can't take for the end of a whole answer.
+/// Sends the last message, waiting until the deadline while the queue is full. A caller that hasn't
+/// read enough by then is disconnected, which it can't mistake for the end of a complete answer.
 async fn send_last_message(
     shared: &Shared,
     request: &RequestWithDeadline,
@@ -208,7 +208,7 @@
         return;
     };
     let send = async {
-        // A caller that is gone needs no reply.
+        // Sending fails only if the caller has hung up.
         messages.send(message).await.ok();
     };
     send.or(shared.clock.sleep_until(request.deadline)).await;
@@ -219,7 +219,7 @@
     Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
 
-/// The most of an engine's own words that an error repeats.
+/// Maximum number of characters of an engine's error message that are quoted to the caller.
 const MAX_ENGINE_MESSAGE_CHARS: usize = 1_000;
 
 fn refused_by_engine(answer: &FinalAnswer) -> CallError {
--- a/crates/daemon/src/filter/dispatch/mod.rs
+++ b/crates/daemon/src/filter/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler decides about one request: sends it, follows it, tries again.
+//! Carries out the scheduler's decisions about one request: sends it, relays its answer, retries.
 
 mod assemble;
 mod attempt;
@@ -28,13 +28,13 @@
     shared::Shared,
 };
 
-/// Sends requests to endpoints.
+/// The last filter, which sends requests to endpoints.
 pub struct Dispatch {
     shared: Arc<Shared>,
 }
 
 impl Dispatch {
-    /// The last filter.
+    /// Creates the filter with the state of the instance.
     pub fn new(shared: Arc<Shared>) -> Self {
         Dispatch { shared }
     }
@@ -44,15 +44,15 @@
     async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
         match admitted.request.received.details.clone() {
             CallDetails::Service(details) => {
-                // The larger kind of call must not make the other's future as large.
+                // Boxed, so that this larger future doesn't enlarge that of completions.
                 Box::pin(service::run(&self.shared, admitted, details)).await
             }
             CallDetails::Model(details) => {
                 let (tx, rx) = bounded(MAX_QUEUED_EVENTS);
                 let record = admitted.request.received.record.clone();
                 let driver = driver::Driver::new(self.shared.clone(), admitted, details, tx);
-                // A panic in a driver must not end a thread of the daemon; the caller then hears
-                // that the driver is gone.
+                // A panic in a driver must not end a thread of the daemon. The caller then gets
+                // the error of `driver_gone`.
                 let driver = Box::pin(AssertUnwindSafe(driver.run()).catch_unwind());
                 self.relay(driver, rx, record).await
             }
@@ -61,8 +61,8 @@
 }
 
 impl Dispatch {
-    /// Runs the driver here until the first reply, which spares a change of threads before the
-    /// first token, and beside the connection from then on, which is busy writing.
+    /// Runs the driver in this task until the first message, which avoids a thread switch before
+    /// the first token, and from then on in a task of its own, because this one is busy writing.
     async fn relay<D>(
         &self,
         mut driver: Pin<Box<D>>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Waits for the first reply, which decides between an answer and an error status.
+/// Waits for the first message, which decides between an answer and an error status.
 async fn first_reply(
     messages: Receiver<RelayMessage>,
     record: Arc<CallRecord>,
--- a/crates/daemon/src/filter/dispatch/reserve.rs
+++ b/crates/daemon/src/filter/dispatch/reserve.rs
@@ -1,8 +1,8 @@
-//! Memory on further engines for a prompt that needs more than one: all of it or none.
+//! Reserves memory on further engines for a prompt that needs more than one: all of it or none.
 //!
-//! The failure: two such prompts each hold half of what both need, and neither ever starts. Every
-//! instance reserves in the order that the scheduler gives, and lets go of everything as soon as
-//! one engine refuses; a lease ends what a dead instance had reserved.
+//! Guards against a deadlock in which two such prompts each hold half of the memory that both need.
+//! Every instance reserves in the order that the scheduler gives and releases all reservations as
+//! soon as one engine refuses. Leases expire the reservations of failed instances.
 
 use std::{fmt::Write, sync::Arc};
 
@@ -18,14 +18,14 @@
     endpoint::{Endpoint, Holding},
 };
 
-/// What is reserved for one attempt. Dropping it releases all of it.
+/// The reservations of one attempt. Dropping them releases the memory.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     holdings: Vec<Holding>,
 }
 
 impl Reservations {
-    /// Reserves on each of `shards` in order.
+    /// Reserves memory for each of `shards`, in order.
     pub(super) async fn reserve_all(
         active: &ActiveConfig,
         attempt: &AttemptId,
@@ -43,7 +43,7 @@
         Ok(reservations)
     }
 
-    /// The value of `x-kv-shards`.
+    /// The value of `x-kv-shards`: `<id>@<address>` of each reservation, separated by commas.
     pub(super) fn header(&self) -> String {
         let mut text = String::new();
         for holding in &self.holdings {
@@ -65,7 +65,7 @@
     let engine = endpoint.engine();
     match engine.reserve(id, &attempt.owner, shard.tokens, lease).await {
         Ok(incarnation) if is_expected(shard, incarnation) => Ok(()),
-        // Nothing of the request was sent, whatever became of the reservation.
+        // The request itself hasn't been sent, even if the reservation's outcome is unknown.
         Ok(_) | Err(EngineError::NotSent | EngineError::Unknown | EngineError::Broken) => {
             Err(FailCause::NotSent)
         }
@@ -74,7 +74,8 @@
     }
 }
 
-/// Whether `life` is the one that the scheduler chose; it chooses zero where it knows none.
+/// Whether `incarnation` is the one that the scheduler chose. Zero stands for an unknown one and
+/// matches any.
 pub(super) fn is_expected(shard: &Shard, incarnation: Incarnation) -> bool {
     shard.incarnation == Incarnation(0) || shard.incarnation == incarnation
 }
--- a/crates/daemon/src/filter/dispatch/service.rs
+++ b/crates/daemon/src/filter/dispatch/service.rs
@@ -1,4 +1,4 @@
-//! One call to a plain service, from its admission to its end.
+//! Drives one call to a plain service from its admission to its end.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,12 +22,13 @@
     shared::Shared,
 };
 
-/// The parts of the time left that a call which may be repeated waits for its first and second
-/// server: a quarter of the whole each, so that two silent connections still leave half of the
-/// time for a third. The scheduler gives up after three.
+/// Divisors of the remaining time that give the timeouts of the first and second attempt of an
+/// idempotent call. Each is a quarter of the whole time, so that two silent connections still leave
+/// half of it for a third attempt. The scheduler gives up after three.
 const TIMEOUT_DIVISORS: [u32; 2] = [4, 3];
 
-/// Runs one call to its end. The caller's hang-up drops this future, and with it the ticket.
+/// Runs one call to its end. The caller's hang-up drops this future, and with it the admission
+/// guard.
 pub(super) async fn run(
     shared: &Arc<Shared>,
     admitted: AdmittedRequest,
@@ -44,8 +45,8 @@
     };
     let runs_at_most_once = admitted.claim.is_some();
     let hung_up = async {
-        // A call that may not be repeated goes on without its caller, so that its answer is there
-        // when it is sent again.
+        // A call that runs at most once continues without its caller, so that its answer can be
+        // returned when the call is sent again.
         match runs_at_most_once {
             true => std::future::pending().await,
             false => conn.wait_for_hang_up().await,
@@ -66,7 +67,7 @@
             admitted.guard.end(Outcome::Expired);
             Err(deadline_error(ran))
         }
-        // Nobody reads this.
+        // The caller is gone, so this is only logged.
         ServiceCallEnd::HungUp => Err(CallError { ran, ..hung_up_error() }),
     }
 }
@@ -93,7 +94,7 @@
                 Ok(Decision::Start(start)) => start,
                 Ok(Decision::Fail { failure, .. }) => return ServiceCallEnd::Failed(failure),
                 Ok(Decision::Cancel { .. }) => continue,
-                // The scheduler has forgotten the request, which only its own fault explains.
+                // The scheduler dropped the request without a decision, which is a bug in it.
                 Err(_) => return ServiceCallEnd::Failed(scheduler_lost_request()),
             };
             match self.attempt(&start).await {
@@ -120,7 +121,7 @@
             summary.endpoint = Some(shard.endpoint.clone());
         });
         let call = self.build_call();
-        // From here on the call may have run, unless the connection is known to have failed.
+        // From here on the call may have run, unless the attempt ends with `NotSent`.
         let sent_before = std::mem::replace(&mut self.sent, true);
         self.attempts += 1;
         let claim = self.admitted.claim.as_deref();
@@ -168,9 +169,9 @@
     }
 }
 
-/// Whether an answer is the caller's, or a reason to ask another server. Only calls that may be
-/// repeated are asked again: a busy server's refusal is no proof that nothing ran. An error of the
-/// service's own, such as 500, is its answer.
+/// Decides whether an answer goes to the caller or fails the attempt, so that another server is
+/// tried. Only idempotent calls are retried, because a busy server's refusal doesn't prove that the
+/// call didn't run. An error of the service itself, such as 500, goes to the caller.
 fn classify_answer(answer: ServiceAnswer, repeatable: bool) -> Result<ServiceAnswer, FailCause> {
     match answer.status {
         429 | 503 if repeatable => Err(FailCause::Rejected),
--- a/crates/daemon/src/filter/dispatch/silence.rs
+++ b/crates/daemon/src/filter/dispatch/silence.rs
@@ -1,10 +1,10 @@
-//! Tells a silent connection from an engine that is still working.
+//! Distinguishes a silent connection from an engine that is still working.
 //!
-//! The failure: something between the two ends loses track of an open connection, which then stays
-//! silent for good while new ones work. The caller sees a stream that stops. A long prefill looks
-//! just the same from here, so the engine is asked over a new connection: where its listing
-//! doesn't show the stream any more, or shows it ahead of what came, the old connection is lost
-//! and the request goes on elsewhere. The endpoint is judged only when new connections fail too.
+//! Guards against a middlebox that loses track of an open connection, which then stays silent for
+//! good while new connections work, so that the caller's stream stalls. A long prefill looks the
+//! same from this end, so the engine is queried over a new connection. If its listing no longer
+//! shows the stream, or shows it ahead of what has arrived, the old connection is lost, and the
+//! request is retried. The endpoint counts as failed only if new connections fail as well.
 
 use std::{future::Future, pin::pin, time::Duration};
 
@@ -15,31 +15,32 @@
 
 use crate::endpoint::Endpoint;
 
-/// Silence after which the engine is asked. Between two tokens lie some tens of milliseconds; a
-/// prefill is longer, and costs one listing a second for all streams of an engine together.
+/// Interval of the checks for silence, after which the engine is queried. Tokens are some tens of
+/// milliseconds apart. A prefill takes longer and costs one listing per second for all streams of
+/// an engine together.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bad signs in a row before the stream is given up. One may be chance: the body is still on its
-/// way there, or the last events on their way here.
+/// Consecutive failed checks after which the stream is abandoned. A single one may be a race: the
+/// request's body or the latest events may still be in transit.
 const MAX_FAILED_CHECKS: u32 = 2;
 
-/// How old a listing may be.
+/// Maximum age of a listing that is shared between streams.
 const MAX_LISTING_AGE: Duration = Duration::from_millis(250);
 
-/// How long a broken connection may wait for word whether the engine's process died.
+/// Timeout of the query whether an engine's process died, after a connection broke.
 const DEATH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Watches one run's stream. It has one timer for the whole run, because each new one wakes the
-/// thread that waits for sockets, which for every token would cost more than the token.
+/// Watches one run's stream for silence. One timer serves the whole run, because each new timer
+/// wakes the reactor thread, which would cost more than relaying a token.
 pub(super) struct StreamWatchdog<'a> {
-    /// Where it runs.
+    /// The engine that runs it.
     pub(super) endpoint: &'a Endpoint,
-    /// Its id there.
+    /// The run's id, under which the engine lists it.
     pub(super) attempt: &'a str,
-    /// The life it was sent to, where known.
+    /// The engine's incarnation that the run was sent to, if known.
     pub(super) incarnation: Option<Incarnation>,
     ticks: Timer,
-    /// Whether something came since the last tick.
+    /// Whether anything arrived since the last tick.
     progress: bool,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl<'a> StreamWatchdog<'a> {
-    /// Begins to watch.
+    /// Starts the timer. The first interval counts as progress.
     pub(super) fn new(
         endpoint: &'a Endpoint,
         attempt: &'a str,
@@ -65,8 +66,8 @@
         StreamWatchdog { endpoint, attempt, incarnation, ticks, progress: true }
     }
 
-    /// Waits for `next`, as long as the engine can be seen to work on it. `offset` is that of the
-    /// next token to come.
+    /// Waits for `next` for as long as the engine's listing shows that it works on the run.
+    /// `offset` is that of the next token expected.
     pub(super) async fn wait<T>(
         &mut self,
         offset: u64,
@@ -98,15 +99,15 @@
         }
     }
 
-    /// Whether a broken connection means that the engine's process died.
+    /// Determines whether a broken connection means that the engine's process died.
     ///
-    /// It does where the engine has another life, and where a new connection fails at once like
-    /// the old one. The second need not be refused: whatever stands between may take it, and break
-    /// it when it finds nobody behind. Taken for a mere break, the death of four engines in a row
-    /// raised no suspicion against the prompt that killed them.
+    /// It does if the engine has another incarnation, or if a new connection fails as well. The new
+    /// connection need not be refused: a middlebox may accept it, and break it when it can't reach
+    /// the engine. When such failures counted as mere breaks, a prompt that crashed four engines in
+    /// a row raised no suspicion.
     ///
-    /// A link that breaks long answers breaks listings, so the short load report is asked for: a
-    /// break taken for a death makes suspects of the prompts there.
+    /// The query is for the short load report, because a link that breaks long answers also breaks
+    /// listings, and a break mistaken for a death makes poison suspects of the prompts there.
     pub(super) async fn classify_break(&self) -> FailCause {
         let query = async {
             match self.endpoint.engine().load().await {
@@ -117,11 +118,11 @@
                 }
             }
         };
-        let limit = async {
+        let timeout = async {
             Timer::after(DEATH_CHECK_TIMEOUT).await;
             FailCause::Broken
         };
-        query.or(limit).await
+        query.or(timeout).await
     }
 
     async fn check(&self, offset: u64) -> StreamState {
--- a/crates/daemon/src/filter/mod.rs
+++ b/crates/daemon/src/filter/mod.rs
@@ -1,7 +1,8 @@
-//! The path of a request, one file a filter. `docs/ARCHITECTURE.md` describes the order.
+//! The filter chain that every request passes. `docs/ARCHITECTURE.md` describes the order.
 //!
-//! Each filter takes what the one before it found out, adds to it and calls the next; the types
-//! of the stages keep a request from skipping one. The chain is composed by generics alone.
+//! Each filter takes the output type of the one before it, adds its own results and calls the
+//! next, so that the compiler rejects a chain that skips a stage. Dispatch is static: the chain is
+//! composed of generic types.
 
 mod admission;
 mod at_most_once;
@@ -33,46 +34,46 @@
     shared::Shared,
 };
 
-/// One stage of the path of a request.
+/// One filter of the chain.
 pub trait Handler<In>: Send + Sync {
-    /// Answers, usually by calling the next stage.
+    /// Answers the request, usually by calling the next filter.
     fn handle(&self, input: In) -> impl Future<Output = Result<Answer, CallError>> + Send;
 }
 
-/// A request as it came in.
+/// A request whose head has been received and not yet parsed.
 #[derive(Debug)]
 pub struct InboundRequest {
-    /// Head and body.
+    /// The head, and the body as an unread stream.
     pub req: Request,
-    /// Its connection.
+    /// The caller's connection.
     pub conn: Arc<Connection>,
-    /// Its record.
+    /// Collects the data for the request's log entry and metrics.
     pub record: Arc<CallRecord>,
 }
 
-/// What the caller gets.
+/// A successful result of the chain.
 #[derive(Debug)]
 pub enum Answer {
-    /// An answer that is whole.
+    /// An answer whose body is complete in memory.
     Complete(CompleteAnswer),
-    /// Server-sent events as they come.
+    /// Server-sent events, forwarded as they arrive.
     Stream(relay::EventBody),
 }
 
-/// An answer that is whole.
+/// An answer whose body is complete in memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Media type; JSON where absent.
+    /// Media type; `None` stands for JSON.
     pub content_type: Option<String>,
-    /// Further headers.
+    /// Headers besides `content-type`.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The body, sent as it is.
     pub body: Bytes,
 }
 
-/// All filters in order.
+/// All filters, the outermost first.
 pub type Chain = parse::Parse<
     workspace::Identify<
         receive::Receive<
@@ -81,7 +82,7 @@
     >,
 >;
 
-/// The filters of an instance.
+/// Builds the filter chain of an instance.
 pub fn chain(shared: &Arc<Shared>) -> Chain {
     let dispatch = dispatch::Dispatch::new(shared.clone());
     let admission =
@@ -91,7 +92,7 @@
     parse::Parse::new(shared.clone(), workspace::Identify::new(shared.clone(), receive))
 }
 
-/// Sends a request through the filters and accounts for it.
+/// Passes a request through the filter chain and records its outcome.
 pub async fn answer(
     chain: &Chain,
     shared: &Arc<Shared>,
@@ -107,7 +108,7 @@
     let result = chain.handle(inbound).await;
     if let Err(e) = &result {
         record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
-        // Much of the body may be unread, and the library would read all of it.
+        // Much of the body may be unread, and the HTTP library would read all of it.
         conn.set_cut_time(shared.clock.now() + crate::server::connection::WRITE_GRACE_PERIOD);
     }
     let must_close = result.as_ref().is_err_and(may_leave_unread_body);
@@ -122,7 +123,7 @@
     resp
 }
 
-/// Whether what follows on the connection may still belong to the refused request's body.
+/// Whether the next bytes on the connection may still belong to the refused request's body.
 fn may_leave_unread_body(e: &CallError) -> bool {
     let status = e.status;
     [StatusCode::BadRequest, StatusCode::PayloadTooLarge, StatusCode::RequestTimeout]
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a request: what it asks for, and the headers that govern it.
+//! Parses the head of a request: its target and the headers that the daemon evaluates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,37 +14,37 @@
     shared::{Shared, Stage},
 };
 
-/// The longest accepted `Idempotency-Key`, `traceparent` and `x-request-id`. They are kept, logged
-/// and passed on.
+/// Maximum length of `Idempotency-Key`, `traceparent` and `x-request-id`. Their values are stored,
+/// logged and forwarded.
 const MAX_HEADER_VALUE_BYTES: usize = 256;
 
-/// When to come back after meeting an instance that is stopping or has no configuration yet. The
-/// balancer has others, so this need not outlast the stop.
+/// `Retry-After` of an instance that is stopping or has no configuration yet. The load balancer
+/// sends the retry to another instance, so the delay need not outlast the stop.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Headers that are passed on to plain services.
+/// Request headers that are forwarded to plain services.
 const FORWARDED_HEADERS: [&str; 6] =
     ["accept", "accept-language", "content-type", "idempotency-key", "traceparent", "tracestate"];
 
-/// A request whose head was read.
+/// A request whose head has been parsed.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// What it asks for.
+    /// The completion or service that it calls.
     pub target: RequestTarget,
-    /// The headers that govern it.
+    /// The headers that the daemon evaluates.
     pub headers: RequestHeaders,
-    /// Its body, unread.
+    /// The body as an unread stream.
     pub body: Body,
-    /// Its connection.
+    /// The caller's connection.
     pub conn: Arc<Connection>,
-    /// Its record.
+    /// Collects the data for the request's log entry and metrics.
     pub record: Arc<CallRecord>,
 }
 
-/// What a request asks for.
+/// The completion or service that a request calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestTarget {
-    /// A completion at this path.
+    /// A completion, with the path of its API.
     Model(&'static str),
     /// A call to a plain service.
     Service(ServiceTarget),
@@ -53,44 +53,44 @@
 /// A call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceTarget {
-    /// The endpoint group.
+    /// The endpoint group, from the path's second segment.
     pub group: EndpointGroup,
-    /// The method.
+    /// The HTTP method; only those that `parse_service_target` allows.
     pub method: Method,
-    /// The path within the service, without query.
+    /// The path below `/services/<group>`, without the query.
     pub path: String,
-    /// The query, if any.
+    /// The query string without `?`.
     pub query: Option<String>,
-    /// Headers to be passed on.
+    /// The headers to forward.
     pub headers: Vec<Header>,
 }
 
-/// The headers that govern a request.
+/// The headers that the daemon evaluates.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestHeaders {
-    /// The key of `Authorization: Bearer`.
+    /// The key from `Authorization: Bearer`.
     pub bearer: Option<String>,
-    /// `x-deadline-ms`.
+    /// `x-deadline-ms`: the time allowed from the arrival of the head.
     pub deadline: Option<Duration>,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key`, 1 to 256 bytes.
     pub idempotency_key: Option<String>,
-    /// `traceparent`.
+    /// `traceparent`, forwarded to engines unchanged.
     pub traceparent: Option<String>,
 }
 
-/// The path for chat.
+/// The path of the chat completions API.
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
-/// The path for plain completions.
+/// The path of the text completions API.
 pub(super) const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// Reads the head.
+/// The filter that parses the head.
 pub struct Parse<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Parse<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Parse { shared, next }
     }
@@ -108,10 +108,11 @@
     }
 }
 
-/// Refuses heads whose body could end in two places.
+/// Refuses requests with ambiguous body framing.
 ///
-/// The failure: this daemon and a proxy in front of it disagree where a body ends, and what one
-/// takes for body the other takes for the next caller's request. The answer closes the connection.
+/// Guards against request smuggling: this daemon and a proxy in front of it disagree where a body
+/// ends, and one of them parses a part of the body as the next caller's request. The error answer
+/// closes the connection.
 fn check_framing(req: &Request) -> Result<(), CallError> {
     if req.header("content-length").is_some_and(|values| values.iter().count() > 1) {
         return Err(CallError::malformed("header `content-length` stands twice"));
@@ -162,7 +163,7 @@
         .parse()
         .map_err(|e| CallError::malformed(format!("path, after `/services/`: {e}")))?;
     let method = req.method();
-    // Others, such as HEAD, have answers without a body of the stated length.
+    // Answers to other methods, such as HEAD, may lack the body that `content-length` announces.
     let allowed = [Method::Get, Method::Post, Method::Put, Method::Patch, Method::Delete];
     if !allowed.contains(&method) {
         return Err(method_not_allowed(method, req.url().path()));
@@ -218,7 +219,7 @@
     Ok(Some(text.to_owned()))
 }
 
-/// The caller's own id for the request, where it gives a usable one.
+/// The caller's `x-request-id`, if it is printable ASCII within the length limit.
 pub(crate) fn request_id(req: &Request) -> Option<String> {
     let text = text_header(req, REQUEST_ID)?;
     let usable = (1..=MAX_HEADER_VALUE_BYTES).contains(&text.len())
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -1,4 +1,4 @@
-//! Reads the body within its limits and finds out what the request needs.
+//! Reads the body within its limits and looks up the deployment that serves the request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,86 +24,86 @@
     shared::Shared,
 };
 
-/// How long a body may take to come in. A million tokens over a slow office line take seconds;
-/// one that takes longer than this is a broken or hostile upload.
+/// Timeout for receiving a body. A million tokens over a slow office line take seconds; an upload
+/// that takes longer than this is broken or hostile.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How much is read before others get their turn on the thread.
+/// Bytes read before the task yields its thread to others.
 const READ_CHUNK_BYTES: usize = 256 << 10;
 
-/// Bodies above this are scanned on a thread of their own: at about a gigabyte a second, this
-/// much holds up the other requests of a thread by a tenth of a millisecond.
+/// Larger bodies are scanned on the blocking thread pool. At about a gigabyte per second, a body of
+/// this size delays the other requests of a thread by a tenth of a millisecond.
 const MAX_INLINE_SCAN_BYTES: usize = 64 << 10;
 
-/// A request that came in whole.
+/// A request whose body has been received.
 #[derive(Debug)]
 pub struct ReceivedRequest {
-    /// What it needs.
+    /// The completion or service call, parsed.
     pub details: CallDetails,
-    /// Its deployment.
+    /// The deployment that serves it.
     pub route: Route,
-    /// Whose it is.
+    /// The workspace that its key belongs to.
     pub workspace: Workspace,
-    /// The headers that govern it.
+    /// The headers that the daemon evaluates.
     pub headers: RequestHeaders,
-    /// Its body as it came.
+    /// The body, unchanged.
     pub body: Bytes,
-    /// Its part of the bytes that may be held at once.
+    /// The body's share of the instance's memory budget for bodies.
     pub body_permit: BodyPermit,
     /// Hash of the prompt, or of path and body for a plain service.
     pub fingerprint: Fingerprint,
-    /// The configuration it began with.
+    /// The configuration in force when the request was identified.
     pub active: Arc<ActiveConfig>,
-    /// Its connection.
+    /// The caller's connection.
     pub conn: Arc<Connection>,
-    /// Its record.
+    /// Collects the data for the request's log entry and metrics.
     pub record: Arc<CallRecord>,
 }
 
-/// What a request needs.
+/// The parsed call, by kind.
 #[derive(Debug, Clone)]
 pub enum CallDetails {
-    /// A completion.
+    /// A completion by a model.
     Model(ModelCallDetails),
     /// A call to a plain service.
     Service(ServiceCallDetails),
 }
 
-/// A completion.
+/// A completion by a model.
 #[derive(Debug, Clone)]
 pub struct ModelCallDetails {
-    /// Its path.
+    /// The path of its API, which the engine serves under the same name.
     pub path: &'static str,
-    /// The model.
+    /// The model that the body names.
     pub model: Model,
-    /// What else the body says.
+    /// The other members of the body that the daemon evaluates.
     pub scan: ScannedBody,
 }
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceCallDetails {
-    /// What is called.
+    /// Group, method, path and headers of the call.
     pub target: ServiceTarget,
-    /// The rules of its route, if any.
+    /// The configured rules of its route; `None` where no route matches the path.
     pub rules: Option<RouteRules>,
 }
 
 impl ServiceCallDetails {
-    /// Whether the call is idempotent.
+    /// Whether the call is idempotent. Calls without a configured route are.
     pub fn repeatable(&self) -> bool {
         self.rules.as_ref().is_none_or(|rules| rules.repeatable)
     }
 }
 
-/// Reads the body.
+/// The filter that reads the body.
 pub struct Receive<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Receive<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Receive { shared, next }
     }
@@ -170,12 +170,12 @@
 }
 
 async fn read_body(body: Body, max: usize) -> Result<Bytes, CallError> {
-    let limit = async {
+    let timeout = async {
         Timer::after(BODY_TIMEOUT).await;
         let message = "the body didn't come in time";
         Err(CallError::caller(StatusCode::RequestTimeout, "body_timeout", message))
     };
-    let bytes = read_all(body, max).or(limit).await?;
+    let bytes = read_all(body, max).or(timeout).await?;
     if bytes.len() > max {
         return Err(too_large(max));
     }
@@ -194,7 +194,7 @@
     CallError::caller(StatusCode::PayloadTooLarge, "body_too_large", message)
 }
 
-/// Reads at most one byte more than `max`.
+/// Reads at most `max + 1` bytes, so that the caller can detect a body that is too large.
 async fn read_all(body: Body, max: usize) -> Result<Bytes, CallError> {
     let malformed = |_| CallError::malformed("the body broke off or isn't framed as the head says");
     let expected = body.len();
--- a/crates/daemon/src/filter/relay.rs
+++ b/crates/daemon/src/filter/relay.rs
@@ -1,7 +1,8 @@
-//! Passes an answer on to the caller, event by event or whole.
+//! Relays an answer to the caller, as events or as one document.
 //!
-//! The channel between the driver and the caller's connection is short, so that a slow caller
-//! slows only its own stream: the driver stops reading, and then the engine stops sending.
+//! The channel between the driver and the caller's connection is bounded, so that back-pressure
+//! from a slow caller slows only its own stream: the driver stops reading, and the engine stops
+//! sending.
 
 use std::{
     io,
@@ -17,36 +18,36 @@
 
 use crate::{error::CallError, filter::CompleteAnswer, record::CallRecord};
 
-/// Events that may wait for a slow caller. About a second of a fast model.
+/// Maximum number of events queued for a slow caller: about a second of a fast model's output.
 pub const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What a driver passes on.
+/// A message from a request's driver to the caller's connection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RelayMessage {
-    /// The content of one event.
+    /// The data of one server-sent event.
     Event(Bytes),
-    /// Every event was passed on.
+    /// All events have been sent.
     Done,
-    /// The whole answer.
+    /// The complete answer, for callers that didn't ask for a stream.
     Complete(CompleteAnswer),
-    /// There won't be a whole answer.
+    /// The request failed; no complete answer follows.
     Failed(CallError),
 }
 
-/// A body of server-sent events. It ends well only after [`Reply::Done`] or [`Reply::Failed`];
-/// where the driver is gone without either, reading fails and the connection is cut, so that an
-/// answer that isn't whole never looks whole.
+/// A body of server-sent events. It ends normally only after [`RelayMessage::Done`] or
+/// [`RelayMessage::Failed`]. Where the driver ends without either, reading fails and the connection
+/// is cut, so that a truncated answer never looks complete.
 #[derive(Debug)]
 pub struct EventBody {
     messages: Pin<Box<Receiver<RelayMessage>>>,
     frame: Bytes,
     ended: bool,
-    // Keeps a stopping instance from closing before the last byte is read.
+    // Keeps a stopping instance from exiting before the last byte is read.
     _record: Arc<CallRecord>,
 }
 
 impl EventBody {
-    /// A body that begins with `first` and goes on with `replies`.
+    /// A body that starts with `first`, followed by `messages`.
     pub fn new(
         first: &RelayMessage,
         messages: Receiver<RelayMessage>,
@@ -73,7 +74,7 @@
     }
 }
 
-/// One server-sent event.
+/// Encodes one server-sent event. Each line of `data` gets a `data:` field of its own.
 pub fn encode_event(event: Option<&str>, data: &[u8]) -> Bytes {
     let mut buf = BytesMut::with_capacity(data.len() + 32);
     if let Some(event) = event {
--- a/crates/daemon/src/filter/scan.rs
+++ b/crates/daemon/src/filter/scan.rs
@@ -1,5 +1,5 @@
-//! Finds the few members of a completion's body that the daemon needs, without building the whole
-//! tree and without a copy of the prompt: a million tokens are several megabytes.
+//! Extracts the few members of a completion's body that the daemon needs, without building a JSON
+//! tree and without copying the prompt: a million tokens are several megabytes.
 
 use std::fmt;
 
@@ -15,24 +15,24 @@
 
 use crate::filter::text;
 
-/// What a completion asks for.
+/// The members of a completion's body that the daemon evaluates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScannedBody {
-    /// The `model` member.
+    /// The `model` member, not yet validated.
     pub model: String,
-    /// The `stream` member.
+    /// The `stream` member; false where absent.
     pub stream: bool,
     /// The `max_tokens` or `max_completion_tokens` member.
     pub max_output: Option<Tokens>,
-    /// Size and identity of the prompt.
+    /// Estimated size and hashes of the prompt.
     pub prompt: HashedPrompt,
 }
 
-/// Scans a body. `prompt_member` is `prompt` or `messages`.
+/// Scans a JSON body whose prompt is in `prompt_member`.
 ///
 /// # Errors
 ///
-/// A sentence that names member, line and column.
+/// A message that names the member, or line and column of the syntax error.
 pub fn scan(body: &[u8], prompt_member: PromptMember) -> Result<ScannedBody, String> {
     let members: Members<'_> =
         serde_json::from_slice(body).map_err(|e| format!("the body can't be read: {e}"))?;
@@ -58,7 +58,7 @@
     })
 }
 
-/// Which member holds the prompt.
+/// The member that holds the prompt, which depends on the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromptMember {
     /// `prompt`, a string.
@@ -148,7 +148,7 @@
     }
 }
 
-/// Reads a member that may be null and may stand only once: of two, the engine might heed the
+/// Reads a member that may be null. Duplicate members are refused, because the engine might use the
 /// other one.
 fn read_once<'de, T: Deserialize<'de>, A: MapAccess<'de>>(
     slot: &mut Option<T>,
--- a/crates/daemon/src/filter/text.rs
+++ b/crates/daemon/src/filter/text.rs
@@ -1,5 +1,5 @@
-//! Feeds the text of raw JSON strings to the hasher, piece by piece, so that a prompt of several
-//! megabytes is never held a second time, whatever it escapes.
+//! Hashes the decoded text of raw JSON strings incrementally, so that a prompt of several megabytes
+//! is never copied, even where it contains escapes.
 
 use policy::prompt::PromptHasher;
 use serde::{
@@ -8,11 +8,11 @@
 };
 use serde_json::value::RawValue;
 
-/// Feeds a raw JSON string.
+/// Hashes the decoded text of a raw JSON string.
 ///
 /// # Errors
 ///
-/// A sentence that says what was found instead of a string.
+/// A message that names the type found instead of a string, or the malformed escape.
 pub(super) fn hash_string(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
     let inner = raw.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
     let mut rest = inner.ok_or_else(|| format!("expected a string, found {}", json_type(raw)))?;
@@ -24,7 +24,8 @@
     Ok(())
 }
 
-/// Feeds what an escape stands for and gives the text behind it.
+/// Hashes the character that an escape stands for and returns the text after the escape. `rest`
+/// starts behind the backslash.
 fn hash_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
     let truncated = || "an escape breaks off".to_owned();
     let unescaped = match rest.as_bytes().first().ok_or_else(truncated)? {
@@ -40,7 +41,8 @@
     rest.get(1..).ok_or_else(truncated)
 }
 
-/// Feeds `uXXXX`, or a pair of surrogates written as two of them.
+/// Hashes `uXXXX`, or a surrogate pair written as two such escapes. Unpaired surrogates are hashed
+/// as the replacement character.
 fn hash_unicode_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
     let unit = |text: &str| text.get(1..5).and_then(|hex| u16::from_str_radix(hex, 16).ok());
     let first = unit(rest).ok_or("an escape isn't four hexadecimal digits")?;
@@ -71,11 +73,11 @@
     }
 }
 
-/// Feeds the text of every message of a raw JSON array.
+/// Hashes the text of every message of a raw JSON array.
 ///
 /// # Errors
 ///
-/// A sentence that names the message and what is wrong with it.
+/// A message that gives the index of the malformed message and the reason.
 pub(super) fn hash_messages(raw: &str, hasher: &mut PromptHasher) -> Result<(), String> {
     let messages: Vec<MessageContent<'_>> = serde_json::from_str(raw).map_err(|e| e.to_string())?;
     for (index, message) in messages.iter().enumerate() {
@@ -91,11 +93,11 @@
     }
     let parts: Vec<MessageContent<'_>> =
         serde_json::from_str(content.get()).map_err(|e| e.to_string())?;
-    // Parts that aren't text, such as images, count nothing here; the engine counts them.
+    // Only text parts are counted; the engine counts others, such as images.
     parts.iter().filter_map(|part| part.text).try_for_each(|text| hash_string(text.get(), hasher))
 }
 
-/// The text of a message or of a part of one, unread.
+/// The raw text of a message (`content`) or of a content part (`text`).
 #[derive(Default)]
 struct MessageContent<'a> {
     content: Option<&'a RawValue>,
--- a/crates/daemon/src/filter/workspace.rs
+++ b/crates/daemon/src/filter/workspace.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by its bearer key.
+//! Identifies the workspace of a request by its bearer key.
 
 use std::sync::Arc;
 
@@ -12,26 +12,26 @@
     shared::Shared,
 };
 
-/// A request whose workspace is known. This comes before the body is read, so that nobody without
-/// a key can make an instance hold megabytes.
+/// A request whose workspace has been identified. This precedes reading the body, so that callers
+/// without a valid key can't make an instance buffer megabytes.
 #[derive(Debug)]
 pub struct IdentifiedRequest {
-    /// The request.
+    /// The request, with its body unread.
     pub parsed: ParsedRequest,
-    /// Whose it is.
+    /// The workspace that its key belongs to.
     pub workspace: Workspace,
-    /// The configuration it began with.
+    /// The configuration in force when the request was identified.
     pub active: Arc<ActiveConfig>,
 }
 
-/// Finds the workspace.
+/// The filter that identifies the workspace.
 pub struct Identify<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Identify<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Identify { shared, next }
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// The key of `Authorization: Bearer`, if any.
+/// The key from `Authorization: Bearer`; `None` for other schemes.
 pub fn bearer(req: &Request) -> Option<String> {
     let (scheme, key) = text_header(req, "authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -1,7 +1,7 @@
-//! Tells in the log when an instance becomes ready, and what it waits for until then.
+//! Logs when an instance becomes ready, and what it waits for until then.
 //!
-//! Guards against a start that fails without a reason: an instance that isn't ready in time looks
-//! the same whether it hears nothing of the log, of its peers or of an endpoint.
+//! Guards against starts that fail without a visible reason: an instance that isn't ready in time
+//! looks the same whether the log, its peers or an endpoint doesn't answer.
 
 use std::{
     sync::Weak,
@@ -12,13 +12,13 @@
 
 use crate::shared::{Shared, UnreadyReason};
 
-/// Time between two looks.
+/// Interval between two readiness checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When it is told first what the instance waits for; then each time after twice as long.
+/// Time after the start of the first `not_ready` warning; it doubles with each further one.
 const FIRST_WARNING_AFTER: Duration = Duration::from_secs(1);
 
-/// Watches a start to its end.
+/// Runs until the instance is ready or stops.
 pub(crate) async fn watch(shared: Weak<Shared>) {
     let started = Instant::now();
     let mut next_warning_after = FIRST_WARNING_AFTER;
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -1,4 +1,4 @@
-//! One request's entry in the log and the metrics, written when the last part of it has ended.
+//! A request's log entry and metrics, written when the last task that works on it has ended.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,42 +6,42 @@
 
 use crate::{clock::Clock, endpoint::lock, metrics::Metrics};
 
-/// What is known of a request by now.
+/// The data of a request's log entry, filled in as the request proceeds.
 #[derive(Debug, Clone)]
 pub struct RequestSummary {
-    /// The request's id as the caller sees it.
+    /// The value of `x-request-id`, the caller's or a generated one.
     pub request_id: String,
-    /// Whose it is, once known.
+    /// The caller's workspace, once identified.
     pub workspace: Option<Workspace>,
-    /// Where it belongs, once known.
+    /// The deployment that serves the request, once known.
     pub deployment: Option<Deployment>,
-    /// Its estimated prompt, or the engine's count once that is known.
+    /// The prompt's estimated length; zero for plain services.
     pub prompt: Tokens,
-    /// Tokens passed on.
+    /// Number of tokens received from engines, each counted once.
     pub output: Tokens,
-    /// Attempts begun.
+    /// Number of runs started on endpoints.
     pub attempts: u32,
-    /// Where the last attempt ran.
+    /// The endpoint of the last attempt.
     pub endpoint: Option<EndpointId>,
-    /// Why the last failed attempt failed.
+    /// The cause of the last failed attempt.
     pub last_failure: Option<FailCause>,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first_token: Option<Time>,
-    /// HTTP status of the answer; zero where the caller hung up before there was one.
+    /// HTTP status of the answer; zero if the caller hung up before there was one.
     pub status: u16,
-    /// `finished`, or the error's code.
+    /// `finished`, another end such as `hung_up`, or the code of the error.
     pub outcome: &'static str,
-    /// Whether it was run.
+    /// Whether the request ran on an endpoint.
     pub ran: RunStatus,
 }
 
-/// Follows one request. It is shared by all that work on the request; the last of them to let go
-/// of it writes the entry.
+/// Collects the data of one request. All tasks that work on the request share the record; dropping
+/// the last reference writes the log entry and the metrics.
 #[derive(Debug)]
 pub struct CallRecord {
-    /// The request's number in this instance's life.
+    /// The request's number, unique within this incarnation of the instance.
     pub id: RequestId,
-    /// When its head had come in.
+    /// When the head had been received.
     pub arrived: Time,
     clock: Clock,
     metrics: Arc<Metrics>,
@@ -50,8 +50,8 @@
 }
 
 impl CallRecord {
-    /// The record of a request that came in just now. It holds `open` for as long as the request
-    /// is under way.
+    /// The record of a request that has just arrived. It keeps `open` until the request has ended,
+    /// so that the instance can count its requests in flight.
     pub fn new(
         id: RequestId,
         request_id: String,
@@ -78,12 +78,12 @@
         CallRecord { id, arrived, clock, metrics, summary: Mutex::new(summary), _open: open }
     }
 
-    /// The request's id as the caller sees it.
+    /// The value of `x-request-id`.
     pub fn request_id(&self) -> String {
         lock(&self.summary).request_id.clone()
     }
 
-    /// Adds to what is known.
+    /// Updates the data under the record's lock.
     pub fn update(&self, change: impl FnOnce(&mut RequestSummary)) {
         change(&mut lock(&self.summary));
     }
