--- a/crates/daemon/src/peer/compact.rs
+++ b/crates/daemon/src/peer/compact.rs
@@ -1,9 +1,10 @@
-//! Load as it goes over a link: each name once, then its number.
+//! Compact encoding of load digests: each name is sent once per link and referred to by an index
+//! afterwards.
 //!
-//! A name of 20 characters and an incarnation are half of an entry's 58 bytes, and they hardly
-//! ever change. With numbers an entry takes some 22 bytes, so that the same budget tells more than
-//! twice as much. Both ends count the names in the order in which they are sent, which a stream
-//! keeps; a new link begins with none.
+//! A name of 20 characters and an incarnation take up half of an entry's 58 bytes and hardly ever
+//! change. With indices an entry takes some 22 bytes, so the same budget carries more than twice as
+//! many entries. Both ends number the names in the order in which they are sent, which a stream
+//! preserves; a new link starts with no names.
 
 use std::hash::Hash;
 
@@ -18,28 +19,29 @@
 
 use crate::peer::message::{Hello, PacketError};
 
-/// The most names of one kind that get a number on one link: more than twice the endpoints of the
-/// long-run sizes. Further ones are spelled out each time.
+/// Names of one kind that get an index on a link: more than twice the endpoints of the long-run
+/// sizes. Further names are sent in full each time.
 const MAX_INTERNED_NAMES: usize = 8_192;
 
-/// Number of a name that got none.
+/// Index of a name that isn't interned, because the table is full.
 const NOT_INTERNED: u32 = u32::MAX;
 
-/// A name on the wire, spelled out where it is mentioned first.
+/// A name on the wire: its index, and the name itself where it is sent for the first time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct InternedName<T> {
     number: u32,
     value: Option<T>,
 }
 
-/// One life of an endpoint; what most entries are about.
+/// An endpoint with its incarnation; interned as one, because most entries refer to this pair.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct EndpointIncarnation {
     endpoint: EndpointId,
     incarnation: Incarnation,
 }
 
-/// [`LoadDigest`] without what both ends know.
+/// [`LoadDigest`] with interned names, and without the sender's name and incarnation, which the
+/// receiver knows from the link's hello.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct CompactLoad {
     deployment: InternedName<Deployment>,
@@ -73,7 +75,7 @@
     served: f32,
 }
 
-/// The sending end's names.
+/// Names interned so far by the sending end of a link.
 #[derive(Debug, Default)]
 pub(super) struct LoadEncoder {
     deployments: IndexSet<Deployment>,
@@ -134,7 +136,7 @@
     InternedName { number: u32::try_from(index).unwrap_or(NOT_INTERNED), value: Some(value) }
 }
 
-/// The receiving end's names.
+/// Names interned so far by the receiving end of a link.
 #[derive(Debug, Default)]
 pub(super) struct LoadDecoder {
     deployments: Vec<Deployment>,
@@ -142,7 +144,7 @@
     workspaces: Vec<Workspace>,
 }
 
-/// A part of a peer's load in one deployment.
+/// A part of an instance's load digest for one deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct LoadPart {
     pub(super) deployment: Deployment,
@@ -150,11 +152,11 @@
 }
 
 impl LoadDecoder {
-    /// Puts back what the sender, whose `hello` opened the link, left out.
+    /// Restores the names; `hello` opened the link and identifies the sender.
     ///
     /// # Errors
     ///
-    /// [`PacketError::Malformed`] where a number has no name, or a name the wrong number.
+    /// [`PacketError::Malformed`] if an index has no name, or a new name an unexpected index.
     pub(super) fn expand(
         &mut self,
         hello: &Hello,
--- a/crates/daemon/src/peer/count.rs
+++ b/crates/daemon/src/peer/count.rs
@@ -1,4 +1,4 @@
-//! Counts what a mesh sends and receives.
+//! Traffic counters of a mesh.
 
 use std::{
     io,
@@ -14,7 +14,7 @@
 
 use crate::peer::Traffic;
 
-/// The counters of one mesh.
+/// Counters shared by all links of a mesh.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     sent_bytes: AtomicU64,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// Wraps a stream and counts the bytes read and written.
 pub(super) struct CountedStream<S> {
     pub(super) stream: S,
     pub(super) counters: Arc<Counters>,
--- a/crates/daemon/src/peer/dial.rs
+++ b/crates/daemon/src/peer/dial.rs
@@ -1,4 +1,4 @@
-//! Links dialled from here.
+//! Outgoing links: which addresses to dial, and when.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,20 +16,20 @@
     state::{LinkRejection, State},
 };
 
-/// The first pause after a dial that failed, and after a link that ended.
+/// Delay before the next dial after a link that ended; doubles with each failed dial.
 const MIN_REDIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// No pause is longer. An instance that comes back is linked within this time.
+/// Upper bound of the redial delay. An instance that comes back is linked within this time.
 const MAX_REDIAL_DELAY: Duration = Duration::from_secs(5);
 
-/// An address where another instance listens, or did.
+/// Address where another instance listens, or did.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Target {
-    /// Who was dial_outcome there, or is said to be there.
+    /// Instance that answered at this address, or that is listed with it.
     pub(super) instance: Option<InstanceId>,
-    /// Whether the settings name it. Such a target is never forgotten.
+    /// Whether the settings name this address. Such a target is never removed.
     pub(super) is_seed: bool,
-    /// Whether it turned out to be this instance itself.
+    /// Whether the address turned out to be this instance's own.
     is_this_instance: bool,
     is_dialling: bool,
     failures: u32,
@@ -41,8 +41,8 @@
         !self.is_this_instance && !self.is_dialling && self.next_dial_at <= now
     }
 
-    /// Half of the pause is drawn, so that instances that lost each other in the same moment
-    /// don't dial in the same moment for ever.
+    /// Schedules the next dial after a delay of which half is random, so that instances that lost
+    /// each other at the same moment don't keep dialling each other simultaneously.
     fn schedule_next_dial(&mut self, now: Time, rng: &mut Rng) {
         let delay =
             MIN_REDIAL_DELAY.saturating_mul(1 << self.failures.min(8)).min(MAX_REDIAL_DELAY);
@@ -51,7 +51,8 @@
 }
 
 impl State {
-    /// The addresses to dial now; they count as being dialled until [`State::record_dial`].
+    /// Returns the addresses to dial now, and marks them as being dialled until
+    /// [`State::record_dial`].
     pub(super) fn take_due(&mut self, now: Time) -> Vec<SocketAddr> {
         let State { targets, links, wanted, .. } = self;
         let needs_dial = |instance: &Option<InstanceId>| match instance {
@@ -68,7 +69,7 @@
             .collect()
     }
 
-    /// Takes note of who listens at an address.
+    /// Records which instance answered at an address.
     fn record_instance_at(&mut self, address: SocketAddr, instance: &InstanceId) {
         if let Some(target) = self.targets.get_mut(&address) {
             target.instance = Some(instance.clone());
@@ -93,7 +94,7 @@
     }
 }
 
-/// Whom a dial dial_outcome.
+/// Result of a dial.
 enum DialOutcome {
     Peer,
     ThisInstance,
@@ -112,7 +113,7 @@
         }
     };
     let now = shared.now();
-    // The jitter only has to differ between instances.
+    // The jitter only has to differ between instances, so the seed needs no entropy.
     let mut rng = Rng::with_seed(shared.local.incarnation.0 ^ now.0);
     shared.lock().record_dial(address, dial_outcome, now, &mut rng);
 }
@@ -122,7 +123,8 @@
     let stream = within_hello_timeout(TcpStream::connect(address))
         .await
         .map_err(|_| connection_closed(()))?;
-    // Without it small packets wait for acknowledgements; a socket that refuses is just slower.
+    // Without TCP_NODELAY small packets wait for acknowledgements. If it can't be set, the link is
+    // only slower.
     stream.set_nodelay(true).ok();
     let stream = CountedStream { stream, counters: shared.traffic.clone() };
     let handshake = within_hello_timeout(h2::client::handshake(stream.compat()));
@@ -151,7 +153,7 @@
         .await;
     };
     let drive_connection = async {
-        // How the connection ends shows in its stream.
+        // The error is ignored: the end of the connection also ends the link's stream.
         connection.await.ok();
     };
     run_with_connection(run_link, drive_connection).await;
--- a/crates/daemon/src/peer/flood.rs
+++ b/crates/daemon/src/peer/flood.rs
@@ -1,15 +1,16 @@
-//! Messages for all, taken in once and passed on between data centres.
+//! Deduplicates fleet-wide messages, which gateways forward between data centres.
 
 use indexmap::IndexMap;
 use policy::{Incarnation, InstanceId};
 
 use crate::peer::message::Origin;
 
-/// The most origins remembered; several times the instances of the long-run sizes.
+/// Origins to remember; several times the instances of the long-run sizes.
 const MAX_ORIGINS: usize = 2_048;
 
-/// Which messages for all were taken in already. Two gateways pass each on, and the copies may
-/// come in any order, so a window behind the newest number of each origin is kept.
+/// Remembers which fleet-wide messages have been received. Two gateways forward each message and
+/// the copies may arrive in any order, so a window of numbers up to the newest one is kept for each
+/// origin.
 #[derive(Debug, Default)]
 pub(super) struct FloodFilter {
     origins: IndexMap<InstanceId, Window>,
@@ -20,20 +21,20 @@
 struct Window {
     incarnation: Incarnation,
     newest: u64,
-    /// Bit n stands for the number `newest - n`.
+    /// Bit n is set if the number `newest - n` has been received.
     seen_bits: u64,
 }
 
 impl FloodFilter {
-    /// The number of this instance's next message.
+    /// Returns the number for this instance's next message.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_own_number += 1;
         self.last_own_number
     }
 
-    /// Whether the message is new; it counts as taken in afterwards. One that is so late that the
-    /// window has passed it counts as old: what is told to all is a level, and newer ones of the
-    /// same origin have come since.
+    /// Records a message, and returns whether it is new. A message older than the window counts as
+    /// received: fleet-wide messages carry a state rather than a change, and newer ones from the
+    /// same origin have arrived since.
     pub(super) fn insert(&mut self, origin: &Origin) -> bool {
         if !self.origins.contains_key(&origin.instance) && self.origins.len() >= MAX_ORIGINS {
             self.origins.shift_remove_index(0);
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Packets on an h2 stream: a length, then that many bytes.
+//! Packets on an HTTP/2 stream: a 4-byte big-endian length, then that many bytes.
 
 use std::{fmt, future::poll_fn};
 
@@ -7,12 +7,12 @@
 
 use crate::peer::message::{LENGTH_PREFIX_BYTES, MAX_PACKET_BYTES, Packet, PacketError, decode};
 
-/// Why a link ended.
+/// Why a packet couldn't be received or sent.
 #[derive(Debug)]
 pub(super) enum FrameError {
-    /// The connection broke or the other end closed it.
+    /// The connection failed, or the other end closed it.
     Closed,
-    /// What came was no packet.
+    /// The received bytes aren't a valid packet.
     Packet(PacketError),
 }
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// Reads packets. Holds at most one packet and one h2 frame, as the flow-control window is given
-/// back only for what was taken in.
+/// Reads packets. Buffers at most one packet and one HTTP/2 frame; flow-control capacity is
+/// released only for data that has been read.
 pub(super) struct FrameReader {
     stream: RecvStream,
     buf: BytesMut,
@@ -49,7 +49,7 @@
         FrameReader { stream, buf: BytesMut::new() }
     }
 
-    /// The next packet; none where the other end closed the stream between packets.
+    /// Returns the next packet, or `None` if the other end closed the stream between packets.
     pub(super) async fn next(&mut self) -> Result<Option<Packet>, FrameError> {
         loop {
             if let Some(packet) = self.take_packet()? {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Writes packets, never more than the other end has room for: `send_data` alone would buffer
-/// without bound for a peer that reads slowly.
+/// Writes packets, and waits for flow-control capacity: `send_data` alone would buffer without
+/// bound for a peer that reads slowly.
 pub(super) struct FrameWriter {
     stream: SendStream<Bytes>,
 }
@@ -105,9 +105,9 @@
         Ok(())
     }
 
-    /// Ends this direction after all that was sent.
+    /// Closes the sending direction after everything that was sent.
     pub(super) fn finish(&mut self) {
-        // The link is at its end; one that is broken already has nothing to be told.
+        // An error means that the stream is broken already; the link ends in either case.
         self.stream.send_data(Bytes::new(), true).ok();
     }
 }
--- a/crates/daemon/src/peer/handle.rs
+++ b/crates/daemon/src/peer/handle.rs
@@ -1,4 +1,4 @@
-//! What the instance asks of its mesh.
+//! The operations behind [`crate::peer::PeerMesh`].
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -43,7 +43,7 @@
         self.push(&mut state, std::slice::from_ref(instance), &packet).map_err(|_| NotLinked)
     }
 
-    /// Queues a packet on the links to these instances. A link whose queue is full is ended.
+    /// Queues a packet on the links to these instances. A link whose queue is full is dropped.
     pub(super) fn push(
         &self,
         state: &mut State,
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn share_load(&self, deployment: &Deployment, digest: LoadDigest) {
-        // The other end takes load on a link for that of the life at this end.
+        // The receiver attributes load on a link to the incarnation in the link's hello.
         if digest.instance != self.local.instance || digest.incarnation != self.local.incarnation {
             log::error!(instance = digest.instance.as_str(); "load_of_another_life_not_told");
             return;
@@ -87,16 +87,18 @@
         }
     }
 
-    /// Bytes a second for one deployment's load on one link: the instance's whole budget, divided
-    /// among all links and deployments, so that the cost of control doesn't grow with the fleet.
+    /// Budget in bytes per second for one deployment's load on one link: the instance's budget
+    /// divided by links and deployments, so that the cost of control traffic doesn't grow with the
+    /// fleet.
     fn load_budget(&self, state: &State) -> u32 {
         let links = state.links.values().filter(|link| self.sends_load_to(link)).count().max(1);
         let shares = links * state.loads.len().max(1);
         self.load_bytes_per_second / u32::try_from(shares).unwrap_or(u32::MAX)
     }
 
-    /// In a fleet with gateways, load stays within the data centre: what another one's instances
-    /// have under way here shows in the endpoints' own reports.
+    /// Whether to send load digests over a link. In a fleet with gateways they stay within the data
+    /// centre: the work that instances of other data centres have here shows in the endpoints' own
+    /// load reports.
     pub(super) fn sends_load_to(&self, link: &Link) -> bool {
         self.is_full_mesh() || link.hello.data_centre == self.local.data_centre
     }
@@ -107,7 +109,7 @@
         let mut state = self.lock();
         let mut list_entries = Vec::new();
         for listed in entries {
-            // A name that is no instance id can't be one of ours.
+            // A name that isn't a valid instance id can't belong to this fleet.
             let Ok(instance) = InstanceId::new(&listed.name) else { continue };
             if instance != self.local.instance {
                 state.add_target(listed.address, Some(instance.clone()));
@@ -122,7 +124,7 @@
         self.choose_links(&mut state);
     }
 
-    /// Chooses anew which instances to have links with.
+    /// Recomputes which instances to have links with.
     pub(super) fn choose_links(&self, state: &mut State) {
         let full_mesh = state.choose_links(&self.local);
         self.full_mesh.store(full_mesh, Ordering::Relaxed);
@@ -132,7 +134,7 @@
         let mut state = self.lock();
         state.leaving = true;
         let links: Vec<InstanceId> = state.links.keys().cloned().collect();
-        // A heartbeat is never too long.
+        // A heartbeat never exceeds the packet limit.
         self.push(&mut state, &links, &Packet::Heartbeat { leaving: true }).ok();
     }
 
@@ -164,20 +166,20 @@
     pub(super) fn send_goodbye(&self) {
         let mut state = self.lock();
         let links: Vec<InstanceId> = state.links.keys().cloned().collect();
-        // A goodbye is never too long.
+        // A goodbye never exceeds the packet limit.
         self.push(&mut state, &links, &Packet::Goodbye).ok();
         state.links.values().for_each(|link| link.outbox.finish());
         state.targets.clear();
     }
 
-    /// Whether any connection is open; each holds the counters.
+    /// Whether any connection is open. Each connection holds a reference to the counters.
     pub(super) fn has_connections(&self) -> bool {
         Arc::strong_count(&self.traffic) > 1
     }
 }
 
 impl State {
-    /// Drops what is known of instances that are dead and unlisted.
+    /// Removes the data of instances that are dead and not listed.
     fn forget_unlisted(&mut self, list_entries: &[ListEntry<InstanceId>], now: policy::Time) {
         let State { members, data_centres, targets, .. } = self;
         let listed: IndexSet<&InstanceId> =
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One link, from its hello to its end.
+//! The lifetime of a link: handshake, registration, reading and writing, and its end.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -19,11 +19,11 @@
     state::{Link, LinkRejection, State},
 };
 
-/// How long a replaced link is still read: the other end takes up the new link within this time,
-/// and until then goes on writing to the old one.
+/// How long a replaced link is still read: the other end switches to the new link within this time,
+/// and keeps writing to the old one until then.
 const LINGER_DURATION: Duration = HELLO_TIMEOUT;
 
-/// The id of all links that aren't kept.
+/// Id of links that aren't registered; registered ids start at 1.
 const UNREGISTERED_LINK_ID: u64 = 0;
 
 /// Both directions of a new stream between two instances.
@@ -34,37 +34,37 @@
     pub(super) dialled: bool,
 }
 
-/// Why a link didn't come about.
+/// Why a link wasn't established.
 #[derive(Debug)]
 pub(super) enum HandshakeError {
-    /// The other end closed, or sent what is no packet.
+    /// The other end closed the stream, or sent an invalid packet.
     Frame(FrameError),
-    /// The other end began with something else than a hello.
+    /// The first packet wasn't a hello, or didn't arrive within the timeout.
     MissingHello,
-    /// The other end speaks another protocol.
+    /// The other end uses this protocol version, which differs from [`PROTOCOL_VERSION`].
     UnsupportedProtocol(u32),
-    /// The link isn't wanted.
+    /// The link was rejected after the hello.
     Rejected(LinkRejection),
 }
 
 impl fmt::Display for HandshakeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HandshakeError::Frame(err) => write!(f, "no hello came: {err}"),
+            HandshakeError::Frame(err) => write!(f, "no hello was received: {err}"),
             HandshakeError::MissingHello => {
-                write!(f, "the other end didn't begin with a hello in time")
+                write!(f, "the other end sent no hello within the timeout")
             }
             HandshakeError::UnsupportedProtocol(theirs) => {
-                write!(f, "the other end speaks protocol {theirs}, not {PROTOCOL_VERSION}")
+                write!(f, "the other end uses protocol version {theirs}, not {PROTOCOL_VERSION}")
             }
             HandshakeError::Rejected(LinkRejection::SelfConnection) => {
-                write!(f, "it leads back to this instance")
+                write!(f, "the address belongs to this instance")
             }
             HandshakeError::Rejected(LinkRejection::StaleIncarnation) => {
-                write!(f, "the other end's life is known to have been replaced")
+                write!(f, "the other end is an incarnation that has been replaced")
             }
             HandshakeError::Rejected(LinkRejection::Duplicate) => {
-                write!(f, "the other end's own link is kept instead")
+                write!(f, "the link that the other end dialled is kept instead")
             }
         }
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Says hello and waits for the other end's.
+/// Sends a hello and waits for the reply.
 pub(super) async fn start_handshake(
     local: &Hello,
     streams: &mut Streams,
@@ -85,8 +85,8 @@
     receive_hello(streams).await
 }
 
-/// Waits for the hello of the end that dialled, and says one unless that is a life which has been
-/// replaced: it would take the link as standing until it learned of its end.
+/// Waits for the hello of the dialling end and replies to it. A stale incarnation gets no reply: it
+/// would consider the link established until it saw the link end.
 pub(super) async fn accept_handshake(
     shared: &Shared,
     streams: &mut Streams,
@@ -112,11 +112,11 @@
     }
 }
 
-/// Runs a greeted link until it ends.
+/// Runs a link after its handshake until it ends.
 ///
 /// # Errors
 ///
-/// [`HandshakeError::Rejected`] where the link isn't wanted.
+/// [`HandshakeError::Rejected`] if the link isn't kept.
 pub(super) async fn run(
     shared: &Arc<Shared>,
     hello: Hello,
@@ -127,7 +127,8 @@
         Ok(registered) => registered,
         Err(rejected) => {
             if rejected == LinkRejection::Duplicate {
-                // The other end took this link up before it heard of the one that is kept.
+                // The other end may have sent messages on this link before it learned which one is
+                // kept.
                 let peer = Peer { link_id: UNREGISTERED_LINK_ID, hello };
                 or(read(shared, &peer, &mut reader), linger()).await;
             }
@@ -140,7 +141,7 @@
     let reading = read(shared, &peer, &mut reader);
     let writing = write(&outbox, writer);
     let stopped = async {
-        // Nothing is ever sent; this ends when the link is taken out of the table.
+        // Nothing is ever sent on this channel; it closes when the link is removed from the table.
         stop.recv().await.ok();
         linger().await
     };
@@ -150,7 +151,7 @@
     Ok(())
 }
 
-/// The time for which a link that another one takes the place of is still read.
+/// Waits for as long as a replaced link is still read.
 async fn linger() -> End {
     Timer::after(LINGER_DURATION).await;
     End::Replaced
@@ -159,17 +160,17 @@
 /// How a link ended.
 #[derive(Debug)]
 enum End {
-    /// The peer closed it, or the connection broke.
+    /// The peer closed it, or the connection failed.
     Closed,
-    /// It was silent, fell behind, or another link took its place.
+    /// It was silent, its queue overflowed, or another link replaced it.
     Replaced,
-    /// This side has said all it had to say.
+    /// This side sent everything and closed the link.
     Finished,
-    /// The peer sent what makes no sense.
+    /// The peer sent invalid data, or a load digest couldn't be encoded.
     Nonsense,
 }
 
-/// Who is at the other end of which link.
+/// A link's id and the hello of its other end.
 struct Peer {
     link_id: u64,
     hello: Hello,
@@ -190,7 +191,7 @@
     let mut state = shared.lock();
     state.check_link(&shared.local.instance, hello, dialled, now)?;
     let events = state.record_linked(hello, now);
-    // An instance that listens on all its addresses can't say which of them others reach.
+    // An instance that listens on all its addresses doesn't know which of them others can reach.
     if !hello.address.ip().is_unspecified() {
         state.add_target(hello.address, Some(hello.instance.clone()));
     }
@@ -222,7 +223,7 @@
     state.links.insert(hello.instance.clone(), link);
     if state.leaving {
         let packet = Packet::Heartbeat { leaving: true };
-        // A heartbeat is never too long.
+        // A heartbeat never exceeds the packet limit.
         shared.push(&mut state, std::slice::from_ref(&hello.instance), &packet).ok();
     }
     shared.choose_links(&mut state);
@@ -244,7 +245,8 @@
         let bytes = match encoded {
             Ok(bytes) => bytes,
             Err(err) => {
-                // The names of this part are lost to the other end, so the link has to begin anew.
+                // The encoder has interned names that the other end won't receive, so a new link is
+                // needed.
                 log::error!(error:% = err; "peer_load_not_sent");
                 return End::Nonsense;
             }
@@ -276,9 +278,9 @@
     }
 }
 
-/// Takes in a packet and says what the instance has to hear; none where the peer has no link any
-/// more, or a new life. On a link that another one of the same life has replaced, only messages
-/// count: load and heartbeats are told anew on the new link.
+/// Applies a packet and returns the events that result; `None` if the peer no longer has a link, or
+/// has a newer incarnation. On a link that another one of the same incarnation has replaced, only
+/// messages are applied: load and heartbeats are sent again on the new link.
 fn apply_packet(
     shared: &Shared,
     peer: &Peer,
@@ -346,13 +348,14 @@
 }
 
 impl Shared {
-    /// Whether all instances have links with all.
+    /// Whether every instance has a link to every other one.
     pub(super) fn is_full_mesh(&self) -> bool {
         self.full_mesh.load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// Passes a message for all on between data centres: what comes from another one goes to all
-    /// here, what comes from here goes to the others that this instance is a gateway to.
+    /// Forwards a fleet-wide message between data centres. A message from another data centre goes
+    /// to all linked instances in this one; a message from this one goes to the other data centres
+    /// that this instance is a gateway to.
     fn forward(&self, state: &mut State, peer: &Peer, packet: &Packet) {
         if self.is_full_mesh() {
             return;
@@ -368,7 +371,7 @@
             })
             .map(|(instance, _)| instance.clone())
             .collect();
-        // The packet came over a link, so it isn't too long for one.
+        // The packet arrived over a link, so it doesn't exceed the limit.
         self.push(state, &targets, packet).ok();
     }
 }
--- a/crates/daemon/src/peer/listen.rs
+++ b/crates/daemon/src/peer/listen.rs
@@ -1,4 +1,4 @@
-//! Links dialled by others.
+//! Incoming links.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,10 +14,11 @@
     shared::Shared,
 };
 
-/// The most links that may be in their hello at once; more would be a flood, not peers.
+/// Incoming links that may be in their handshake at once; more would be a flood rather than peers.
 const MAX_PENDING_HANDSHAKES: usize = 512;
 
-/// Pause after a failed accept, as when the process is out of file descriptors.
+/// Delay after a failed accept, as when the process is out of file descriptors. Also the time that
+/// a connection gets to flush its data after its link has ended.
 const RETRY_AND_FLUSH_DELAY: Duration = Duration::from_millis(100);
 
 pub(super) fn bind(address: SocketAddr) -> io::Result<Async<std::net::TcpListener>> {
@@ -32,7 +33,7 @@
                 let (mesh_shared, permit) = (shared.clone(), pending_handshakes.clone());
                 shared.spawn(serve(mesh_shared, stream.into(), permit));
             }
-            // Dropping the stream closes it.
+            // Dropping the stream closes the connection.
             Ok(_) => log::warn!("peer_accept_flood"),
             Err(err) => {
                 log::warn!(error:% = err; "peer_accept_failed");
@@ -43,7 +44,8 @@
 }
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream, permit: Arc<()>) {
-    // Without it small packets wait for acknowledgements; a socket that refuses is just slower.
+    // Without TCP_NODELAY small packets wait for acknowledgements. If it can't be set, the link is
+    // only slower.
     stream.set_nodelay(true).ok();
     let stream = CountedStream { stream, counters: shared.traffic.clone() };
     let Ok(mut connection) = within_hello_timeout(h2::server::handshake(stream.compat())).await
@@ -58,7 +60,7 @@
     let Ok(writer) = respond.send_response(http::Response::new(()), false) else {
         return;
     };
-    // The connection moves bytes only while it is polled; further streams on it are refused.
+    // The connection only makes progress while it is polled. Further streams on it are refused.
     let drive_connection = async { while let Some(Ok(_)) = connection.accept().await {} };
     let streams = Streams {
         reader: FrameReader::new(req.into_body()),
@@ -85,9 +87,9 @@
     link::run(shared, hello, streams).await
 }
 
-/// Runs a link beside the connection that carries it. A connection that breaks ends the link
-/// through its stream, so that the link can clean up. After the link's end the connection may
-/// still have bytes to send, and gets a moment for them.
+/// Runs a link concurrently with the connection that carries it. If the connection ends first, the
+/// link sees the end of its stream and can clean up. If the link ends first, the connection gets a
+/// short time to send what is left.
 pub(super) async fn run_with_connection(
     link: impl Future<Output = ()>,
     drive_connection: impl Future<Output = ()>,
@@ -108,8 +110,7 @@
     }
 }
 
-/// The future's output if it comes within [`HELLO_TIMEOUT`]; an error without content where it
-/// doesn't.
+/// Returns the future's output, or `Err(None)` if it isn't ready within [`HELLO_TIMEOUT`].
 pub(super) async fn within_hello_timeout<T, E>(
     future: impl Future<Output = Result<T, E>>,
 ) -> Result<T, Option<E>> {
--- a/crates/daemon/src/peer/message.rs
+++ b/crates/daemon/src/peer/message.rs
@@ -1,4 +1,5 @@
-//! What instances say to each other, and how it stands on the wire.
+//! Messages between instances and their encoding. Packets are encoded with bincode, by position, so
+//! fields and variants keep their order and types.
 
 use std::{fmt, net::SocketAddr};
 
@@ -10,66 +11,67 @@
 
 use crate::peer::compact::CompactLoad;
 
-/// The longest packet, in bytes. The largest content is a whole configuration: 3,600 endpoints and
-/// 2,300 workspaces are about 1 MB of JSON. A peer that claims more is broken or no peer at all,
-/// and nothing is allocated for it.
+/// Longest packet. The largest content is a complete configuration: 3,600 endpoints and 2,300
+/// workspaces are about 1 MB of JSON. A longer length prefix means that the peer is faulty or not a
+/// peer at all, and nothing is allocated for it.
 pub const MAX_PACKET_BYTES: usize = 4 << 20;
 
-/// Raised with each change of the packets that older instances can't read.
+/// Version of the packet format; raised with each change that older instances can't decode.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The first packet in each direction of a link.
+/// First packet in each direction of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The sender's [`PROTOCOL_VERSION`].
+    /// Protocol version of the sender, see [`PROTOCOL_VERSION`].
     pub protocol: u32,
-    /// Who is at this end.
+    /// Name of the sender.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Data centre of the sender.
     pub data_centre: DataCentre,
-    /// Where other instances connect to it.
+    /// Address that the sender listens on for other instances.
     pub address: SocketAddr,
 }
 
-/// What one instance tells or asks another.
+/// Message from one instance to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// An endpoint's state as seen by the sender. Told to all.
+    /// State of an endpoint as seen by the sender. Sent to the whole fleet.
     Endpoint(EndpointStateUpdate),
-    /// The version of the configuration in force at the sender. Told to those with a link when it
-    /// changes; each tells its own links once it has fetched it and put it in force, so that it
-    /// reaches all instances and everyone has a neighbour to fetch it from.
+    /// Version of the configuration in force at the sender. Sent to linked instances when it
+    /// changes; each of them sends it on to its own links once it has fetched the configuration and
+    /// put it in force. The version thus reaches all instances, and each has a neighbour to fetch
+    /// the configuration from.
     ConfigVersion(Version),
-    /// Asks for the configuration; answered by [`Message::Config`] if the version there is at
-    /// least this one.
+    /// Requests the configuration. A peer whose version is at least this one replies with
+    /// [`Message::Config`].
     ConfigWanted(Version),
-    /// A configuration. The content is opaque here and checked by its receiver.
+    /// A configuration. The content is opaque to the mesh; the receiver validates it.
     Config {
-        /// Its version.
+        /// Version of the configuration.
         version: Version,
-        /// Its content.
+        /// The configuration as JSON.
         content: Bytes,
     },
-    /// Asks for the sender's status; answered by [`Message::Status`].
+    /// Requests the receiver's status, which it sends as [`Message::Status`].
     StatusWanted {
-        /// Names the question.
+        /// Id of the request, to match the reply.
         query: u64,
     },
-    /// The answer to [`Message::StatusWanted`].
+    /// Reply to [`Message::StatusWanted`].
     Status {
-        /// The question.
+        /// Id of the request.
         query: u64,
-        /// The status as JSON, as it stands on the admin port.
+        /// The status as JSON, as served on the admin port.
         content: Bytes,
     },
-    /// The offset up to which the sender has read each ledger stream. Told to those with a link.
+    /// Offset up to which the sender has read each ledger stream. Sent to linked instances.
     LedgerRead(Vec<u64>),
 }
 
 impl Message {
-    /// Whether gateways pass the message on to data centres that the sender has no link to.
+    /// Whether gateways forward the message to data centres that the sender has no link to.
     pub fn is_fleet_wide(&self) -> bool {
         match self {
             Message::Endpoint(_) => true,
@@ -83,53 +85,53 @@
     }
 }
 
-/// An endpoint's state as one instance sees it.
+/// State of an endpoint as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointStateUpdate {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// The life that the news is about.
+    /// Incarnation of the endpoint that the state belongs to.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// The observed state.
     pub state: EndpointState,
 }
 
-/// Names a message on its way through gateways, so that each instance takes it in once.
+/// Identifies a forwarded message, so that each instance applies it once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Origin {
     pub(super) instance: InstanceId,
     pub(super) incarnation: Incarnation,
-    /// Counts the origin's messages from 1.
+    /// Sequence number of the origin's messages, starting at 1.
     pub(super) number: u64,
 }
 
-/// What goes over a link.
+/// A packet on a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum Packet {
     Hello(Hello),
-    /// A sign of life; sent when nothing else was for a while, and when `leaving` changes.
+    /// Sent when nothing else has been sent for a while, and when `leaving` changes.
     Heartbeat {
         leaving: bool,
     },
-    /// A part of the sender's load, see [`policy::digest`].
+    /// A part of the sender's load digest, see [`policy::digest`].
     Load(CompactLoad),
-    /// A message for the receiver alone.
+    /// A message that is not forwarded.
     Direct(Message),
-    /// A message for all.
+    /// A message that gateways forward to the whole fleet.
     Flood {
         origin: Origin,
         message: Message,
     },
-    /// The sender has stopped; its life is over.
+    /// The sender has stopped; its incarnation has ended.
     Goodbye,
 }
 
-/// Why a packet can't be read.
+/// Why a packet can't be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PacketError {
-    /// It is longer than [`MAX_PACKET_BYTES`].
+    /// The packet has this many bytes, more than [`MAX_PACKET_BYTES`].
     TooLong(usize),
-    /// Its bytes are no packet.
+    /// The bytes don't decode to a packet.
     Malformed,
     /// The stream ended within a packet.
     Truncated,
@@ -139,9 +141,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PacketError::TooLong(len) => {
-                write!(f, "the packet has {len} bytes, more than {MAX_PACKET_BYTES}")
+                write!(f, "the packet has {len} bytes, more than the limit of {MAX_PACKET_BYTES}")
             }
-            PacketError::Malformed => write!(f, "the bytes are no packet of this protocol"),
+            PacketError::Malformed => write!(f, "the bytes are not a valid packet"),
             PacketError::Truncated => write!(f, "the stream ended within a packet"),
         }
     }
@@ -149,11 +151,11 @@
 
 impl std::error::Error for PacketError {}
 
-/// The packet with its length before it, as it goes over the link.
+/// Encodes a packet with its length prefix.
 ///
 /// # Errors
 ///
-/// [`PacketError::TooLong`]; a packet's types can always be written.
+/// [`PacketError::TooLong`]. The packet types themselves can always be encoded.
 pub(super) fn encode(packet: &Packet) -> Result<Bytes, PacketError> {
     let mut buf = vec![0; LENGTH_PREFIX_BYTES];
     bincode::serde::encode_into_std_write(packet, &mut buf, bincode::config::standard())
@@ -167,8 +169,8 @@
     Ok(buf.into())
 }
 
-/// Reads a packet without its length. The limit keeps a length within the packet from allocating
-/// more than the packet could hold.
+/// Decodes a packet without its length prefix. The limit keeps a length inside the packet from
+/// causing an allocation larger than the packet could fill.
 pub(super) fn decode(bytes: &[u8]) -> Result<Packet, PacketError> {
     let config = bincode::config::standard().with_limit::<MAX_PACKET_BYTES>();
     match bincode::serde::decode_from_slice(bytes, config) {
@@ -177,5 +179,5 @@
     }
 }
 
-/// Bytes of the length before each packet.
+/// Size of the length prefix of each packet.
 pub(super) const LENGTH_PREFIX_BYTES: usize = 4;
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -1,12 +1,12 @@
-//! Links between instances: h2 streams that carry [`Message`]s, heartbeats and load.
+//! Links between instances: HTTP/2 streams that carry [`Message`]s, heartbeats and load digests.
 //!
-//! Every pair of instances that [`policy::topology`] joins has one link, dialled by either side.
-//! A link that is silent for [`LINK_SILENCE_TIMEOUT`] is dropped and made anew before anyone is judged
-//! dead, because open connections may go silent for good while new ones work; the judgement itself
-//! is [`policy::membership`]'s, which waits longer than a new connection takes. Queues towards
-//! peers are bounded: load that waits is merged, and a peer that doesn't keep up otherwise gets a
-//! new link, which begins with the whole state. `docs/decisions/membership.md` has the ways that
-//! were weighed and the measured costs.
+//! Every pair of instances that [`policy::topology`] selects has one link, which either side may
+//! dial. A link that has been silent for [`LINK_SILENCE_TIMEOUT`] is dropped and dialled again
+//! before its peer is considered dead, because an open connection may go silent for good while a
+//! new one works. [`policy::membership`] decides who is dead, and waits longer than a new
+//! connection takes. Send queues are bounded: load digests that wait are merged, and a peer that
+//! falls behind on anything else gets a new link, which starts with the complete state.
+//! `docs/decisions/membership.md` has the alternatives that were considered and the measured costs.
 
 mod compact;
 mod count;
@@ -47,135 +47,138 @@
 };
 use shared::Shared;
 
-/// A link without any sign of life for this long is dropped and dialled anew: three heartbeats.
+/// A link that has received nothing for this long is dropped and dialled again: three heartbeats.
 pub const LINK_SILENCE_TIMEOUT: Duration = policy::membership::SUSPECT_TIMEOUT;
 
-/// How long a new link may take until both sides have said hello.
+/// Timeout of each step in setting up a link: connecting, the HTTP/2 handshake, the exchange of
+/// hellos.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long [`PeerMesh::close`] waits for what is still queued.
+/// Longest time that [`PeerMesh::close`] waits for queued packets to be sent.
 pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Events that wait for their reader. When it is behind, links aren't read, and the peers' queues
+/// Capacity of the event channel. While it is full, links aren't read, so the peers' send queues
 /// fill instead.
-const MAX_EVENTS: usize = 1024;
+const MAX_QUEUED_EVENTS: usize = 1024;
 
-/// What a mesh needs to know at its start.
+/// Configuration of a [`PeerMesh`].
 pub struct PeerConfig {
     /// The name of this instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Data centre that this instance runs in.
     pub data_centre: DataCentre,
-    /// Where to listen for other instances.
+    /// Address to listen on for other instances.
     pub listen: SocketAddr,
-    /// Instances to try first, before the list of instances is read.
+    /// Addresses to dial before the platform's list of instances has been read.
     pub seeds: Vec<SocketAddr>,
-    /// Bytes a second that load digests may take on all links together.
+    /// Budget for load digests, in bytes per second, shared by all links.
     pub load_bytes_per_second: u32,
-    /// The origin of the instance's [`policy::Time`].
+    /// Origin of the instance's [`policy::Time`].
     pub origin: Instant,
-    /// Where the mesh's tasks run.
+    /// Executor that runs the tasks of the mesh.
     pub executor: Arc<Executor<'static>>,
 }
 
-/// Bytes a second of load digests, where nothing else is wanted. Heartbeats, names and the rare
-/// messages come on top; together they stay below the 3 KB a second that control may take.
+/// Usual value of [`PeerConfig::load_bytes_per_second`]. Heartbeats, interned names and the rare
+/// messages come on top; the total stays below the limit of 3 KB per second for control traffic.
 pub const LOAD_BYTES_PER_SECOND: u32 = 1_800;
 
-/// What the mesh tells its instance.
+/// Event that the mesh reports to its instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerEvent {
-    /// A link to this instance stands. It may have missed messages; tell it what it has to know.
+    /// A link to this instance was established. The peer may have missed messages, so it has to be
+    /// sent the current state.
     Linked(Hello),
-    /// What a peer has under way now, put together from its parts.
+    /// A peer's current load, merged from the parts received.
     Load {
-        /// The deployment.
+        /// Deployment that the load belongs to.
         deployment: Deployment,
-        /// All that is known of the peer's load there.
+        /// Everything known of the peer's load in the deployment.
         digest: LoadDigest,
     },
-    /// A peer said something.
+    /// A peer sent a message.
     Message {
-        /// Who said it first, where gateways passed it on.
+        /// Original sender, also where gateways forwarded the message.
         from: InstanceId,
-        /// What it said.
+        /// Its content.
         message: Message,
     },
-    /// A peer asks for no new work any more.
+    /// A peer is leaving and takes no new work.
     Leaving {
-        /// The instance.
+        /// Name of the leaving instance.
         instance: InstanceId,
-        /// The life that is leaving.
+        /// Incarnation that is leaving.
         incarnation: Incarnation,
     },
-    /// A peer's life is over: it said so, was replaced, or stayed silent on new links as well.
+    /// A peer's incarnation has ended: it said goodbye, was replaced by a newer one, or stayed
+    /// silent on new links as well.
     Removed {
-        /// The instance.
+        /// Name of the removed instance.
         instance: InstanceId,
-        /// The life that ended.
+        /// Incarnation that ended.
         incarnation: Incarnation,
     },
 }
 
-/// The peer has no link at the moment.
+/// Error: there is currently no link to the peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotLinked;
 
 impl std::fmt::Display for NotLinked {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "there is no link to this instance at the moment")
+        write!(f, "there is currently no link to this instance")
     }
 }
 
 impl std::error::Error for NotLinked {}
 
-/// One other instance as this one knows it.
+/// Status of another instance, as seen by this one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerStatus {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its newest life.
+    /// Its newest known incarnation.
     pub incarnation: Incarnation,
-    /// Its state by all witnesses.
+    /// Its state, as [`policy::membership`] derives it from the links and the platform's list.
     pub state: MemberState,
-    /// Whether a link to it stands.
+    /// Whether there is a link to it.
     pub linked: bool,
 }
 
-/// Bytes and links of a mesh since its start.
+/// Traffic counters of a mesh since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
-    /// Bytes written to all links, with h2's own.
+    /// Bytes written to all links, including HTTP/2 framing.
     pub sent_bytes: u64,
-    /// Bytes read from all links, with h2's own.
+    /// Bytes read from all links, including HTTP/2 framing.
     pub received_bytes: u64,
-    /// Links that were made.
+    /// Links established.
     pub links_established: u64,
-    /// Links dropped because they were silent.
+    /// Links dropped after [`LINK_SILENCE_TIMEOUT`].
     pub links_timed_out: u64,
 }
 
-/// The links of one instance. Dropped without [`PeerMesh::close`], it ends as a crash would: the
-/// peers hear nothing of it.
+/// The links of one instance. When it is dropped without [`PeerMesh::close`], it ends as in a
+/// crash: the peers aren't notified.
 pub struct PeerMesh {
     shared: Arc<Shared>,
-    /// Keeps the executor for as long as the mesh lives; its tasks hold it only weakly, or it
-    /// would hold itself.
+    /// Keeps the executor alive. The tasks only hold weak references to it, because an executor
+    /// that its own tasks keep alive would never be dropped.
     _executor: Arc<Executor<'static>>,
 }
 
 impl PeerMesh {
-    /// Listens, dials the seeds, and goes on by itself. The events have to be read: while they
-    /// aren't, links aren't read either, and peers drop them in the end.
+    /// Starts listening and dialling the seeds. The events have to be read: while they aren't,
+    /// links aren't read either, and peers eventually drop them.
     ///
     /// # Errors
     ///
-    /// Where the address can't be listened on.
+    /// The address can't be listened on.
     pub fn start(cfg: PeerConfig) -> io::Result<(PeerMesh, Receiver<PeerEvent>)> {
         let listener = listen::bind(cfg.listen)?;
-        let (events_tx, events_rx) = bounded(MAX_EVENTS);
+        let (events_tx, events_rx) = bounded(MAX_QUEUED_EVENTS);
         let executor = cfg.executor.clone();
         let shared = Arc::new(Shared::new(cfg, listener.get_ref().local_addr()?, events_tx));
         shared.spawn(listen::run(shared.clone(), listener));
@@ -183,68 +186,69 @@
         Ok((PeerMesh { shared, _executor: executor }, events_rx))
     }
 
-    /// Where the mesh listens.
+    /// Address that the mesh listens on, with the port that the system assigned.
     pub fn address(&self) -> SocketAddr {
         self.shared.local.address
     }
 
-    /// Tells all instances that have a link; where [`Message::is_fleet_wide`], gateways pass it on to
-    /// the others.
+    /// Sends a message to all linked instances; gateways forward it to the others where
+    /// [`Message::is_fleet_wide`].
     ///
     /// # Errors
     ///
-    /// [`PacketError::TooLong`], and nothing is told.
+    /// [`PacketError::TooLong`]; nothing is sent then.
     pub fn broadcast(&self, message: Message) -> Result<(), PacketError> {
         self.shared.broadcast(message)
     }
 
-    /// Tells one instance.
+    /// Sends a message to one instance.
     ///
     /// # Errors
     ///
-    /// [`NotLinked`] where no link to it stands, or where the message is too long for one.
+    /// [`NotLinked`] if there is no link to it, or if the message is too long for a packet.
     pub fn send_to(&self, instance: &InstanceId, message: Message) -> Result<(), NotLinked> {
         self.shared.send_to(instance, message)
     }
 
-    /// Takes in what this instance has under way, and tells the peers what matters of it. To be
-    /// called about twice a second for each deployment.
+    /// Updates the load of this instance in a deployment, and sends the peers the part of it that
+    /// is due. To be called about twice a second for each deployment.
     pub fn share_load(&self, deployment: &Deployment, digest: LoadDigest) {
         self.shared.share_load(deployment, digest);
     }
 
-    /// Takes in the platform's list, as one witness among several and as source of addresses.
+    /// Applies the platform's list of instances, as one source of membership among several and as
+    /// the source of addresses.
     pub fn apply_list(&self, page: &ListPage) {
         self.shared.apply_list(page);
     }
 
-    /// Tells all peers that this instance wants no new work any more.
+    /// Announces to all peers that this instance is leaving and takes no new work.
     pub fn set_leaving(&self) {
         self.shared.set_leaving();
     }
 
-    /// Whether an owner of engine memory still lives.
+    /// Whether an owner of engine memory is still alive.
     pub fn owner_status(&self, instance: &InstanceId, incarnation: Incarnation) -> OwnerStatus {
         self.shared.owner_status(instance, incarnation)
     }
 
-    /// Every other instance known now.
+    /// Status of every other known instance.
     pub fn status(&self) -> Vec<PeerStatus> {
         self.shared.status()
     }
 
-    /// What the mesh has cost so far.
+    /// Traffic counters since the start.
     pub fn traffic(&self) -> Traffic {
         self.shared.traffic.read()
     }
 
-    /// Says goodbye and ends all links, once what is queued has been sent or
-    /// [`CLOSE_TIMEOUT`] is over.
+    /// Sends a goodbye and ends all links, once the queued packets have been sent or after
+    /// [`CLOSE_TIMEOUT`].
     pub async fn close(self) {
         self.send_goodbye().await;
     }
 
-    /// The same while others still use the mesh.
+    /// Like [`PeerMesh::close`], for a mesh that is still referenced elsewhere.
     pub async fn send_goodbye(&self) {
         self.shared.send_goodbye();
         let deadline = Instant::now() + CLOSE_TIMEOUT;
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be sent over one link, bounded.
+//! The bounded send queue of a link.
 
 use std::{
     collections::VecDeque,
@@ -15,28 +15,28 @@
 
 use crate::peer::compact::LoadPart;
 
-/// The most packets that wait for one peer. Two seconds of a burst of quarantine and endpoint
-/// news; a peer that is farther behind gets a new link, which begins with the whole state.
+/// Packets that may wait for one peer: two seconds of a burst of quarantine and endpoint updates. A
+/// peer that is further behind gets a new link, which starts with the complete state.
 const MAX_QUEUED_PACKETS: usize = 256;
 
-/// The most bytes that wait for one peer: a few configurations.
+/// Bytes that may wait for one peer: a few configurations.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// The peer doesn't take what is sent: the link has to be closed and made anew. Dropping single
-/// packets instead would leave the two ends with different views for good.
+/// The peer reads too slowly, so the link has to be closed and dialled again. Dropping single
+/// packets instead would leave the two ends with permanently different views.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Overflow;
 
-/// What the writer of a link gets to send.
+/// An entry for the writer of a link to send.
 pub(super) enum OutboxItem {
     /// An encoded packet.
     Packet(Bytes),
-    /// A part of the load, to be encoded with the link's names.
+    /// A part of a load digest, to be encoded with the names interned on the link.
     Load(Box<LoadPart>),
 }
 
-/// The queue of one link. Load digests that wait are merged into one for each deployment, so that
-/// a slow link sends the newest load instead of a history of it.
+/// The send queue of a link. Load digests that wait are merged into one per deployment, so that a
+/// slow link sends the newest load rather than its history.
 pub(super) struct Outbox {
     pending: Mutex<Pending>,
     closing: AtomicBool,
@@ -72,8 +72,8 @@
         Ok(())
     }
 
-    /// Takes the packets that still wait for a link which this one replaces. Its load isn't taken:
-    /// a new link begins with the whole.
+    /// Moves the packets that still wait on a replaced link to this one. Its load digests are
+    /// dropped, because a new link starts with the complete digest.
     pub(super) fn take_packets_of(&self, replaced: &Outbox) {
         let mut replaced = replaced.lock();
         let mut pending = self.lock();
@@ -83,7 +83,7 @@
         self.wake();
     }
 
-    /// Queues a part of the load, on top of one that still waits.
+    /// Queues a part of a load digest, merged into one that still waits.
     pub(super) fn push_load(&self, deployment: &Deployment, part: &LoadDigest) {
         let mut pending = self.lock();
         match pending.loads.get_mut(deployment) {
@@ -95,13 +95,14 @@
         self.wake();
     }
 
-    /// Lets the writer end once all is sent.
+    /// Ends the writer once everything has been sent.
     pub(super) fn finish(&self) {
         self.closing.store(true, Ordering::Release);
         self.wake();
     }
 
-    /// What to send next; none once all is sent and the link is to end.
+    /// Waits for the next entry to send; `None` once everything has been sent and the link is
+    /// closing.
     pub(super) async fn next(&self) -> Option<OutboxItem> {
         loop {
             if let Some(item) = self.try_next() {
@@ -110,7 +111,7 @@
             if self.closing.load(Ordering::Acquire) {
                 return None;
             }
-            // The sender lives as long as `self`, so this can't fail.
+            // The sender is owned by `self`, so this can't fail.
             self.wake_rx.recv().await.ok();
         }
     }
@@ -126,7 +127,7 @@
     }
 
     fn wake(&self) {
-        // A full channel means that the writer is woken already.
+        // A full channel means that the writer has been woken already.
         self.wake_tx.try_send(()).ok();
     }
 
--- a/crates/daemon/src/peer/shared.rs
+++ b/crates/daemon/src/peer/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one mesh share.
+//! State shared by the tasks of a mesh.
 
 use std::{
     future::Future,
@@ -21,7 +21,7 @@
     pub(super) local: Hello,
     pub(super) load_bytes_per_second: u32,
     pub(super) traffic: Arc<Counters>,
-    /// Whether the fleet is so small that all have links with all.
+    /// Whether the fleet is so small that every instance links to every other one.
     pub(super) full_mesh: AtomicBool,
     events: Sender<PeerEvent>,
     state: Mutex<State>,
@@ -72,23 +72,23 @@
         let stop = self.stop_rx.clone();
         if let Some(executor) = self.executor.upgrade() {
             let stopped = async move {
-                // Nothing is ever sent; this ends when the channel is closed.
+                // Nothing is ever sent on this channel; this ends when it is closed.
                 stop.recv().await.ok();
             };
             executor.spawn(futures_lite::future::or(task, stopped)).detach();
         }
     }
 
-    /// Ends all tasks.
+    /// Ends all tasks of the mesh.
     pub(super) fn stop(&self) {
         self.stop_tx.close();
     }
 
-    /// Hands events to the instance; waits while it is behind. Load is skipped instead, since each
-    /// such event tells the whole, and a newer one follows.
+    /// Sends events to the instance, and waits while their channel is full. Load events are skipped
+    /// instead, because each of them contains the complete digest and a newer one follows.
     pub(super) async fn emit(&self, events: Vec<PeerEvent>) {
         for event in events {
-            // An instance that has dropped its receiver wants no events.
+            // An error means that the instance has dropped its receiver and needs no events.
             if matches!(event, PeerEvent::Load { .. }) {
                 self.events.try_send(event).ok();
             } else {
--- a/crates/daemon/src/peer/state.rs
+++ b/crates/daemon/src/peer/state.rs
@@ -1,4 +1,4 @@
-//! What one mesh knows of its peers; plain data under one lock.
+//! The peers, links and targets of a mesh: plain data behind one lock.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,7 +15,7 @@
     HELLO_TIMEOUT, PeerEvent, dial::Target, flood::FloodFilter, message::Hello, outbox::Outbox,
 };
 
-/// The most addresses that are dialled.
+/// Addresses to dial, and instances whose data centre is remembered.
 pub(super) const MAX_TARGETS: usize = 1_024;
 
 pub(super) struct State {
@@ -24,25 +24,25 @@
     pub(super) targets: IndexMap<SocketAddr, Target>,
     pub(super) loads: IndexMap<Deployment, OwnLoad>,
     pub(super) flood_filter: FloodFilter,
-    /// Where each known instance stands.
+    /// Data centre of each known instance.
     pub(super) data_centres: IndexMap<InstanceId, DataCentre>,
-    /// The instances to have links with; none before there is anything to choose from.
+    /// Instances to have links with; empty until there are any to choose from.
     pub(super) wanted: IndexSet<InstanceId>,
-    /// Lives told as linked and not yet as gone.
+    /// Incarnations reported as linked and not yet as removed.
     pub(super) announced: IndexMap<InstanceId, Incarnation>,
     pub(super) leaving: bool,
     pub(super) next_link_id: u64,
 }
 
-/// What this instance told of one deployment.
+/// This instance's load in one deployment, and the sender that decides which parts of it are due.
 pub(super) struct OwnLoad {
     pub(super) sender: DigestSender,
     pub(super) digest: LoadDigest,
 }
 
-/// A link that stands.
+/// An established link.
 pub(super) struct Link {
-    /// Tells it from an earlier or later link to the same peer.
+    /// Distinguishes it from earlier and later links to the same peer.
     pub(super) id: u64,
     pub(super) hello: Hello,
     pub(super) dialled: bool,
@@ -50,15 +50,15 @@
     pub(super) established_at: Time,
     pub(super) received_at: Time,
     pub(super) sent_at: Time,
-    /// Whether the peer has said on this link that it is leaving.
+    /// Whether the peer has announced on this link that it is leaving.
     pub(super) leaving: bool,
     pub(super) receivers: IndexMap<Deployment, DigestReceiver>,
-    /// Dropping it ends the link shortly after.
+    /// Dropping it closes the channel, which ends the link after [`HELLO_TIMEOUT`].
     pub(super) _stop: Sender<()>,
 }
 
 impl Link {
-    /// Whether the link leads to the life that said this hello.
+    /// Whether the link is to the incarnation that sent this hello.
     pub(super) fn is_same_incarnation(&self, hello: &Hello) -> bool {
         self.hello.incarnation == hello.incarnation
     }
@@ -67,11 +67,11 @@
 /// Why a new link isn't kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkRejection {
-    /// The other end is this very instance, by one of its addresses.
+    /// The other end is this instance itself, reached at one of its addresses.
     SelfConnection,
-    /// The other end is a life that has been replaced.
+    /// The other end is an incarnation that has been replaced.
     StaleIncarnation,
-    /// Both sides dialled at once, and the other link is the one to keep.
+    /// Both sides dialled simultaneously, and the other link is kept.
     Duplicate,
 }
 
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Whether a link with `hello` at its other end is to be kept.
+    /// Checks whether to keep a link whose other end sent `hello`.
     ///
-    /// When two instances dial each other in the same moment, each end has to keep the same one of
-    /// the two links: that dialled by the smaller name. A link made later replaces an older one,
-    /// because its dialler would not have dialled if the older one worked.
+    /// When two instances dial each other simultaneously, both ends have to keep the same one of
+    /// the two links: the one that the smaller name dialled. A later link replaces an older one,
+    /// because the dialling side would not have dialled if the older one worked.
     pub(super) fn check_link(
         &self,
         local: &InstanceId,
@@ -124,12 +124,12 @@
         Ok(())
     }
 
-    /// Whether a newer life of the instance that said this hello is known.
+    /// Whether a newer incarnation of the instance that sent this hello is known.
     pub(super) fn is_stale_incarnation(&self, hello: &Hello) -> bool {
         self.members.incarnation(&hello.instance).is_some_and(|i| i > hello.incarnation)
     }
 
-    /// Takes note of a life that was met on a link, and says what the instance has to hear.
+    /// Records an incarnation that established a link, and returns the events that result.
     pub(super) fn record_linked(&mut self, hello: &Hello, now: Time) -> Vec<PeerEvent> {
         self.members.observe(&hello.instance, hello.incarnation, MemberObservation::Alive, now);
         self.set_data_centre(&hello.instance, &hello.data_centre);
@@ -142,7 +142,7 @@
         events
     }
 
-    /// Adds an address to dial, where there is room.
+    /// Adds an address to dial, if there is room.
     pub(super) fn add_target(&mut self, address: SocketAddr, instance: Option<InstanceId>) {
         if self.targets.len() >= MAX_TARGETS && !self.targets.contains_key(&address) {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Adds an address that the settings name.
+    /// Adds an address from the settings.
     pub(super) fn add_seed(&mut self, address: SocketAddr) {
         self.add_target(address, None);
         if let Some(target) = self.targets.get_mut(&address) {
@@ -161,15 +161,16 @@
         }
     }
 
-    /// Takes note of where an instance stands. It stays in the choice of links until a list lacks
-    /// it, even if it seems dead: both ends of a link that was cut would else stop dialling.
+    /// Records the data centre of an instance. The instance remains a candidate for links until a
+    /// list lacks it, even if it seems dead: otherwise both ends of a link that was cut would stop
+    /// dialling.
     pub(super) fn set_data_centre(&mut self, instance: &InstanceId, data_centre: &DataCentre) {
         if self.data_centres.len() < MAX_TARGETS || self.data_centres.contains_key(instance) {
             self.data_centres.insert(instance.clone(), data_centre.clone());
         }
     }
 
-    /// Chooses anew which instances to have links with, and says whether these are all.
+    /// Recomputes which instances to have links with, and returns whether these are all.
     pub(super) fn choose_links(&mut self, local: &Hello) -> bool {
         let location = |instance: &InstanceId, data_centre: &DataCentre| InstanceLocation {
             instance: instance.clone(),
@@ -183,7 +184,7 @@
         all.len() <= topology::MAX_FULL_MESH_INSTANCES
     }
 
-    /// Ends a link, unless another one has taken its place.
+    /// Removes a link, unless another one has replaced it.
     pub(super) fn remove_link(&mut self, instance: &InstanceId, id: u64) {
         if self.links.get(instance).is_some_and(|link| link.id == id) {
             self.links.swap_remove(instance);
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Packets from strangers, and messages for all that come twice or late.
+//! Unit tests of packet decoding, deduplication of fleet-wide messages, and load encoding.
 
 use policy::{
     DataCentre, Deployment, EndpointId, Incarnation, InstanceId, LoadDigest, TokenRate, Tokens,
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_length_within_a_packet_allocates_nothing_it_cannot_hold() {
-    // A configuration of 2^60 bytes, of which none follows.
+    // A configuration whose length says 2^60 bytes, none of which follow.
     let packet = Packet::Direct(Message::Config { version: Version(1), content: vec![].into() });
     let mut bytes = encode(&packet).unwrap()[LENGTH_PREFIX_BYTES..].to_vec();
     bytes.pop();
@@ -152,7 +152,7 @@
     futures_lite::future::or(endpoint_update, timeout).await
 }
 
-/// Guards against messages lost on a link that a second dial replaces.
+/// Guards against lost messages: a second dial replaces a link on which messages still wait.
 #[test]
 fn what_was_said_on_a_replaced_link_arrives() {
     let executor = Arc::new(Executor::new());
@@ -161,7 +161,7 @@
     smol::block_on(executor.run(async {
         let mut sent = 0;
         for _ in 0..20 {
-            // The smaller name's dial replaces a link that stands.
+            // A dial by the smaller name replaces an established link.
             first.shared.spawn(dial::run(first.shared.clone(), second.address()));
             for _ in 0..20 {
                 sent += 1;
@@ -169,8 +169,8 @@
                 Timer::after(Duration::from_micros(200)).await;
             }
         }
-        // What is told before the first link stands is told to nobody; what is told on a replaced
-        // link may come after what is told on the new one.
+        // Messages sent before the first link is established reach nobody. Messages sent on a
+        // replaced link may arrive after those sent on the new one.
         let (mut received, mut first_received) = (Vec::new(), sent);
         while received.len() as u64 <= sent - first_received
             && let Some(number) = next_update(&events).await
--- a/crates/daemon/src/peer/tick.rs
+++ b/crates/daemon/src/peer/tick.rs
@@ -1,4 +1,4 @@
-//! What happens by the clock: heartbeats, silent links, dials, and lives that are over.
+//! Periodic work: heartbeats, silent links, dials, and peers that have died.
 
 use std::{
     sync::{Arc, atomic::Ordering::Relaxed},
@@ -15,7 +15,7 @@
     LINK_SILENCE_TIMEOUT, PeerEvent, dial, message::Packet, shared::Shared, state::State,
 };
 
-/// A quarter of a heartbeat, so that deadlines are kept within that.
+/// A quarter of the heartbeat interval; deadlines are met with this precision.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) async fn run(shared: Arc<Shared>) {
@@ -39,9 +39,9 @@
     removed
 }
 
-/// Drops links that gave no sign of life. Something between the two ends may have lost track of
-/// the connection: it then stays open and silent for good, while a new one works. Dropping it
-/// makes both ends dial anew within a tick or two, well before the peer counts as dead.
+/// Drops silent links. A device between the two ends may have lost track of the connection, which
+/// then stays open and silent for good, while a new one works. Dropping the link makes both ends
+/// dial again within a tick or two, well before the peer is considered dead.
 fn drop_silent_links(shared: &Shared, state: &mut State) {
     let now = shared.now();
     let before = state.links.len();
@@ -56,7 +56,7 @@
     shared.traffic.links_timed_out.fetch_add(dropped as u64, Relaxed);
 }
 
-/// Sends a heartbeat on each link that had nothing else to say for a while.
+/// Sends a heartbeat on each link on which nothing has been sent for a while.
 fn send_heartbeats(shared: &Shared, state: &mut State) {
     let now = shared.now();
     let idle: Vec<InstanceId> = state
@@ -66,7 +66,7 @@
         .map(|(instance, _)| instance.clone())
         .collect();
     let packet = Packet::Heartbeat { leaving: state.leaving };
-    // A heartbeat is never too long.
+    // A heartbeat never exceeds the packet limit.
     shared.push(state, &idle, &packet).ok();
 }
 
