--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,4 +1,5 @@
-//! The graceful stop: not ready, wait out the balancer, refuse what is new, finish the rest.
+//! Graceful shutdown: fails readiness probes, waits until the balancer has noticed, refuses new
+//! requests and completes those in flight.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,8 +7,8 @@
 
 use crate::shared::{Shared, Stage};
 
-/// Begins a stop; a second call changes nothing. The instance refuses new requests once the
-/// platform's balancer has had time to notice.
+/// Begins a graceful shutdown; further calls have no effect. New requests are refused only after
+/// `balancer_wait_ms`, so that the platform's balancer has time to notice.
 pub fn begin(shared: &Arc<Shared>) {
     if shared.stage() != Stage::Serving {
         return;
@@ -17,48 +18,49 @@
         mesh.set_leaving();
     }
     log::info!(balancer_wait_ms = shared.settings.balancer_wait_ms; "leaving");
-    let (state, wait) = (shared.clone(), shared.settings.balancer_wait_ms);
+    let (instance, wait_ms) = (shared.clone(), shared.settings.balancer_wait_ms);
     shared.spawn(async move {
-        Timer::after(Duration::from_millis(wait)).await;
-        state.advance_to(Stage::Refusing);
+        Timer::after(Duration::from_millis(wait_ms)).await;
+        instance.advance_to(Stage::Refusing);
         log::info!("refusing");
     });
 }
 
-/// Time between two looks at what is still under way.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which a shutdown checks whether requests, ledgers and connections are finished.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks at what is still connected once nothing is under way. Idle connections are closed after
-/// half a second, so this is only reached by operators' own.
-const CONNECTION_LOOKS: u32 = 50;
+/// How often open connections are checked once no request is in flight. Idle connections are closed
+/// after half a second, so only operators' own connections reach this limit.
+const MAX_CONNECTION_POLLS: u32 = 50;
 
-/// How long a stop waits for the log to take the last answers of calls that may not be repeated.
-/// Longer than the slowest pace of appends, and no longer, because the log may be down.
-const LEDGER_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a shutdown waits until the ledgers are written to the log. It is longer than the
+/// slowest append rate needs; it is bounded because the log may be down.
+const LEDGER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Waits until the log has the answers of all calls that may not be repeated.
+/// Waits until the log has the responses of all calls that may not be repeated, or until
+/// [`LEDGER_FLUSH_TIMEOUT`].
 ///
-/// Guards against a planned stop that forgets them: a call whose answer its caller missed would
-/// be of unknown outcome for ever when it is sent again.
-pub async fn ledgers_written(shared: &Shared) {
-    let end = shared.clock.now() + LEDGER_PATIENCE;
-    let written =
+/// Guards against a planned shutdown that loses them: if the caller missed the response and repeats
+/// the call, its outcome would stay unknown for ever.
+pub async fn wait_for_ledgers(shared: &Shared) {
+    let deadline = shared.clock.now() + LEDGER_FLUSH_TIMEOUT;
+    let are_flushed =
         || shared.ledgers().is_none_or(|ledgers| ledgers.iter().all(|ledger| ledger.is_flushed()));
-    while !written() && shared.clock.now() < end {
-        Timer::after(LOOK_PERIOD).await;
+    while !are_flushed() && shared.clock.now() < deadline {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until new requests are refused, every request under way has ended and idle connections
-/// are closed. Each request has a deadline, and so has this.
-pub async fn finished(shared: &Shared) {
+/// Waits until new requests are refused, every request in flight has ended and idle connections are
+/// closed. It ends in bounded time because every request has a deadline.
+pub async fn wait_until_drained(shared: &Shared) {
     while shared.stage() != Stage::Refusing || shared.requests_in_flight() > 0 {
-        Timer::after(LOOK_PERIOD).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    for _ in 0..CONNECTION_LOOKS {
+    for _ in 0..MAX_CONNECTION_POLLS {
         if shared.connections.is_empty() {
             return;
         }
-        Timer::after(LOOK_PERIOD).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/instance.rs
+++ b/crates/daemon/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its threads, its listeners and its end.
+//! Starts and stops an instance: its threads, listeners and connections to peers.
 
 use std::{
     fmt, io,
@@ -29,11 +29,11 @@
 /// Why an instance can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be bound.
+    /// A listener can't be bound to the address.
     Bind(SocketAddr, io::Error),
     /// A thread can't be started.
     Thread(io::Error),
-    /// The metrics can't be set up.
+    /// The metrics exporter can't be set up.
     Metrics,
 }
 
@@ -49,10 +49,10 @@
 
 impl std::error::Error for StartError {}
 
-/// Where an instance listens.
+/// The addresses an instance listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// For requests of callers.
     pub callers: SocketAddr,
     /// For operators' tools, probes and metrics.
     pub admin: SocketAddr,
@@ -66,19 +66,20 @@
     addresses: Addresses,
     mesh: Arc<PeerMesh>,
     threads: Vec<JoinHandle<()>>,
-    /// Dropping it ends the threads.
-    stop: Sender<()>,
-    // The last to go: dropping it drops all tasks, and with them every socket.
+    /// Dropping it closes the channel, which ends the threads.
+    stop_tx: Sender<()>,
+    // Must be the last field: dropping it drops all tasks and with them every socket.
     _executor: Arc<Executor<'static>>,
 }
 
 impl Instance {
-    /// Starts an instance on threads of its own. Without a configuration it answers that it isn't
-    /// ready, until [`Instance::set_config`] gives it one.
+    /// Starts an instance on its own threads. Without an initial configuration it isn't ready until
+    /// [`Instance::set_config`] is called or one arrives from the log or a peer.
     ///
     /// # Errors
     ///
-    /// See [`StartError`].
+    /// [`StartError`] if an address can't be bound, a thread can't be started or the metrics can't
+    /// be set up.
     pub fn start(settings: Settings, initial: Option<Config>) -> Result<Instance, StartError> {
         let executor = Arc::new(Executor::new());
         let metrics = Metrics::new().map_err(|_| StartError::Metrics)?;
@@ -86,15 +87,15 @@
         let owner = Owner { instance: settings.instance.clone(), incarnation };
         let shared = Arc::new(Shared::new(settings, owner, metrics, &executor));
         shared.spawn(server::registry::watch(Arc::downgrade(&shared)));
-        let mesh = link(&shared, &executor)?;
+        let mesh = start_mesh(&shared, &executor)?;
         let addresses = Addresses { peers: mesh.address(), ..listen(&shared)? };
         if let Some(config) = initial {
             shared.set_config(config, Version(1));
         }
         shared.follow_log();
         shared.spawn(readiness::watch(Arc::downgrade(&shared)));
-        let (stop, stopped) = bounded(1);
-        let threads = start_threads(&shared, &executor, &stopped)?;
+        let (stop_tx, stop_rx) = bounded(1);
+        let threads = start_threads(&shared, &executor, &stop_rx)?;
         log::info!(
             instance = shared.owner.instance.as_str(),
             incarnation = shared.owner.incarnation.0,
@@ -103,50 +104,51 @@
             peer_listen:% = addresses.peers;
             "started"
         );
-        Ok(Instance { shared, addresses, mesh, threads, stop, _executor: executor })
+        Ok(Instance { shared, addresses, mesh, threads, stop_tx, _executor: executor })
     }
 
-    /// Where it listens. Ports that the settings leave to the system are filled in.
+    /// The addresses it listens on. A port 0 in the settings is replaced by the assigned port.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Puts a configuration in force; one that isn't newer than that in force is ignored.
+    /// Activates a configuration, unless the active one has the same or a higher version.
     pub fn set_config(&self, config: Config, version: Version) {
         self.shared.set_config(config, version);
     }
 
-    /// The instance as it is now.
+    /// The current status, as `GET /admin/status` returns it.
     pub fn status(&self) -> Status {
         admin::status(&self.shared)
     }
 
-    /// Begins a graceful stop without waiting for its end.
+    /// Begins a graceful shutdown and returns at once.
     pub fn drain(&self) {
         drain::begin(&self.shared);
     }
 
-    /// Stops gracefully: the balancer is waited out, every request is finished, nothing is cut.
+    /// Shuts down gracefully: waits until the balancer has noticed, completes every request and
+    /// flushes the ledgers.
     pub fn close(self) {
         drain::begin(&self.shared);
-        block_on(drain::finished(&self.shared));
-        block_on(drain::ledgers_written(&self.shared));
+        block_on(drain::wait_until_drained(&self.shared));
+        block_on(drain::wait_for_ledgers(&self.shared));
         block_on(self.mesh.send_goodbye());
         log::info!("closed");
         self.abort();
     }
 
-    /// Ends at once and cuts whatever is under way, as a crash would.
+    /// Stops at once and drops all requests in flight, as a crash would.
     pub fn abort(self) {
-        drop(self.stop);
+        drop(self.stop_tx);
         for thread in self.threads {
-            // A thread that panicked has ended as well.
+            // An error means that the thread panicked, so it has ended as well.
             thread.join().ok();
         }
     }
 }
 
-fn link(
+fn start_mesh(
     shared: &Arc<Shared>,
     executor: &Arc<Executor<'static>>,
 ) -> Result<Arc<PeerMesh>, StartError> {
@@ -161,8 +163,8 @@
         origin: shared.clock.origin(),
         executor: executor.clone(),
     };
-    let failed = |e| StartError::Bind(settings.peer_listen, e);
-    let (mesh, events) = PeerMesh::start(cfg).map_err(failed)?;
+    let bind_error = |e| StartError::Bind(settings.peer_listen, e);
+    let (mesh, events) = PeerMesh::start(cfg).map_err(bind_error)?;
     let mesh = Arc::new(mesh);
     shared.set_mesh(&mesh);
     controller::start_peers(shared, events);
@@ -185,9 +187,9 @@
     address: SocketAddr,
     audience: Audience,
 ) -> Result<SocketAddr, StartError> {
-    let failed = |e| StartError::Bind(address, e);
-    let listener = server::bind(address).map_err(failed)?;
-    let bound = listener.local_addr().map_err(failed)?;
+    let bind_error = |e| StartError::Bind(address, e);
+    let listener = server::bind(address).map_err(bind_error)?;
+    let bound = listener.local_addr().map_err(bind_error)?;
     let chain = filter::chain(shared);
     let service = Arc::new(Service { shared: shared.clone(), chain, audience });
     shared.spawn(server::serve(listener, service));
@@ -197,23 +199,23 @@
 fn start_threads(
     shared: &Arc<Shared>,
     executor: &Arc<Executor<'static>>,
-    stopped: &Receiver<()>,
+    stop_rx: &Receiver<()>,
 ) -> Result<Vec<JoinHandle<()>>, StartError> {
     let cores = thread::available_parallelism().map_or(1, usize::from);
     let count = shared.settings.threads.unwrap_or(cores).max(1);
-    let start = |index| {
-        let (executor, stopped) = (executor.clone(), stopped.clone());
+    let spawn_thread = |index| {
+        let (executor, stop_rx) = (executor.clone(), stop_rx.clone());
         let builder = thread::Builder::new().name(format!("trefoilhall-{index}"));
-        builder.spawn(move || work(&executor, &stopped)).map_err(StartError::Thread)
+        builder.spawn(move || run_tasks(&executor, &stop_rx)).map_err(StartError::Thread)
     };
-    (0..count).map(start).collect()
+    (0..count).map(spawn_thread).collect()
 }
 
-/// Runs tasks until the instance ends. A task that panics ends alone: its requests' callers are
-/// cut, and the thread goes on with the others.
-pub(crate) fn work(executor: &Executor<'static>, stopped: &Receiver<()>) {
+/// Runs tasks until `stop_rx` is closed. A panic ends only the task that panicked, which closes the
+/// connections of its callers; the thread continues with the other tasks.
+pub(crate) fn run_tasks(executor: &Executor<'static>, stop_rx: &Receiver<()>) {
     loop {
-        let run = AssertUnwindSafe(|| block_on(executor.run(stopped.recv())));
+        let run = AssertUnwindSafe(|| block_on(executor.run(stop_rx.recv())));
         match catch_unwind(run) {
             Ok(_) => return,
             Err(_) => log::error!("task_panicked"),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,6 @@
-//! The daemon as a library, so that the demo can run several instances in one process.
+//! The daemon as a library, so that tests, examples and the demo can run several instances in one
+//! process.
+//!
 //! `docs/ARCHITECTURE.md` describes the path of a request.
 
 pub mod active;
@@ -40,7 +42,7 @@
 
 use crate::{cli::Args, options::Options};
 
-/// The daemon can't run.
+/// The daemon couldn't start or failed; the causes are attached to the report.
 #[derive(Debug)]
 pub struct RunError;
 
@@ -52,7 +54,7 @@
 
 impl std::error::Error for RunError {}
 
-/// Runs the daemon until it is told to stop, which it does gracefully.
+/// Runs the daemon until it receives SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
 ///
@@ -68,8 +70,8 @@
         return routing::run(&settings, routing, args.config, signals).change_context(RunError);
     }
     let instance = Instance::start(settings, config).change_context(RunError)?;
-    // The stream ends only with the process. The configuration comes from the log or is published,
-    // so a hang-up signal changes nothing here.
+    // The stream of signals ends only with the process. SIGHUP is ignored: configuration changes
+    // are published or come from the log, and files aren't reloaded.
     let stop = |signal: &std::io::Result<Signal>| !matches!(signal, Ok(Signal::Hup));
     smol::block_on(signals.find(stop));
     instance.close();
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `trefoilhalld`, the daemon.
+//! Entry point of the daemon `trefoilhalld`.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/routing.rs
+++ b/crates/daemon/src/routing.rs
@@ -1,4 +1,4 @@
-//! Runs an instance that passes requests on by the sites' own routes.
+//! Runs an instance that forwards requests by the sites' own routes.
 
 use std::{path::PathBuf, sync::Arc, thread};
 
@@ -10,12 +10,13 @@
 
 use crate::{
     cli::Args,
-    instance::work,
+    instance::run_tasks,
     options::Options,
     settings::{RoutingSettings, Settings},
 };
 
-/// Runs until the process is told to stop, which it does gracefully.
+/// Runs until the process receives SIGTERM or SIGINT, then shuts down gracefully. SIGHUP checks the
+/// settings again.
 pub(crate) fn run(
     settings: &Settings,
     routing: &RoutingSettings,
@@ -23,12 +24,12 @@
     mut signals: Signals,
 ) -> Result<(), Report<StartError>> {
     let executor = Arc::new(Executor::new());
-    let (stop, stopped) = bounded::<()>(1);
+    let (stop_tx, stop_rx) = bounded::<()>(1);
     let threads = settings.threads.unwrap_or(1);
     for index in 1..threads {
-        let (executor, stopped) = (executor.clone(), stopped.clone());
-        let named = thread::Builder::new().name(format!("trefoilhall-{index}"));
-        if let Err(e) = named.spawn(move || work(&executor, &stopped)) {
+        let (executor, stop_rx) = (executor.clone(), stop_rx.clone());
+        let builder = thread::Builder::new().name(format!("trefoilhall-{index}"));
+        if let Err(e) = builder.spawn(move || run_tasks(&executor, &stop_rx)) {
             log::warn!(cause:% = e; "thread_not_started");
         }
     }
@@ -40,7 +41,7 @@
         let instance = started.map_err(Report::from).attach("the instance can't start")?;
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Hup) => reload(settings, &config),
+                Ok(Signal::Hup) => check_settings(settings, &config),
                 _ => break,
             }
         }
@@ -48,13 +49,13 @@
         Ok(())
     };
     let result = smol::block_on(executor.run(main));
-    drop(stop);
+    drop(stop_tx);
     result
 }
 
-/// Reads the settings again. Addresses and bounds belong to the process's life; that they have
-/// changed is told, so that an operator sees why a restart is due.
-fn reload(settings: &Settings, config: &std::path::Path) {
+/// Reads the settings again and logs whether they have changed. Addresses and bounds can't change
+/// while the process runs; the log line shows the operator that a restart is needed.
+fn check_settings(settings: &Settings, config: &std::path::Path) {
     let args = Args { config: config.to_owned(), log_level: crate::cli::LogLevel::Info };
     match Options::read(&args) {
         Ok(options) => {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of an instance share.
+//! State shared by all tasks of an instance.
 
 use std::{
     fmt,
@@ -35,33 +35,34 @@
     settings::Settings,
 };
 
-/// Endpoints named in the reason why an instance isn't ready.
-const NAMED: usize = 16;
+/// Maximum number of endpoints listed by name in [`UnreadyReason::Endpoints`].
+const MAX_NAMED_ENDPOINTS: usize = 16;
 
-/// How far the instance is on its way to a stop. It only moves on.
+/// Stage of the instance's shutdown. It only advances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// In service.
+    /// Normal operation; no shutdown was requested.
     Serving = 0,
-    /// Not ready any more, so that the balancer looks elsewhere; still serving.
+    /// Readiness probes fail, so that the balancer sends new callers to other instances. Requests
+    /// are still accepted.
     Leaving = 1,
-    /// New requests are refused; those under way are finished.
+    /// New requests are refused; those in flight are completed.
     Refusing = 2,
 }
 
-/// Why an instance isn't ready.
+/// Why an instance isn't ready to take requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UnreadyReason {
-    /// It is stopping.
+    /// The instance is shutting down.
     Stopping,
-    /// No configuration is in force.
+    /// No configuration is active.
     Configuration,
-    /// Endpoints were never asked for their load.
+    /// The load of some endpoints was never queried.
     Endpoints {
-        /// How many.
+        /// The number of such endpoints.
         count: usize,
-        /// Names of the first of them.
+        /// The names of the first [`MAX_NAMED_ENDPOINTS`] of them.
         first: Vec<EndpointId>,
     },
 }
@@ -79,41 +80,43 @@
     }
 }
 
-/// What all parts of an instance share.
+/// State shared by all tasks of an instance.
 pub struct Shared {
-    /// The instance's settings.
+    /// The settings the process was started with.
     pub settings: Settings,
-    /// Its name and life.
+    /// The instance's name and incarnation, as engines see the owner of a request.
     pub owner: Owner,
-    /// Its clock.
+    /// The clock that all deadlines of this instance refer to.
     pub clock: Clock,
-    /// Its metrics.
+    /// The instruments served at `/metrics`.
     pub metrics: Arc<Metrics>,
-    /// Weak, because tasks hold this state, and the executor holds the tasks.
+    /// Weak to avoid a reference cycle: tasks hold this state, and the executor holds the tasks.
     executor: Weak<Executor<'static>>,
-    /// Weak, because the mesh keeps the executor.
+    /// Weak to avoid a reference cycle: the mesh holds the executor.
     mesh: OnceLock<Weak<PeerMesh>>,
     active: RwLock<Arc<ActiveConfig>>,
     publications: OnceLock<Arc<Publications<HttpLog>>>,
     ledgers: OnceLock<Ledgers<HttpLog>>,
-    /// Held while a new configuration is built, so that two can't overtake one another.
-    building: Mutex<()>,
+    /// Held while a new configuration is built and activated, so that an older one can't replace a
+    /// newer one.
+    config_update_lock: Mutex<()>,
     stage: AtomicU8,
-    /// Every endpoint of some configuration has once been asked for its load.
-    warm: AtomicBool,
+    /// Set once the load of every endpoint of the active configuration has been queried. It stays
+    /// set when endpoints are added later.
+    all_endpoints_queried: AtomicBool,
     next_request: AtomicU64,
-    /// Shared by the records of all requests under way, which are counted by it.
+    /// Cloned into the record of each request in flight; the reference count is their number.
     open_requests: Arc<()>,
-    /// Questions to other instances that are under way.
+    /// Pending status queries to other instances.
     pub status_queries: StatusQueries,
-    /// Bodies of requests under way.
+    /// Limits the memory taken by the bodies of requests in flight.
     pub body_budget: BodyBudget,
     /// Open connections of callers and operators.
     pub connections: Registry,
 }
 
 impl Shared {
-    /// The state of an instance that starts now.
+    /// Creates the state of an instance whose clock starts now, without a configuration.
     pub fn new(
         settings: Settings,
         owner: Owner,
@@ -130,9 +133,9 @@
             active: RwLock::default(),
             publications: OnceLock::new(),
             ledgers: OnceLock::new(),
-            building: Mutex::default(),
+            config_update_lock: Mutex::default(),
             stage: AtomicU8::new(Stage::Serving as u8),
-            warm: AtomicBool::new(false),
+            all_endpoints_queried: AtomicBool::new(false),
             next_request: AtomicU64::new(1),
             open_requests: Arc::default(),
             status_queries: StatusQueries::default(),
@@ -141,15 +144,15 @@
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration; its version is 0 until one was set.
     pub fn active(&self) -> Arc<ActiveConfig> {
         self.active.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a configuration in force. An older one than that in force is ignored: versions only
-    /// rise, and late deliveries by a peer or the log must not revert an accepted change.
+    /// Activates a configuration, unless the active one has the same or a higher version: a late
+    /// delivery by a peer or the log must not revert an accepted change.
     pub fn set_config(self: &Arc<Self>, config: Config, version: Version) {
-        let _building = lock(&self.building);
+        let _guard = lock(&self.config_update_lock);
         let old = self.active();
         if version <= old.version {
             return;
@@ -163,13 +166,13 @@
         let builder = ActiveConfigBuilder { data_centre, clock: self.clock, scheduler };
         let active = Arc::new(builder.build(config, version, &old));
         *self.active.write().unwrap_or_else(PoisonError::into_inner) = active.clone();
-        self.start_new(&active, &old);
+        self.start_tasks(&active, &old);
         self.start_ledgers(&active);
         log::info!(version = version.0; "config_in_force");
         self.broadcast(Message::ConfigVersion(version));
     }
 
-    /// Follows the stream on which operators publish, where the settings name a log service.
+    /// Starts to follow the configuration stream if the settings name a log service.
     pub fn follow_log(self: &Arc<Self>) {
         let Some(address) = self.settings.log else { return };
         let publications = Publications::new(HttpLog::new(address), self.clock);
@@ -178,18 +181,19 @@
         self.spawn(configuration::run_checkpoints(publications.clone(), Arc::downgrade(self)));
     }
 
-    /// The configuration stream, where the settings name a log service.
+    /// The configuration stream, if the settings name a log service.
     pub fn publications(&self) -> Option<&Arc<Publications<HttpLog>>> {
         self.publications.get()
     }
 
-    /// The ledgers of calls that may not be repeated, once a configuration is in force.
+    /// The ledgers of calls that may not be repeated; `None` without a log service or before the
+    /// first configuration is active.
     pub fn ledgers(&self) -> Option<&Ledgers<HttpLog>> {
         self.ledgers.get()
     }
 
-    /// The first configuration in force says how the ledgers are kept, and no later one changes
-    /// what matters to them.
+    /// Starts the ledgers with the rules of the first active configuration. Later configurations
+    /// don't change rules that the ledgers depend on.
     fn start_ledgers(&self, active: &ActiveConfig) {
         let Some(address) = self.settings.log else { return };
         if self.ledgers.get().is_some() {
@@ -204,7 +208,7 @@
         }
     }
 
-    fn start_new(self: &Arc<Self>, active: &ActiveConfig, old: &ActiveConfig) {
+    fn start_tasks(self: &Arc<Self>, active: &ActiveConfig, old: &ActiveConfig) {
         for (name, route) in &active.deployments {
             let kept = old
                 .deployments
@@ -222,14 +226,14 @@
         }
     }
 
-    /// Runs a future beside all others until it ends or the instance is closed.
+    /// Runs a future as a task until it completes or the instance is closed.
     pub fn spawn(&self, future: impl Future<Output = ()> + Send + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(future).detach();
         }
     }
 
-    /// How far the instance is on its way to a stop.
+    /// The current stage of the shutdown.
     pub fn stage(&self) -> Stage {
         match self.stage.load(Ordering::Acquire) {
             0 => Stage::Serving,
@@ -238,19 +242,21 @@
         }
     }
 
-    /// Moves on towards the stop.
+    /// Advances to `stage`; does nothing if that stage has been reached or passed.
     pub fn advance_to(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the balancer may send callers to this instance.
     pub fn is_ready(&self) -> bool {
         self.unready_reason().is_none()
     }
 
-    /// Why the balancer may not send callers here: there is no configuration, or some endpoint was
-    /// never asked for its load. Before that the scheduler knows no engine's memory, and would
-    /// send prompts where they don't fit. Endpoints that come later change nothing.
+    /// Why the balancer may not send callers to this instance, or `None` if it is ready.
+    ///
+    /// An instance isn't ready until the load of every endpoint has been queried once: without it
+    /// the scheduler doesn't know how much memory the engines have and would send them prompts that
+    /// don't fit. Endpoints that are added later don't revoke readiness.
     pub fn unready_reason(&self) -> Option<UnreadyReason> {
         if self.stage() != Stage::Serving {
             return Some(UnreadyReason::Stopping);
@@ -259,31 +265,36 @@
         if active.version == Version(0) {
             return Some(UnreadyReason::Configuration);
         }
-        if self.warm.load(Ordering::Relaxed) {
+        if self.all_endpoints_queried.load(Ordering::Relaxed) {
             return None;
         }
-        let mut unknown = active.endpoints.values().filter(|endpoint| !endpoint.was_load_queried());
-        let first: Vec<EndpointId> =
-            unknown.by_ref().take(NAMED).map(|endpoint| endpoint.config.id.clone()).collect();
-        let count = first.len() + unknown.count();
-        self.warm.fetch_or(count == 0, Ordering::Relaxed);
+        let mut unqueried =
+            active.endpoints.values().filter(|endpoint| !endpoint.was_load_queried());
+        let first: Vec<EndpointId> = unqueried
+            .by_ref()
+            .take(MAX_NAMED_ENDPOINTS)
+            .map(|endpoint| endpoint.config.id.clone())
+            .collect();
+        let count = first.len() + unqueried.count();
+        self.all_endpoints_queried.fetch_or(count == 0, Ordering::Relaxed);
         (count > 0).then_some(UnreadyReason::Endpoints { count, first })
     }
 
-    /// Begins the record of a request.
+    /// Creates the record of a new request, with a generated id if the caller sent none.
     pub fn begin_request(&self, request_id: Option<String>) -> Arc<CallRecord> {
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         let request_id = request_id.unwrap_or_else(|| format!("{}/{id}", self.owner));
-        let open = self.open_requests.clone();
-        Arc::new(CallRecord::new(id, request_id, self.clock, self.metrics.clone(), open))
+        let open_requests = self.open_requests.clone();
+        Arc::new(CallRecord::new(id, request_id, self.clock, self.metrics.clone(), open_requests))
     }
 
-    /// Requests that were begun and haven't ended to the last byte of their answer.
+    /// The number of requests whose response hasn't been sent to its last byte.
     pub fn requests_in_flight(&self) -> usize {
         Arc::strong_count(&self.open_requests) - 1
     }
 
-    /// Notes what an endpoint's answer said of its life, and tells the schedulers if that is new.
+    /// Records the lifecycle state that an endpoint reported. If it has changed, the schedulers are
+    /// notified, and the peers too where the endpoint is leaving.
     pub fn record_lifecycle(&self, endpoint: &Endpoint, lifecycle: LifecycleState) {
         if !endpoint.record_lifecycle(lifecycle) {
             return;
@@ -294,28 +305,28 @@
             leaving = lifecycle.leaving;
             "endpoint_changed"
         );
-        let change = endpoint.change();
+        let state_change = endpoint.change();
         if lifecycle.leaving {
             self.broadcast(Message::Endpoint(EndpointStateUpdate {
-                endpoint: change.endpoint.clone(),
-                incarnation: change.incarnation,
-                state: change.state,
+                endpoint: state_change.endpoint.clone(),
+                incarnation: state_change.incarnation,
+                state: state_change.state,
             }));
         }
-        self.notify_schedulers(endpoint, &Event::Endpoint(change));
+        self.notify_schedulers(endpoint, &Event::Endpoint(state_change));
     }
 
-    /// The links to other instances, while they stand.
+    /// The connections to other instances; `None` before start and after close.
     pub fn mesh(&self) -> Option<Arc<PeerMesh>> {
         self.mesh.get()?.upgrade()
     }
 
-    /// Notes the links to other instances; a second call changes nothing.
+    /// Sets the connections to other instances; only the first call has an effect.
     pub fn set_mesh(&self, mesh: &Arc<PeerMesh>) {
         self.mesh.get_or_init(|| Arc::downgrade(mesh));
     }
 
-    /// Tells those with a link.
+    /// Sends a message to all connected instances.
     pub fn broadcast(&self, message: Message) {
         if let Some(mesh) = self.mesh()
             && let Err(e) = mesh.broadcast(message)
@@ -324,7 +335,7 @@
         }
     }
 
-    /// Tells the schedulers of all deployments that `endpoint` serves.
+    /// Passes an event to the schedulers of all deployments that `endpoint` serves.
     pub fn notify_schedulers(&self, endpoint: &Endpoint, event: &Event) {
         for deployment in self.active().served_by(endpoint) {
             deployment.observe(event.clone());
