--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -127,7 +127,7 @@
                 .scan
                 .max_output
                 .unwrap_or(received.route.rules.limits.default_output),
-            prefix: details.scan.prompt.blocks.clone(),
+            prefix: details.scan.prompt.block_hashes.clone(),
             ..common
         },
     }
--- a/crates/policy/src/config/fields.rs
+++ b/crates/policy/src/config/fields.rs
@@ -45,8 +45,8 @@
         join(&self.path, name)
     }
 
-    /// A mandatory member; its absence is reported. `expected` describes the value in findings, such
-    /// as `a number`.
+    /// A mandatory member; its absence is reported. `expected` describes the value in findings,
+    /// such as `a number`.
     pub fn required<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
--- a/crates/policy/src/config/tree.rs
+++ b/crates/policy/src/config/tree.rs
@@ -188,9 +188,9 @@
     }
 }
 
-/// The offset of the first bracket that exceeds [`MAX_NESTING_LEVELS`], if any. Brackets outside strings
-/// are counted before parsing, because a stack overflow in the parser would abort the process and
-/// can't be caught.
+/// The offset of the first bracket that exceeds [`MAX_NESTING_LEVELS`], if any. Brackets outside
+/// strings are counted before parsing, because a stack overflow in the parser would abort the
+/// process and can't be caught.
 fn find_excessive_nesting(text: &str) -> Option<usize> {
     let mut depth = 0_usize;
     let mut quote = None;
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers as types, so that a workspace can't be passed where an endpoint belongs.
+//! Identifier types, distinct so that a workspace can't be passed where an endpoint is expected.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -6,18 +6,18 @@
 
 use crate::rendezvous;
 
-/// The longest accepted textual identifier, in bytes. Identifiers stand in metric labels, log
-/// lines and peer messages, so an unbounded one would be an unbounded cost everywhere.
+/// Maximum length of a textual identifier. Identifiers are part of metric labels, log lines and
+/// messages between instances, where an unbounded one would have an unbounded cost.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// Why a text is not an identifier.
+/// The reason why a text isn't a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdError {
     /// The text is empty.
     Empty,
-    /// The text has more than [`MAX_ID_BYTES`] bytes.
+    /// The text has this many bytes, more than [`MAX_ID_BYTES`].
     TooLong(usize),
-    /// The text holds a character outside `A-Z a-z 0-9 . _ - : /`.
+    /// The text contains this character, which is outside `A-Z a-z 0-9 . _ - : /`.
     BadCharacter(char),
 }
 
@@ -30,7 +30,7 @@
             }
             IdError::BadCharacter(c) => write!(
                 f,
-                "the identifier holds {c:?}; letters, digits and `.`, `_`, `-`, `:`, `/` are allowed"
+                "the identifier contains {c:?}; letters, digits and `.`, `_`, `-`, `:`, `/` are allowed"
             ),
         }
     }
@@ -59,7 +59,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes `text` as this kind of identifier, or says what is wrong with it.
+            /// Checks `text` and makes it an identifier of this kind.
             pub fn new(text: &str) -> Result<Self, IdError> {
                 check_id(text).map(|()| Self(text.into()))
             }
@@ -100,39 +100,39 @@
 }
 
 text_ids! {
-    /// One running daemon, by the name its settings give it.
+    /// A running daemon, by the name in its settings.
     InstanceId,
-    /// A data centre, as `brasov-a`.
+    /// A data centre, such as `brasov-a`.
     DataCentre,
-    /// A customer of the site, to whom shares and limits belong.
+    /// A customer of the site, which has its own keys, share and limits.
     Workspace,
-    /// One server that runs requests: a model engine or one server of a plain service.
+    /// A server that runs requests: an LLM engine or a server of a plain service.
     EndpointId,
-    /// The endpoints that serve one deployment, as `model-redactare`.
+    /// The group of endpoints that serves one deployment, such as `model-redactare`.
     EndpointGroup,
-    /// An application's or endpoint group's routes, models, limits and weights.
+    /// An application or endpoint group with its own routes, models, limits and weights.
     Deployment,
-    /// A model by the name that callers use.
+    /// A model, by the name that callers use.
     Model,
 }
 
-/// Distinguishes one life of a process from the next under the same name. It only rises; where
-/// the two differ, whatever was known of the older life is void.
+/// Distinguishes successive processes that run under the same name. It only increases; a new
+/// incarnation invalidates all state known of earlier ones.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A request within one instance. It also names the request towards endpoints, together with the
-/// instance's incarnation and the attempt.
+/// A request within one instance. Together with the instance's incarnation and the attempt, it also
+/// identifies the request to endpoints.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RequestId(pub u64);
 
-/// A hash of a request's body, by which re-sent calls are recognised on every instance.
+/// Hash of a request's body, by which all instances recognise calls that are sent again.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -184,7 +184,7 @@
 
         impl From<&$id> for $name {
             fn from(id: &$id) -> $name {
-                // The low half of a 64-bit hash is a hash itself.
+                // The lower half of a 64-bit hash is a 32-bit hash.
                 $name(rendezvous::key(id.as_str()) as u32)
             }
         }
@@ -198,11 +198,12 @@
 }
 
 tags! {
-    /// An endpoint as messages between instances name it: short, as most of them name several.
+    /// Short identifier of an endpoint in messages between instances, most of which name several
+    /// endpoints.
     ///
-    /// Two endpoints of a group have the same tag once in thousands of groups; one of them then looks
-    /// as loaded as the other.
+    /// Two endpoints of a group have the same tag in one of thousands of groups; each of them then
+    /// appears to have the load of the other.
     EndpointTag of EndpointId;
-    /// An endpoint group as messages between instances name it.
+    /// Short identifier of an endpoint group in messages between instances.
     GroupTag of EndpointGroup;
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision the serving layer takes, as plain data in and decisions out.
+//! The decision logic of the serving layer, without input or output.
 //!
-//! Nothing here opens a socket, reads a clock, awaits, or draws from global
-//! randomness: time and a seeded generator are arguments. The daemon and the
-//! tests therefore drive exactly the same code. See `docs/ARCHITECTURE.md`.
+//! The code in this crate opens no sockets, reads no clock, doesn't await and uses no global random
+//! generator: the time and seeded generators are passed as arguments. The daemon and the tests
+//! therefore run exactly the same code. See `docs/ARCHITECTURE.md`.
 
 pub mod adaptive;
 pub mod affinity;
--- a/crates/policy/src/prompt.rs
+++ b/crates/policy/src/prompt.rs
@@ -1,83 +1,90 @@
-//! Size and identity of a prompt, estimated from its text as it is read.
+//! Size estimate, fingerprint and block hashes of a prompt, computed while its text is received.
 //!
 //! Instances and stand-in engines share these functions, so that block hashes in cache events mean
-//! the same on both sides. Nothing here keeps the text: a million-token body is hashed in one pass.
+//! the same on both sides. The text isn't kept: a body of a million tokens is hashed in one pass.
 
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use crate::{Fingerprint, RequestSpec, Tokens};
 
-/// Bytes of text that count as one token. Four is the customary figure for English with usual
-/// vocabularies; engines report their own counts, which replace the estimate.
+/// Bytes of text counted as one token. Four is the usual estimate for English text and common
+/// vocabularies; the counts that engines report replace the estimate.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 const BLOCK_BYTES: usize = RequestSpec::PREFIX_BLOCK_TOKENS.0 as usize * BYTES_PER_TOKEN;
 
-/// The prompt size that a text of this many bytes stands for; at least one token.
+/// Estimated number of tokens of a text of `bytes` bytes, at least one.
 pub fn estimate_tokens(bytes: usize) -> Tokens {
     Tokens(bytes.div_ceil(BYTES_PER_TOKEN).max(1) as u64)
 }
 
-/// Reads the text of a prompt in pieces and yields its size, fingerprint and block hashes. How the
-/// text is cut into pieces makes no difference.
+/// Incremental hasher of a prompt's text. The result doesn't depend on how the text is split into
+/// pieces.
 pub struct PromptHasher {
-    whole: Xxh3,
-    bytes: usize,
-    rest: Vec<u8>,
-    blocks: Vec<u64>,
+    text_hash: Xxh3,
+    byte_count: usize,
+    /// Start of the block that isn't full yet.
+    partial_block: Vec<u8>,
+    block_hashes: Vec<u64>,
 }
 
-/// What [`PromptHasher`] found.
+/// Result of [`PromptHasher`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HashedPrompt {
-    /// The estimated size.
+    /// Estimated size of the prompt.
     pub tokens: Tokens,
     /// Hash of the whole text.
     pub fingerprint: Fingerprint,
-    /// As in [`RequestSpec::prefix`]: one hash for each full block, covering all before it.
-    pub blocks: Vec<u64>,
+    /// One hash per full block, which also covers all earlier blocks, as in
+    /// [`RequestSpec::prefix`].
+    pub block_hashes: Vec<u64>,
 }
 
 impl PromptHasher {
-    /// Nothing read yet.
+    /// A hasher of the empty text.
     pub fn new() -> PromptHasher {
-        PromptHasher { whole: Xxh3::new(), bytes: 0, rest: Vec::new(), blocks: Vec::new() }
+        PromptHasher {
+            text_hash: Xxh3::new(),
+            byte_count: 0,
+            partial_block: Vec::new(),
+            block_hashes: Vec::new(),
+        }
     }
 
-    /// Reads the next piece of the text.
+    /// Adds the next piece of the text.
     pub fn update(&mut self, mut piece: &[u8]) {
-        self.whole.update(piece);
-        self.bytes += piece.len();
-        if !self.rest.is_empty() {
-            let taken = piece.len().min(BLOCK_BYTES - self.rest.len());
-            self.rest.extend_from_slice(&piece[..taken]);
+        self.text_hash.update(piece);
+        self.byte_count += piece.len();
+        if !self.partial_block.is_empty() {
+            let taken = piece.len().min(BLOCK_BYTES - self.partial_block.len());
+            self.partial_block.extend_from_slice(&piece[..taken]);
             piece = &piece[taken..];
-            if self.rest.len() < BLOCK_BYTES {
+            if self.partial_block.len() < BLOCK_BYTES {
                 return;
             }
-            let block = std::mem::take(&mut self.rest);
-            self.push(&block);
+            let block = std::mem::take(&mut self.partial_block);
+            self.push_block(&block);
         }
         let mut blocks = piece.chunks_exact(BLOCK_BYTES);
         for block in &mut blocks {
-            self.push(block);
+            self.push_block(block);
         }
-        self.rest.extend_from_slice(blocks.remainder());
+        self.partial_block.extend_from_slice(blocks.remainder());
     }
 
-    /// Ends the text. What is left of an unfilled block isn't hashed, because engines cache full
-    /// blocks only.
+    /// Ends the text. A partial block at its end has no hash, because engines cache full blocks
+    /// only.
     pub fn finish(self) -> HashedPrompt {
         HashedPrompt {
-            tokens: estimate_tokens(self.bytes),
-            fingerprint: Fingerprint(self.whole.digest128()),
-            blocks: self.blocks,
+            tokens: estimate_tokens(self.byte_count),
+            fingerprint: Fingerprint(self.text_hash.digest128()),
+            block_hashes: self.block_hashes,
         }
     }
 
-    fn push(&mut self, block: &[u8]) {
-        let before = self.blocks.last().copied().unwrap_or(0);
-        self.blocks.push(xxh3_64_with_seed(block, before));
+    fn push_block(&mut self, block: &[u8]) {
+        let previous_hash = self.block_hashes.last().copied().unwrap_or(0);
+        self.block_hashes.push(xxh3_64_with_seed(block, previous_hash));
     }
 }
 
--- a/crates/policy/src/routes/keys.rs
+++ b/crates/policy/src/routes/keys.rs
@@ -1,19 +1,19 @@
-//! Whose key is whose.
+//! API keys and the workspaces they belong to.
 
 use indexmap::IndexMap;
 
 use crate::Workspace;
 
-/// What a key stands for.
+/// The workspace and priority that an API key grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
-    /// The workspace that holds it.
+    /// The workspace that the key belongs to.
     pub workspace: Workspace,
-    /// The workspace's rank, which goes before the route's.
+    /// Priority of the workspace, which takes precedence over the route's; zero is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// All keys of one version of the configuration.
+/// The API keys of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KeyTable {
     owners: IndexMap<String, KeyOwner>,
@@ -26,17 +26,17 @@
         KeyTable { owners: IndexMap::new(), required: true }
     }
 
-    /// Whether requests need a key.
+    /// Whether requests to routes that aren't public need a key.
     pub fn is_required(&self) -> bool {
         self.required
     }
 
-    /// Adds a key.
+    /// Adds a key, or replaces its owner.
     pub fn insert(&mut self, key: String, owner: KeyOwner) {
         self.owners.insert(key, owner);
     }
 
-    /// Whose key this is.
+    /// The owner of `key`, or `None` if the key is unknown.
     pub fn owner(&self, key: &str) -> Option<&KeyOwner> {
         self.owners.get(key)
     }
--- a/crates/policy/src/routes/mod.rs
+++ b/crates/policy/src/routes/mod.rs
@@ -1,8 +1,8 @@
-//! Which service a request belongs to, and what may be done with it.
+//! Routing table: maps a request's host and path to a route.
 //!
-//! A request's host and path select a route; the route names the endpoint groups that serve it and
-//! the rules for repeating, waiting and failing. `docs/decisions/platform.md` says why this table
-//! stands beside the deployments of the project's own interface.
+//! The route names the endpoint groups that serve the request and sets its timeouts, its priority
+//! and whether it may be retried. `docs/decisions/platform.md` explains why this table exists in
+//! addition to the deployments of the project's own interface.
 
 mod engine;
 mod keys;
@@ -17,72 +17,75 @@
 
 use crate::{EndpointGroup, config::Version};
 
-/// What may be done again with a request, in the order of how much is allowed.
+/// Whether and how a request may be retried, from the most restrictive variant to the least.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetrySafety {
-    /// It runs once at most: a second run may register a name twice.
+    /// Runs at most once, because a second run could have side effects, such as registering a name
+    /// twice.
     Once,
-    /// It may run any number of times.
+    /// May run any number of times.
     Idempotent,
-    /// A stream of events that may go on at another endpoint behind the last event passed on.
+    /// An event stream that another endpoint may resume after the last event that was passed on.
     Resumable,
 }
 
 impl RetrySafety {
-    /// Whether a run whose outcome is unknown may be followed by another.
+    /// Whether the request may be retried after an attempt whose outcome is unknown.
     pub fn is_idempotent(self) -> bool {
         self != RetrySafety::Once
     }
 }
 
-/// One route.
+/// Rules for the requests of one route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// What may be done again.
+    /// Whether requests may be retried.
     pub retry_safety: RetrySafety,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub is_streaming: bool,
-    /// The longest that a caller is kept waiting for the end of the answer.
+    /// Maximum time until the end of the response.
     pub timeout: Duration,
-    /// Within this a first byte is on time.
+    /// Time within which the first byte is on time.
     pub goal: Duration,
-    /// The longest pause between two events that is still on time.
+    /// Longest pause between two events that is still on time.
     pub pause_goal: Duration,
-    /// A wait for the first event, or between two, after which callers leave a stream.
+    /// Wait for the first or the next event of a stream after which callers disconnect.
     pub gap_timeout: Duration,
-    /// Rank; zero is the most urgent.
+    /// Priority; zero is the most urgent.
     pub priority: u8,
-    /// The most endpoints that one request may run on.
+    /// Maximum number of endpoints that one request is tried on.
     pub max_attempts: u32,
-    /// Whether requests without a key are served.
+    /// Whether requests are served without an API key.
     pub is_public: bool,
-    /// The endpoint groups that serve it, with their shares.
+    /// The endpoint groups that serve the route, with their weights.
     pub split: Vec<GroupShare>,
 }
 
-/// The least time that is taken to be left until an event is late: a few passes of an engine. What takes
-/// them anyway can't be hurried.
-const LEAST_BOUND: Duration = Duration::from_millis(200);
+/// Minimum time that is assumed to be left until an event's deadline: a few passes of an engine,
+/// which no placement can make faster.
+const MIN_TIME_TO_DEADLINE: Duration = Duration::from_millis(200);
 
-/// One group's share of a route.
+/// An endpoint group's share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupShare {
-    /// The group.
+    /// The endpoint group that receives the share.
     pub group: EndpointGroup,
-    /// Its share relative to the others'.
+    /// Its weight relative to the route's other groups.
     pub weight: u32,
 }
 
 impl Route {
-    /// How long until an event that comes later is worth less: until it is late, or else until its caller
-    /// leaves. `since_event` is the time since the last event that the caller has.
+    /// Time until the deadline of the next event: until the event is late, or if it is late
+    /// already, until its caller disconnects. `since_event` is the time since the last event that
+    /// the caller received, `None` before the first one.
     ///
-    /// Guards against streams that are late already and whose every further millisecond would look as dear
-    /// as a whole goal: each would be read by a dozen idle engines at once, and write alone on one of
-    /// them, so that one engine's silence takes a dozen from everybody.
+    /// Guards against streams that are already late and for which every further millisecond would
+    /// appear as costly as a whole goal. Each would be prefilled by a dozen idle engines at once
+    /// and decode alone on one of them, so that one silent engine would occupy a dozen engines that
+    /// other requests need.
     pub fn time_to_event_deadline(
         &self,
         since_arrival: Duration,
@@ -92,18 +95,18 @@
             Some(waited) => (waited, self.pause_goal),
             None => (since_arrival, self.goal),
         };
-        let bound = if waited < goal { goal } else { self.gap_timeout };
-        bound.saturating_sub(waited).max(LEAST_BOUND)
+        let deadline = if waited < goal { goal } else { self.gap_timeout };
+        deadline.saturating_sub(waited).max(MIN_TIME_TO_DEADLINE)
     }
 
-    /// The group for one request, `draw` being drawn evenly from 0 to 1. A group with weight zero
-    /// gets nothing, unless all have none.
+    /// Selects the endpoint group of one request by weight. `draw` is a uniform random number from
+    /// 0 to 1. Groups with weight zero receive no requests, unless all weights are zero.
     pub fn group(&self, draw: f64) -> Option<&EndpointGroup> {
         let total: u32 = self.split.iter().map(|share| share.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for share in self.split.iter().filter(|share| share.weight > 0) {
-            left -= f64::from(share.weight);
-            if left < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return Some(&share.group);
             }
         }
@@ -111,28 +114,28 @@
     }
 }
 
-/// Rules for one endpoint group.
+/// Rules of one endpoint group.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct GroupRules {
-    /// How fast its engines are and what they hold; none for a plain service.
+    /// Speed and capacity of its engines; `None` for a plain service.
     pub engine: Option<EngineRules>,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may stay without a request.
+    /// Timeout after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until the first configuration says otherwise: the customary bounds of HTTP servers.
+    /// Limits until the first configuration arrives: those that are common for HTTP servers.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
@@ -143,23 +146,24 @@
     }
 }
 
-/// One version of the configuration, in the form that requests look things up in.
+/// The lookup tables of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RouteTable {
-    /// Its version; zero where none is in force.
+    /// Version of the configuration; zero before the first one.
     pub version: Version,
     /// Routes by host, then by path prefix. Each prefix begins and ends with a slash.
     pub hosts: IndexMap<String, IndexMap<String, Arc<Route>>>,
-    /// Rules by endpoint group.
+    /// Rules of the endpoint groups, by name.
     pub groups: IndexMap<EndpointGroup, GroupRules>,
-    /// Whose key is whose.
+    /// API keys and their owners.
     pub keys: KeyTable,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// The route of a request: among those of the host the one with the longest prefix of `path`.
+    /// The route of a request: among the host's routes the one with the longest prefix that matches
+    /// `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = self.hosts.get(host)?;
         let mut end = path.len();
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and points in time as types.
+//! Types for points in time, token counts and token rates.
 
 use std::{
     fmt,
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in microseconds since an origin that the driver chooses. The daemon takes its
-/// start as origin; tests count from zero.
+/// A point in time, in microseconds since an origin that the caller of this crate chooses. The
+/// daemon uses its start as the origin; tests count from zero.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -19,7 +19,7 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The origin.
+    /// The origin of the time scale.
     pub const ZERO: Time = Time(0);
     /// Later than every other point in time.
     pub const MAX: Time = Time(u64::MAX);
@@ -29,7 +29,7 @@
         Time(millis * 1000)
     }
 
-    /// How long after `earlier` this point is, or zero where it isn't after it.
+    /// The time since `earlier`, or zero if this point isn't later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -52,13 +52,13 @@
 impl FromStr for Time {
     type Err = std::num::ParseIntError;
 
-    /// Reads a count of microseconds.
+    /// Parses a number of microseconds.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         text.parse().map(Time)
     }
 }
 
-/// A count of tokens.
+/// A number of tokens.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -69,7 +69,7 @@
     /// No tokens.
     pub const ZERO: Tokens = Tokens(0);
 
-    /// The difference, or zero where `other` is larger.
+    /// The difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Tokens) -> Tokens {
         Tokens(self.0.saturating_sub(other.0))
     }
@@ -92,8 +92,8 @@
 impl Sub for Tokens {
     type Output = Tokens;
 
-    /// Saturates at zero: a count below zero has no meaning, and a wrapped one would block an
-    /// endpoint for good.
+    /// Saturates at zero: a negative count has no meaning, and one that wrapped around would block
+    /// an endpoint forever.
     fn sub(self, other: Tokens) -> Tokens {
         self.saturating_sub(other)
     }
@@ -125,27 +125,27 @@
     }
 }
 
-/// Tokens a second.
+/// A rate in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TokenRate(pub f64);
 
 impl TokenRate {
-    /// The slowest rate that a span is computed with, so that a rate learned as nearly zero
-    /// yields a long wait and not an infinite one.
+    /// Minimum rate used to compute a duration, so that a learned rate close to zero results in a
+    /// long wait instead of an infinite one.
     const MIN_TOKENS_PER_S: f64 = 0.001;
 
-    /// How long `tokens` take at this rate.
+    /// The time that `tokens` take at this rate.
     pub fn duration_for(self, tokens: Tokens) -> Duration {
         Duration::try_from_secs_f64(self.seconds(tokens)).unwrap_or(Duration::MAX)
     }
 
-    /// The same in seconds, for sums over many endpoints.
+    /// The time that `tokens` take at this rate, in seconds, for sums over many endpoints.
     pub fn seconds(self, tokens: Tokens) -> f64 {
         tokens.0 as f64 / self.0.max(Self::MIN_TOKENS_PER_S)
     }
 
-    /// How many tokens this rate gives in `span`.
+    /// The number of tokens processed at this rate in `span`.
     pub fn tokens_in(self, span: Duration) -> Tokens {
         Tokens((self.0 * span.as_secs_f64()) as u64)
     }
--- a/crates/policy/tests/ids.rs
+++ b/crates/policy/tests/ids.rs
@@ -1,9 +1,9 @@
-//! Identifiers read back what they print, and refuse what could break a log line.
+//! Identifiers parse their own printed form, and reject text that could break a log line.
 
 use policy::{Fingerprint, Workspace};
 use quickcheck::quickcheck;
 
-macro_rules! refused {
+macro_rules! rejected {
     ($($case:ident: $text:expr),* $(,)?) => {$(
         #[test]
         fn $case() {
@@ -12,7 +12,7 @@
     )*};
 }
 
-refused! {
+rejected! {
     an_empty_id: "",
     an_id_with_a_space: "name change",
     an_id_with_a_line_break: "a\nb",
@@ -20,12 +20,12 @@
 }
 
 quickcheck! {
-    fn a_fingerprint_reads_back(value: u128) -> bool {
+    fn a_fingerprint_parses_its_printed_form(value: u128) -> bool {
         let fingerprint = Fingerprint(value);
         fingerprint.to_string().parse() == Ok(fingerprint)
     }
 
-    fn any_text_is_an_id_that_reads_back_or_refused(text: String) -> bool {
+    fn any_text_is_rejected_or_printed_unchanged(text: String) -> bool {
         Workspace::new(&text).map_or(true, |id| id.to_string() == text)
     }
 }
--- a/crates/policy/tests/orders.rs
+++ b/crates/policy/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Which engine is ordered next, told as what callers would notice.
+//! Rollout of a version over a deployment's engines, with the effects that callers would notice.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,8 +9,8 @@
 };
 use quickcheck::quickcheck;
 
-/// An engine by name; the letters say whether it is current (`c`) and ready (`r`).
-fn replica(name: &str, state: &str) -> EngineStatus {
+/// The status of an engine; the letters of `state` mean current (`c`) and ready (`r`).
+fn engine(name: &str, state: &str) -> EngineStatus {
     EngineStatus {
         endpoint: EndpointId::new(name).unwrap(),
         is_current: state.contains('c'),
@@ -23,9 +23,9 @@
     ($($name:ident: [$($engine:literal $state:literal),*] => $step:ident $($chosen:literal)?;)*) => {$(
         #[test]
         fn $name() {
-            let replicas = [$(replica($engine, $state)),*];
+            let engines = [$(engine($engine, $state)),*];
             let expected = RolloutStep::$step $((EndpointId::new($chosen).unwrap()))?;
-            assert_eq!(next_step(&replicas, Version(4)), expected);
+            assert_eq!(next_step(&engines, Version(4)), expected);
         }
     )*};
 }
@@ -42,19 +42,16 @@
 }
 
 #[test]
-fn an_instance_that_is_behind_keeps_still() {
-    let replicas = [replica("a", "r"), replica("b", "r")];
-    assert_eq!(
-        next_step(&replicas, Version(2)),
-        RolloutStep::Behind(EndpointId::new("a").unwrap())
-    );
+fn an_instance_with_an_outdated_configuration_gives_no_orders() {
+    let engines = [engine("a", "r"), engine("b", "r")];
+    assert_eq!(next_step(&engines, Version(2)), RolloutStep::Behind(EndpointId::new("a").unwrap()));
 }
 
 quickcheck! {
-    /// Whatever the engines' states: following the steps until nothing is left to do never leaves
-    /// callers without a ready engine where there was one, and never has two engines loading.
+    /// From any states of the engines, following the steps to the end never leaves callers without
+    /// a ready engine if there was one, and never has two engines loading.
     fn a_rollout_never_takes_the_last_ready_engine(states: Vec<(bool, bool)>) -> bool {
-        let mut replicas: Vec<_> = states
+        let mut engines: Vec<_> = states
             .iter()
             .take(20)
             .enumerate()
@@ -65,20 +62,20 @@
                 fencing: Version(0),
             })
             .collect();
-        let served = replicas.iter().any(|r| r.ready);
+        let served = engines.iter().any(|r| r.ready);
         for _ in 0..100 {
-            let (name, ready) = match next_step(&replicas, Version(1)) {
+            let (name, ready) = match next_step(&engines, Version(1)) {
                 RolloutStep::Order(name) => (name, false),
                 RolloutStep::Loading(name) => (name, true),
                 RolloutStep::Done | RolloutStep::LastReady(_) => break,
                 RolloutStep::Behind(_) => return false,
             };
-            let replica = replicas.iter_mut().find(|r| r.endpoint == name).unwrap();
-            (replica.is_current, replica.ready) = (true, ready);
-            if served && !replicas.iter().any(|r| r.ready) {
+            let engine = engines.iter_mut().find(|r| r.endpoint == name).unwrap();
+            (engine.is_current, engine.ready) = (true, ready);
+            if served && !engines.iter().any(|r| r.ready) {
                 return false;
             }
         }
-        replicas.iter().all(|r| r.is_current) || replicas.iter().filter(|r| r.ready).count() == 1
+        engines.iter().all(|r| r.is_current) || engines.iter().filter(|r| r.ready).count() == 1
     }
 }
--- a/crates/policy/tests/routes.rs
+++ b/crates/policy/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, whose key is whose, and what engines take.
+//! Selection of routes and groups, owners of API keys, and the cost model of engines.
 
 #![allow(clippy::unwrap_used)]
 
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn shares_are_kept() {
+fn requests_are_split_by_weight() {
     let route = route("split", &[("new", 10), ("old", 90), ("off", 0)]);
     let drawn = |i: u32| route.group((f64::from(i) + 0.5) / 1000.0).unwrap().as_str().to_owned();
-    let news = (0..1000).filter(|i| drawn(*i) == "new").count();
-    assert_eq!(news, 100);
+    let new_count = (0..1000).filter(|i| drawn(*i) == "new").count();
+    assert_eq!(new_count, 100);
     assert!((0..1000).all(|i| drawn(i) != "off"));
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn reading_grows_faster_than_the_prompt() {
+fn prefill_time_grows_faster_than_the_prompt() {
     let near = |ms: f64, expected: f64| (ms / expected - 1.0).abs() < 0.03;
     assert!(near(engine().prefill_ms(5_000), 20.7), "{}", engine().prefill_ms(5_000));
     assert!(near(engine().prefill_ms(45_000), 268.6), "{}", engine().prefill_ms(45_000));
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn a_pass_hardly_grows_with_its_writers() {
+fn a_pass_hardly_grows_with_decoding_requests() {
     let one = engine().pass_ms(1, 6_000);
     let twelve = engine().pass_ms(12, 6_000);
     assert!((43.0..46.0).contains(&one), "{one}");
     assert!(twelve < 1.3 * one, "{twelve}");
 }
 
-macro_rules! bounds {
+macro_rules! time_to_deadline {
     ($($(#[$doc:meta])* $name:ident: $arrived:expr, $event:expr => $left:expr;)*) => {
         $($(#[$doc])* #[test] fn $name() {
             let mut route = (*route("ask", &[("g", 1)])).clone();
@@ -117,13 +117,13 @@
     };
 }
 
-bounds! {
+time_to_deadline! {
     a_new_request_has_its_goal: 0, None => 1_000;
-    one_that_waited_has_the_rest: 400, None => 600;
-    /// Its goal is over, so only its caller's leaving still matters.
-    a_late_request_has_its_callers_patience: 1_500, None => 6_500;
+    a_waiting_request_has_the_rest_of_its_goal: 400, None => 600;
+    /// The goal has passed, so that only the caller's disconnection still matters.
+    a_late_request_has_until_the_gap_timeout: 1_500, None => 6_500;
     a_broken_stream_has_the_rest_of_a_pause: 5_000, Some(20) => 230;
-    a_stream_that_fell_silent_has_its_callers_patience: 5_000, Some(1_000) => 7_000;
-    nothing_is_hurried_beyond_a_few_passes: 0, Some(245) => 200;
-    a_caller_that_is_leaving_has_little: 9_000, None => 200;
+    a_silent_stream_has_until_the_gap_timeout: 5_000, Some(1_000) => 7_000;
+    the_time_left_is_at_least_a_few_passes: 0, Some(245) => 200;
+    a_caller_about_to_disconnect_has_the_minimum: 9_000, None => 200;
 }
--- a/crates/policy/tests/topology.rs
+++ b/crates/policy/tests/topology.rs
@@ -1,6 +1,6 @@
 //! Rendezvous hashing and the links between instances.
 
-// Helpers of tests count as tests; the linter's exemption covers only the functions themselves.
+// Clippy exempts test functions from this lint, but not their helpers.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 }
 
 macro_rules! topology {
-    ($($case:ident: $data_centres:expr, $each:expr => at most $most:expr, mean $mean:expr;)*) => {$(
+    ($($case:ident: $data_centres:expr, $each:expr => at most $max:expr, mean $mean:expr;)*) => {$(
         #[test]
         fn $case() {
             let all = fleet($data_centres, $each);
@@ -28,7 +28,7 @@
                 all.iter().map(|me| links(me, &all).into_iter().collect()).collect();
             let counts: Vec<usize> = linked.iter().map(HashSet::len).collect();
             let mean = counts.iter().sum::<usize>() as f64 / counts.len() as f64;
-            assert!(counts.iter().all(|count| *count <= $most), "{counts:?}");
+            assert!(counts.iter().all(|count| *count <= $max), "{counts:?}");
             assert!((mean - $mean).abs() < 0.5, "{mean}");
             for (n, me) in all.iter().enumerate() {
                 for (m, other) in all.iter().enumerate() {
@@ -36,7 +36,7 @@
                     assert_eq!(here, linked[m].contains(&me.instance), "{me:?} {other:?}");
                 }
             }
-            assert_eq!(reached(&all, &linked), all.len());
+            assert_eq!(count_reachable(&all, &linked), all.len());
         }
     )*};
 }
@@ -48,7 +48,7 @@
     single_instances_in_many_data_centres: 20, 1 => at most 19, mean 19.0;
 }
 
-fn reached(all: &[InstanceLocation], linked: &[HashSet<InstanceId>]) -> usize {
+fn count_reachable(all: &[InstanceLocation], linked: &[HashSet<InstanceId>]) -> usize {
     let mut seen = HashSet::from([0]);
     let mut open = vec![0];
     while let Some(n) = open.pop() {
@@ -58,13 +58,13 @@
     seen.len()
 }
 
-fn names<T>(count: usize, name: impl Fn(String) -> T) -> Vec<T> {
+fn numbered<T>(count: usize, name: impl Fn(String) -> T) -> Vec<T> {
     (0..count).map(|n| name(format!("n-{n}"))).collect()
 }
 
 #[test]
 fn a_member_that_leaves_moves_only_its_own_keys() {
-    let members = names(18, |name| InstanceId::new(&name).unwrap());
+    let members = numbered(18, |name| InstanceId::new(&name).unwrap());
     let fewer = &members[..17];
     for key in 0..3_600 {
         let before = rendezvous::owner(key, &members).unwrap();
@@ -75,7 +75,7 @@
 
 #[test]
 fn ownership_is_spread_evenly() {
-    let members = names(18, |name| InstanceId::new(&name).unwrap());
+    let members = numbered(18, |name| InstanceId::new(&name).unwrap());
     let mut owned = [0; 18];
     (0..3_600).for_each(|n| {
         owned[rendezvous::owner(rendezvous::key(&format!("e{n}")), &members).unwrap()] += 1;
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn each_endpoint_has_its_senders_and_each_instance_its_part() {
-    let instances = names(70, |name| InstanceId::new(&name).unwrap());
-    let endpoints = names(720, |name| EndpointId::new(&name).unwrap());
+fn each_endpoint_has_its_senders_and_each_instance_a_balanced_subset() {
+    let instances = numbered(70, |name| InstanceId::new(&name).unwrap());
+    let endpoints = numbered(720, |name| EndpointId::new(&name).unwrap());
     let mut senders = vec![0; endpoints.len()];
     let mut largest = 0;
     for me in &instances {
-        let part = rendezvous::subset(me, &instances, &endpoints, 20);
-        largest = largest.max(part.len());
-        part.into_iter().for_each(|index| senders[index] += 1);
+        let subset = rendezvous::subset(me, &instances, &endpoints, 20);
+        largest = largest.max(subset.len());
+        subset.into_iter().for_each(|index| senders[index] += 1);
     }
     assert!(senders.iter().all(|count| *count == 20));
-    // The mean is 206.
+    // The mean subset has 206 endpoints.
     assert!(largest < 270, "{largest}");
     assert_eq!(rendezvous::subset(&instances[0], &instances[..4], &endpoints, 20).len(), 720);
 }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -155,7 +155,7 @@
             priority: self.priority,
             lease: self.lease,
             fingerprint: self.digest.fingerprint,
-            prefix: self.digest.blocks,
+            prefix: self.digest.block_hashes,
             prompt: self.digest.tokens,
             share,
             next: self.body.resume.as_ref().map_or(0, |resume| resume.from),
