--- a/crates/daemon/src/active.rs
+++ b/crates/daemon/src/active.rs
@@ -107,7 +107,7 @@
     fn add_endpoints(&self, active: &mut ActiveConfig, old: &ActiveConfig) {
         let data_centres = active.config.data_centres.clone();
         for (id, rules) in &active.config.endpoints {
-            let Some(kind) = kind_of(&active.config, &rules.group) else { continue };
+            let Some(kind) = endpoint_kind(&active.config, &rules.group) else { continue };
             let distance = distance(&data_centres, self.data_centre, &rules.data_centre);
             let config = endpoint_config(id, rules, kind, distance);
             let endpoint = match old.endpoints.get(id) {
@@ -165,7 +165,7 @@
     }
 }
 
-fn kind_of(config: &Config, group: &EndpointGroup) -> Option<EndpointKind> {
+fn endpoint_kind(config: &Config, group: &EndpointGroup) -> Option<EndpointKind> {
     config.deployments.values().find(|rules| rules.group == *group).map(|rules| rules.kind)
 }
 
--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -29,10 +29,10 @@
 impl BodyBudget {
     /// Acquires `bytes`, unless the total would exceed [`MAX_BUFFERED_BODY_BYTES`].
     pub fn try_acquire(&self, bytes: usize) -> Option<BodyPermit> {
-        let grown = |used_bytes: usize| {
+        let increased = |used_bytes: usize| {
             used_bytes.checked_add(bytes).filter(|sum| *sum <= MAX_BUFFERED_BODY_BYTES)
         };
-        self.used_bytes.fetch_update(Ordering::AcqRel, Ordering::Acquire, grown).ok()?;
+        self.used_bytes.fetch_update(Ordering::AcqRel, Ordering::Acquire, increased).ok()?;
         Some(BodyPermit { budget: self.clone(), bytes })
     }
 }
@@ -40,9 +40,9 @@
 impl BodyPermit {
     /// Reduces the permit to `bytes` and returns the rest to the budget.
     pub fn shrink_to(&mut self, bytes: usize) {
-        let over = self.bytes.saturating_sub(bytes);
-        self.budget.used_bytes.fetch_sub(over, Ordering::AcqRel);
-        self.bytes -= over;
+        let excess = self.bytes.saturating_sub(bytes);
+        self.budget.used_bytes.fetch_sub(excess, Ordering::AcqRel);
+        self.bytes -= excess;
     }
 }
 
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -35,8 +35,8 @@
     pub name: Deployment,
     clock: Clock,
     inner: Mutex<Inner<S>>,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_tx: Sender<()>,
+    wake_rx: Receiver<()>,
 }
 
 #[derive(Debug)]
@@ -48,9 +48,9 @@
 impl<S: Scheduler + 'static> DeploymentState<S> {
     /// A deployment whose requests `scheduler` decides about.
     pub fn new(name: Deployment, scheduler: S, clock: Clock) -> Arc<Self> {
-        let (wake, woken) = bounded(1);
+        let (wake_tx, wake_rx) = bounded(1);
         let inner = Mutex::new(Inner { scheduler, decision_txs: IndexMap::new() });
-        Arc::new(DeploymentState { name, clock, inner, wake, woken })
+        Arc::new(DeploymentState { name, clock, inner, wake_tx, wake_rx })
     }
 
     /// Applies a new configuration.
@@ -64,7 +64,7 @@
         let mut inner = lock(&self.inner);
         inner.scheduler.configure(rules, workspaces, endpoints, now);
         inner.poll_and_deliver(now);
-        self.wake.try_send(()).ok();
+        self.wake_tx.try_send(()).ok();
     }
 
     /// Offers a request to the scheduler. If it is admitted, its decisions arrive on the channel.
@@ -83,7 +83,7 @@
         inner.decision_txs.insert(id, tx);
         inner.poll_and_deliver(now);
         // The timer has to take the new request's wake-up into account.
-        self.wake.try_send(()).ok();
+        self.wake_tx.try_send(()).ok();
         Ok(rx)
     }
 
@@ -96,7 +96,7 @@
         }
         inner.scheduler.observe(event, now);
         inner.poll_and_deliver(now);
-        self.wake.try_send(()).ok();
+        self.wake_tx.try_send(()).ok();
     }
 
     /// Summary of the load that this instance causes.
@@ -113,16 +113,16 @@
     pub async fn run(this: Weak<Self>) {
         loop {
             let Some(state) = this.upgrade() else { return };
-            let pause = state.poll();
-            let woken = state.woken.clone();
+            let delay = state.poll();
+            let wake_rx = state.wake_rx.clone();
             drop(state);
             let timer = async {
-                Timer::after(pause).await;
+                Timer::after(delay).await;
             };
-            let wake = async {
-                woken.recv().await.ok();
+            let wake_up = async {
+                wake_rx.recv().await.ok();
             };
-            timer.or(wake).await;
+            timer.or(wake_up).await;
         }
     }
 
@@ -148,13 +148,13 @@
             Decision::Start(start) => start.request,
             Decision::Fail { request, .. } | Decision::Cancel { request, .. } => *request,
         };
-        let last = matches!(decision, Decision::Fail { .. });
+        let is_last = matches!(decision, Decision::Fail { .. });
         if let Some(tx) = self.decision_txs.get(&request)
             && tx.try_send(decision).is_err()
         {
             log::warn!(request = request.0; "decision_lost");
         }
-        if last {
+        if is_last {
             self.decision_txs.swap_remove(&request);
         }
     }
--- a/crates/daemon/src/endpoint.rs
+++ b/crates/daemon/src/endpoint.rs
@@ -57,13 +57,13 @@
 pub struct Endpoint {
     /// Its entry in the configuration.
     pub config: EndpointConfig,
-    state: Arc<State>,
+    state: Arc<RuntimeState>,
 }
 
 /// State that is kept when the endpoint's configuration changes: a stream that started under the
 /// old configuration still holds its memory under the new one.
 #[derive(Debug)]
-struct State {
+struct RuntimeState {
     /// Whether its load has been queried, even without success.
     load_queried: AtomicBool,
     lifecycle: Mutex<LifecycleState>,
@@ -83,7 +83,7 @@
     /// An endpoint that hasn't reported anything yet.
     pub fn new(config: EndpointConfig) -> Endpoint {
         let (abandoned_tx, abandoned_rx) = bounded(1);
-        let state = State {
+        let state = RuntimeState {
             load_queried: AtomicBool::new(false),
             lifecycle: Mutex::new(LifecycleState { incarnation: Incarnation(0), leaving: false }),
             holdings: Mutex::default(),
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -123,14 +123,14 @@
             match attempt.or(decided).await {
                 DriverEvent::Attempt(AttemptEnd::Request(end)) => return end,
                 DriverEvent::Attempt(AttemptEnd::Failed(cause)) => {
-                    self.attempt_failed(&start, cause)
+                    self.report_attempt_failure(&start, cause)
                 }
                 DriverEvent::Decision(decision) => next = Some(decision),
             }
         }
     }
 
-    fn attempt_failed(&self, start: &Start, cause: FailCause) {
+    fn report_attempt_failure(&self, start: &Start, cause: FailCause) {
         self.shared.metrics.record_failed_attempt(&self.guard.deployment.name, cause);
         self.request.received.record.update(|summary| summary.last_failure = Some(cause));
         log::info!(
--- a/crates/daemon/src/holdings.rs
+++ b/crates/daemon/src/holdings.rs
@@ -84,9 +84,10 @@
     /// Removes abandoned ids that are missing from a listing requested at `asked`. Those abandoned
     /// later are kept.
     pub fn record_listing(&mut self, page: &HeldPage, asked: Instant) {
-        let there: HashSet<&str> = page.held.iter().map(|held| held.id.as_str()).collect();
-        self.abandoned
-            .retain(|id, abandoned| abandoned.abandoned_at >= asked || there.contains(id.as_str()));
+        let listed_ids: HashSet<&str> = page.held.iter().map(|held| held.id.as_str()).collect();
+        self.abandoned.retain(|id, abandoned| {
+            abandoned.abandoned_at >= asked || listed_ids.contains(id.as_str())
+        });
     }
 
     /// Removes ids that were released and whose lease has expired since.
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -46,18 +46,18 @@
     clock: Clock,
     metrics: Arc<Metrics>,
     summary: Mutex<RequestSummary>,
-    _open: Arc<()>,
+    _in_flight_token: Arc<()>,
 }
 
 impl CallRecord {
-    /// The record of a request that has just arrived. It keeps `open` until the request has ended,
-    /// so that the instance can count its requests in flight.
+    /// The record of a request that has just arrived. It keeps `in_flight_token` until the request
+    /// has ended, so that the instance can count its requests in flight.
     pub fn new(
         id: RequestId,
         request_id: String,
         clock: Clock,
         metrics: Arc<Metrics>,
-        open: Arc<()>,
+        in_flight_token: Arc<()>,
     ) -> Self {
         metrics.requests_in_flight.add(1, &[]);
         let summary = RequestSummary {
@@ -75,7 +75,14 @@
             ran: RunStatus::No,
         };
         let arrived = clock.now();
-        CallRecord { id, arrived, clock, metrics, summary: Mutex::new(summary), _open: open }
+        CallRecord {
+            id,
+            arrived,
+            clock,
+            metrics,
+            summary: Mutex::new(summary),
+            _in_flight_token: in_flight_token,
+        }
     }
 
     /// The value of `x-request-id`.
