--- a/crates/daemon/src/controller/load.rs
+++ b/crates/daemon/src/controller/load.rs
@@ -1,5 +1,6 @@
-//! Asks one endpoint for its load, about once a second. The answer is also a probe: it comes over
-//! a new connection, so it tells a dead endpoint from one whose old connections went silent.
+//! Polls one endpoint for its load, about once a second. The query is also a health probe: it uses
+//! a new connection, so it distinguishes a dead endpoint from one whose existing connections went
+//! silent.
 
 use std::{
     sync::{Arc, Weak},
@@ -18,45 +19,45 @@
     shared::Shared,
 };
 
-/// Time between two polls. Reports lag by about as much themselves, so that polling faster tells
-/// little more, and a leaving endpoint has to be noticed within two seconds.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Time between polls. Load reports are about as late themselves, so faster polling would add
+/// little; but a leaving endpoint has to be noticed within two seconds.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Polls until the endpoint or the instance is gone.
+/// Polls until the endpoint or the instance is dropped.
 pub(super) async fn run(shared: Weak<Shared>, endpoint: Weak<Endpoint>) {
-    let mut failing = false;
+    let mut is_failing = false;
     loop {
         let Some(known) = endpoint.upgrade() else { return };
-        let load = ask(&known).await;
+        let load = query_load(&known).await;
         let Some(shared) = shared.upgrade() else { return };
         match load {
             Some(load) => {
-                report(&shared, &known, &load);
-                if failing {
-                    probe(&shared, &known, true);
+                report_load(&shared, &known, &load);
+                if is_failing {
+                    record_probe(&shared, &known, true);
                 }
-                failing = false;
+                is_failing = false;
             }
             None => {
-                probe(&shared, &known, false);
-                failing = true;
+                record_probe(&shared, &known, false);
+                is_failing = true;
             }
         }
         known.set_load_queried();
         drop((shared, known));
-        // Jitter, so that instances started together don't poll together for ever.
-        Timer::after(PERIOD.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
+        // Jitter keeps instances that started together from polling in step.
+        Timer::after(POLL_INTERVAL.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
     }
 }
 
-async fn ask(endpoint: &Endpoint) -> Option<Load> {
+async fn query_load(endpoint: &Endpoint) -> Option<Load> {
     match endpoint.config.kind {
         EndpointKind::Engine => endpoint.engine().load().await.ok(),
         EndpointKind::Service => HttpService::new(endpoint.config.address).load().await.ok(),
     }
 }
 
-fn report(shared: &Arc<Shared>, endpoint: &Endpoint, load: &Load) {
+fn report_load(shared: &Arc<Shared>, endpoint: &Endpoint, load: &Load) {
     let lifecycle = LifecycleState { incarnation: load.incarnation, leaving: load.leaving };
     shared.record_lifecycle(endpoint, lifecycle);
     let age = Duration::from_millis(load.age_ms);
@@ -75,7 +76,7 @@
     shared.notify_schedulers(endpoint, &Event::Load(report));
 }
 
-fn probe(shared: &Arc<Shared>, endpoint: &Endpoint, healthy: bool) {
+fn record_probe(shared: &Arc<Shared>, endpoint: &Endpoint, healthy: bool) {
     let event = Event::Probe { endpoint: endpoint.config.id.clone(), healthy };
     shared.notify_schedulers(endpoint, &event);
 }
--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -1,14 +1,14 @@
-//! Keeps an engine from losing memory: releases what this instance no longer wants, again and
-//! again until the engine has confirmed that it is gone, and renews what it wants.
+//! Keeps an engine from leaking memory: releases what this instance no longer needs until the
+//! engine confirms it, and renews what it needs.
 //!
-//! What this instance let go is released by the ids that it remembers, so that a listing that
-//! can't be read delays nothing. The listing finds the rest: what earlier lives of this instance
-//! and instances that are gone have left.
+//! What this instance gave up is released by the ids that it remembers, so a listing that can't be
+//! read doesn't delay it. The listing finds the rest: what earlier incarnations of this instance
+//! and dead instances have left.
 //!
-//! The failure: a release is lost on the way, or an instance dies with streams open over a link
-//! that the engine doesn't see break. It shows as memory that the engine lists under an owner
-//! who doesn't want it, for good. Comparing the listing with what is wanted, instead of trusting
-//! that a release arrived, catches both.
+//! The fault that this guards against: a release is lost, or an instance dies with open streams
+//! over a link whose failure the engine doesn't notice. The engine then lists the memory for good
+//! under an owner that doesn't need it. Comparing the listing with what is needed, instead of
+//! trusting that a release arrived, covers both cases.
 
 use std::{
     sync::{Arc, Weak},
@@ -25,56 +25,57 @@
 
 use crate::{endpoint::Endpoint, shared::Shared};
 
-/// Time between two sweeps when nothing was let go. A third of [`RESERVATION_LEASE`], so that two renewals
-/// may fail before a reservation lapses.
-const PERIOD: Duration = Duration::from_secs(5);
+/// Time between sweeps when nothing was given up. A third of [`RESERVATION_LEASE`], so that two
+/// renewals may fail before a reservation expires.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long the engine keeps a stream without connection, or a reservation without renewal. Long
-/// enough for an instance that was paused by its machine for some seconds.
+/// How long the engine keeps a stream without a connection, or a reservation without renewal. Long
+/// enough for an instance whose machine paused it for some seconds.
 pub const RESERVATION_LEASE: Duration = Duration::from_secs(15);
 
-/// Time between two sweeps while the engine still lists what was released.
-const AGAIN: Duration = Duration::from_millis(200);
+/// Time between sweeps while the engine still lists what was released.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sweeps in a row at the shorter distance, before the engine is left to the regular ones.
-const QUICK_SWEEPS: u32 = 20;
+/// Consecutive sweeps at the shorter interval, before the regular interval applies again.
+const MAX_QUICK_SWEEPS: u32 = 20;
 
-/// Ids in one call. The engine's answer may name them all, and links can break long answers.
-const IDS_AT_ONCE: usize = 16;
+/// Ids in one call. The engine's answer may name them all, and links can cut off long answers.
+const MAX_IDS_PER_CALL: usize = 16;
 
-/// Sweeps until the endpoint or the instance is gone.
+/// Sweeps until the endpoint or the instance is dropped.
 pub(super) async fn run(shared: Weak<Shared>, endpoint: Weak<Endpoint>) {
-    let mut quick = 0;
+    let mut quick_sweeps_left = 0;
     loop {
         let Some(known) = endpoint.upgrade() else { return };
-        let pause = if quick > 0 { Duration::ZERO } else { PERIOD };
-        let pause = async {
-            Timer::after(pause).await;
+        let delay = if quick_sweeps_left > 0 { Duration::ZERO } else { SWEEP_INTERVAL };
+        let delay = async {
+            Timer::after(delay).await;
             false
         };
-        let nudge = async {
+        let woken = async {
             known.wait_for_abandoned().await;
             true
         };
-        let nudged = nudge.or(pause).await;
+        let was_woken = woken.or(delay).await;
         let Some(shared) = shared.upgrade() else { return };
-        let found = sweep(&shared, &known).await;
-        quick = match found {
+        let remaining = sweep(&shared, &known).await;
+        quick_sweeps_left = match remaining {
             Ok(0) => 0,
-            _ if nudged => QUICK_SWEEPS,
-            _ => u32::saturating_sub(quick, 1),
+            _ if was_woken => MAX_QUICK_SWEEPS,
+            _ => u32::saturating_sub(quick_sweeps_left, 1),
         };
         drop((shared, known));
-        // However many callers hang up at once, the engine is asked for its listing only so often.
-        Timer::after(AGAIN).await;
+        // Bounds how often the engine is asked for its listing, even if many callers hang up at
+        // once.
+        Timer::after(MIN_SWEEP_INTERVAL).await;
     }
 }
 
-/// Releases what isn't wanted, and tells how much of it the engine hasn't shown to be gone.
+/// Releases unneeded memory, and returns how many ids the engine may still hold.
 async fn sweep(shared: &Shared, endpoint: &Arc<Endpoint>) -> Result<usize, EngineError> {
     let released = release_unwanted(endpoint).await;
     renew(shared, endpoint).await;
-    let asked = Instant::now();
+    let queried_at = Instant::now();
     let page = match listing::held(&endpoint.engine()).await {
         Ok(page) => page,
         Err(e) => {
@@ -83,30 +84,31 @@
             return released.and(Err(e));
         }
     };
-    endpoint.holdings().record_listing(&page, asked);
-    let left = left_over(shared, endpoint, &page);
-    release(endpoint, &left, "listing").await?;
-    released.map(|()| left.len())
+    endpoint.holdings().record_listing(&page, queried_at);
+    let unwanted_ids = find_unwanted(shared, endpoint, &page);
+    release(endpoint, &unwanted_ids, "listing").await?;
+    released.map(|()| unwanted_ids.len())
 }
 
-/// Releases what this instance let go, by the ids that it remembers.
+/// Releases what this instance gave up, by the ids that it remembers.
 async fn release_unwanted(endpoint: &Endpoint) -> Result<(), EngineError> {
     endpoint.holdings().expire(Instant::now());
     let ids = endpoint.holdings().abandoned();
     release(endpoint, &ids, "id").await
 }
 
-/// Releases `ids`. Fewer at once after an answer that broke off, because it may name them all.
+/// Releases `ids`. After an answer that was cut off they are released one at a time, because the
+/// answer may name all ids of a call.
 async fn release(endpoint: &Endpoint, ids: &[String], by: &str) -> Result<(), EngineError> {
     let engine = endpoint.engine();
     let mut rest = ids;
-    let mut most = IDS_AT_ONCE;
+    let mut max_ids = MAX_IDS_PER_CALL;
     while !rest.is_empty() {
-        let (some, others) = rest.split_at(most.min(rest.len()));
+        let (some, others) = rest.split_at(max_ids.min(rest.len()));
         match engine.release(some).await {
             Ok(()) => {}
-            Err(EngineError::Broken) if most > 1 => {
-                most = 1;
+            Err(EngineError::Broken) if max_ids > 1 => {
+                max_ids = 1;
                 continue;
             }
             Err(e) => {
@@ -126,7 +128,7 @@
 async fn renew(shared: &Shared, endpoint: &Endpoint) {
     let ids = endpoint.holdings().ids_to_renew();
     let lease_ms = RESERVATION_LEASE.as_millis() as u64;
-    for some in ids.chunks(IDS_AT_ONCE) {
+    for some in ids.chunks(MAX_IDS_PER_CALL) {
         // The next sweep renews again.
         if let Err(e) = endpoint.engine().renew(&shared.owner, some, lease_ms).await {
             log::info!(endpoint = endpoint.config.id.as_str(), error:% = e, count = some.len(); "memory_not_renewed");
@@ -134,26 +136,30 @@
     }
 }
 
-/// What the engine lists and nobody wants.
-fn left_over(shared: &Shared, endpoint: &Endpoint, page: &HeldPage) -> Vec<String> {
+/// Finds the ids that the engine lists and that no instance needs.
+fn find_unwanted(shared: &Shared, endpoint: &Endpoint, page: &HeldPage) -> Vec<String> {
     let owner = &shared.owner;
-    let foreign = super::chosen(shared, endpoint.config.id.as_str());
-    // What this life wants is noted before it is sent, so that nothing which is about to be wanted
-    // can look like something let go.
+    let is_responsible = super::is_responsible_for(shared, endpoint.config.id.as_str());
+    // This incarnation records what it needs before sending the request, so nothing that is about
+    // to be needed can look given up.
     let unwanted = |held: &&Held| match held.owner == *owner {
         true => !endpoint.holdings().is_wanted(&held.id),
-        false => is_predecessor(owner, &held.owner) || foreign && is_gone(shared, &held.owner),
+        false => {
+            is_earlier_incarnation(owner, &held.owner)
+                || is_responsible && has_dead_owner(shared, &held.owner)
+        }
     };
     page.held.iter().filter(unwanted).map(|held| held.id.clone()).collect()
 }
 
-/// Held by an earlier life of this instance: two lives never overlap, so that one is over.
-fn is_predecessor(owner: &Owner, holder: &Owner) -> bool {
+/// Whether an earlier incarnation of this instance holds it. Two incarnations never overlap, so the
+/// earlier one has ended.
+fn is_earlier_incarnation(owner: &Owner, holder: &Owner) -> bool {
     holder.instance == owner.instance && holder.incarnation < owner.incarnation
 }
 
-/// Held by an instance that is proved to be gone, see [`policy::membership::owners`].
-fn is_gone(shared: &Shared, holder: &Owner) -> bool {
+/// Whether the holder is proved dead, see [`policy::membership::owners`].
+fn has_dead_owner(shared: &Shared, holder: &Owner) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
     mesh.owner_status(&holder.instance, holder.incarnation) == OwnerStatus::Dead
 }
--- a/crates/daemon/src/controller/mod.rs
+++ b/crates/daemon/src/controller/mod.rs
@@ -1,4 +1,5 @@
-//! Controllers: each keeps one piece of state converging, for as long as its endpoint is known.
+//! Controllers: background tasks that each keep one piece of state converging towards the
+//! configuration.
 
 mod cache;
 pub mod configuration;
@@ -17,7 +18,7 @@
 
 use crate::{endpoint::Endpoint, peer::PeerEvent, shared::Shared};
 
-/// Starts the controllers of a new endpoint. They end when the endpoint is gone from the
+/// Starts the controllers of a new endpoint. They end once the endpoint has been removed from the
 /// configuration and no request uses it any more.
 pub fn start(shared: &Arc<Shared>, endpoint: &Arc<Endpoint>) {
     let weak = Arc::downgrade(endpoint);
@@ -28,19 +29,20 @@
     }
 }
 
-/// Starts the exchanges with the other instances, and what is shared out among them.
+/// Starts the exchange with other instances, and the tasks that are divided among them.
 pub fn start_peers(shared: &Arc<Shared>, events: Receiver<PeerEvent>) {
     peers::start(shared, events);
     shared.spawn(orders::run(Arc::downgrade(shared)));
 }
 
-/// Whether this instance looks after what is called `name`. Everything has one such instance;
-/// while views of who lives differ it may have two, so whatever they do must do no harm twice.
-fn chosen(shared: &Shared, name: &str) -> bool {
+/// Whether this instance is responsible for what `name` identifies, by rendezvous hashing. While
+/// instances disagree on who is live, two may be responsible for the same name, so their actions
+/// must be idempotent.
+fn is_responsible_for(shared: &Shared, name: &str) -> bool {
     let Some(mesh) = shared.mesh() else { return false };
     let live = mesh.status().into_iter().filter(|peer| peer.state == MemberState::Live);
     let mut members: Vec<_> = live.map(|peer| peer.instance).collect();
     members.push(shared.owner.instance.clone());
-    let chosen = rendezvous::owner(rendezvous::key(name), &members);
-    chosen.and_then(|index| members.get(index)) == Some(&shared.owner.instance)
+    let owner = rendezvous::owner(rendezvous::key(name), &members);
+    owner.and_then(|index| members.get(index)) == Some(&shared.owner.instance)
 }
--- a/crates/daemon/src/controller/orders.rs
+++ b/crates/daemon/src/controller/orders.rs
@@ -1,6 +1,6 @@
-//! Keeps engines loaded with what the configuration wants; [`policy::orders`] decides which one is
-//! next. One instance looks after each deployment, chosen by rendezvous hash; two at once give the
-//! same orders.
+//! Keeps engines loaded with the configured models; [`policy::orders`] decides which engine is
+//! next. One instance is responsible for each deployment, chosen by rendezvous hashing; if two are,
+//! they give the same orders.
 
 use std::{
     sync::{Arc, Weak},
@@ -26,35 +26,40 @@
     shared::Shared,
 };
 
-/// Time between two looks. Loading takes minutes, so that some seconds more matter little.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Time between checks. Loading a model takes minutes, so a delay of seconds matters little.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks after the deployments that fall to this instance, until it is gone.
+/// Reconciles the deployments that this instance is responsible for, until it is dropped.
 pub(super) async fn run(shared: Weak<Shared>) {
     loop {
-        Timer::after(PERIOD).await;
+        Timer::after(CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let active = shared.active();
         for route in active.deployments.values() {
             let Some(serve) = &route.rules.serve else { continue };
-            if super::chosen(&shared, route.rules.group.as_str()) {
-                look_after(&shared, &active, route, serve).await;
+            if super::is_responsible_for(&shared, route.rules.group.as_str()) {
+                reconcile_deployment(&shared, &active, route, serve).await;
             }
         }
     }
 }
 
-async fn look_after(shared: &Shared, active: &ActiveConfig, route: &Route, serve: &ServeRules) {
+async fn reconcile_deployment(
+    shared: &Shared,
+    active: &ActiveConfig,
+    route: &Route,
+    serve: &ServeRules,
+) {
     let engines = active.endpoints.values().filter(|e| e.config.group == route.rules.group);
-    let wanted = order(serve, active.version);
-    let mut replicas = Vec::new();
+    let desired = desired_order(serve, active.version);
+    let mut statuses = Vec::new();
     for engine in engines {
-        // One that doesn't answer is left out: it neither serves nor loads.
+        // An engine that doesn't answer is left out: it neither serves nor loads.
         if let Ok(state) = engine.engine().order_state().await {
-            replicas.push(replica(engine, &state, &wanted));
+            statuses.push(engine_status(engine, &state, &desired));
         }
     }
-    match next_step(&replicas, active.version) {
+    match next_step(&statuses, active.version) {
         RolloutStep::Done | RolloutStep::Loading(_) => {}
         RolloutStep::Behind(endpoint) => {
             log::info!(endpoint = endpoint.as_str(); "order_newer_than_configuration");
@@ -66,13 +71,13 @@
             if let Some(engine) = active.endpoints.get(&endpoint)
                 && weights_exist(shared, serve).await
             {
-                give(engine, &wanted).await;
+                send_order(engine, &desired).await;
             }
         }
     }
 }
 
-fn order(serve: &ServeRules, version: Version) -> Order {
+fn desired_order(serve: &ServeRules, version: Version) -> Order {
     Order {
         model: serve.model.clone(),
         version: serve.version.clone(),
@@ -82,26 +87,26 @@
     }
 }
 
-fn replica(engine: &Arc<Endpoint>, state: &OrderState, wanted: &Order) -> EngineStatus {
-    let known = state.order.as_ref();
-    // An unchanged wish isn't ordered again with each change of other things.
-    let is_current =
-        known.is_some_and(|known| Order { fencing: wanted.fencing, ..known.clone() } == *wanted);
+fn engine_status(engine: &Arc<Endpoint>, state: &OrderState, desired: &Order) -> EngineStatus {
+    let current = state.order.as_ref();
+    // An unchanged order isn't sent again when other parts of the configuration change.
+    let is_current = current
+        .is_some_and(|current| Order { fencing: desired.fencing, ..current.clone() } == *desired);
     EngineStatus {
         endpoint: engine.config.id.clone(),
         is_current,
         ready: state.ready,
-        fencing: Version(known.map_or(0, |known| known.fencing)),
+        fencing: Version(current.map_or(0, |current| current.fencing)),
     }
 }
 
-/// Whether the store has the weights and isn't over its rate. An engine that gave up its model for
-/// one that can't be had would be lost.
+/// Whether the store has the weights and isn't over its rate limit. An engine that gave up its
+/// model for one that can't be fetched would serve nothing.
 async fn weights_exist(shared: &Shared, serve: &ServeRules) -> bool {
     let Some(address) = shared.settings.weights else { return true };
     match HttpWeightStore::new(address).size(&serve.model, &serve.version).await {
         Ok(_) => true,
-        // The next look asks again.
+        // The next check tries again.
         Err(WeightError::Busy(_)) => false,
         Err(e) => {
             log::warn!(model = serve.model.as_str(), version = serve.version.as_str(), cause:% = e;
@@ -111,14 +116,14 @@
     }
 }
 
-async fn give(engine: &Endpoint, wanted: &Order) {
-    let result = engine.engine().order(wanted).await;
-    // Whatever came of it, the next look compares again.
+async fn send_order(engine: &Endpoint, desired: &Order) {
+    let result = engine.engine().order(desired).await;
+    // Whatever the result, the next check compares again.
     log::info!(
         endpoint = engine.config.id.as_str(),
-        model = wanted.model.as_str(),
-        version = wanted.version.as_str(),
-        fencing = wanted.fencing,
+        model = desired.model.as_str(),
+        version = desired.version.as_str(),
+        fencing = desired.fencing,
         result:% = result.map_or_else(|e| e.to_string(), |_| "taken".to_owned());
         "engine_ordered"
     );
--- a/crates/daemon/src/controller/peers.rs
+++ b/crates/daemon/src/controller/peers.rs
@@ -1,5 +1,5 @@
-//! Exchanges with the other instances: what each has under way, which configuration is in force,
-//! which endpoints are leaving, and who is gone.
+//! Exchange with the other instances: load digests, the configuration in force, endpoints that are
+//! leaving, and instances that were removed.
 
 use std::{
     sync::{Arc, Weak},
@@ -22,24 +22,24 @@
     shared::Shared,
 };
 
-/// Time between two tellings of this instance's load. Half a heartbeat, so that a decision
-/// elsewhere knows of work sent here about as early as the endpoint's own report does.
-const SHARE_PERIOD: Duration = Duration::from_millis(500);
+/// Time between sending this instance's load. Half a heartbeat interval, so that other instances
+/// learn of work sent from here about as early as from the endpoint's own load report.
+const LOAD_SHARE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two readings of the platform's list, which lags by more than that.
-const LIST_PERIOD: Duration = Duration::from_secs(2);
+/// Time between reads of the platform's list, which lags by more than that itself.
+const LIST_READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Starts the exchanges.
+/// Starts the tasks of the exchange.
 pub(super) fn start(shared: &Arc<Shared>, events: Receiver<PeerEvent>) {
-    shared.spawn(listen(Arc::downgrade(shared), events));
-    shared.spawn(share_load(Arc::downgrade(shared)));
-    shared.spawn(read_list(Arc::downgrade(shared)));
+    shared.spawn(apply_events(Arc::downgrade(shared), events));
+    shared.spawn(share_loads(Arc::downgrade(shared)));
+    shared.spawn(poll_instance_list(Arc::downgrade(shared)));
     shared.spawn(ledgers::run(Arc::downgrade(shared)));
 }
 
-async fn share_load(shared: Weak<Shared>) {
+async fn share_loads(shared: Weak<Shared>) {
     loop {
-        Timer::after(SHARE_PERIOD).await;
+        Timer::after(LOAD_SHARE_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let Some(mesh) = shared.mesh() else { continue };
         for (name, route) in &shared.active().deployments {
@@ -48,7 +48,7 @@
     }
 }
 
-async fn read_list(shared: Weak<Shared>) {
+async fn poll_instance_list(shared: Weak<Shared>) {
     loop {
         let Some(state) = shared.upgrade() else { return };
         let Some(address) = state.settings.instances else { return };
@@ -59,29 +59,29 @@
             mesh.apply_list(&page);
         }
         drop(state);
-        Timer::after(LIST_PERIOD.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
+        Timer::after(LIST_READ_INTERVAL.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
     }
 }
 
-async fn listen(shared: Weak<Shared>, events: Receiver<PeerEvent>) {
+async fn apply_events(shared: Weak<Shared>, events: Receiver<PeerEvent>) {
     while let Ok(event) = events.recv().await {
         let Some(shared) = shared.upgrade() else { return };
-        take(&shared, event);
+        apply_event(&shared, event);
     }
 }
 
-fn take(shared: &Arc<Shared>, event: PeerEvent) {
+fn apply_event(shared: &Arc<Shared>, event: PeerEvent) {
     match event {
         PeerEvent::Linked(hello) => {
             log::info!(peer = hello.instance.as_str(), incarnation = hello.incarnation.0; "peer_linked");
-            greet(shared, &hello.instance);
+            send_current_state(shared, &hello.instance);
         }
         PeerEvent::Load { deployment, digest } => {
             if let Some(route) = shared.active().deployments.get(&deployment) {
                 route.deployment.observe(Event::Peer(digest));
             }
         }
-        PeerEvent::Message { from, message } => answer(shared, &from, message),
+        PeerEvent::Message { from, message } => apply_message(shared, &from, message),
         PeerEvent::Leaving { instance, incarnation } => {
             log::info!(peer = instance.as_str(), incarnation = incarnation.0; "peer_leaving");
         }
@@ -95,12 +95,12 @@
     }
 }
 
-/// Tells a peer what it may have missed. A version that it lacks it then asks for, which is how an
-/// instance that starts while the log is down gets its configuration.
-fn greet(shared: &Shared, peer: &InstanceId) {
+/// Sends a peer the state that it may have missed. It then requests a version that it lacks, which
+/// is how an instance that starts while the log is down gets its configuration.
+fn send_current_state(shared: &Shared, peer: &InstanceId) {
     let active = shared.active();
     if active.version > Version(0) {
-        tell(shared, peer, Message::ConfigVersion(active.version));
+        send(shared, peer, Message::ConfigVersion(active.version));
     }
     for endpoint in active.endpoints.values().filter(|endpoint| endpoint.lifecycle().leaving) {
         let endpoint = EndpointStateUpdate {
@@ -108,51 +108,52 @@
             incarnation: endpoint.lifecycle().incarnation,
             state: EndpointState::Leaving,
         };
-        tell(shared, peer, Message::Endpoint(endpoint));
+        send(shared, peer, Message::Endpoint(endpoint));
     }
 }
 
-fn tell(shared: &Shared, peer: &InstanceId, message: Message) {
-    // Without a link there is nobody to tell; the next link begins with the whole state.
+fn send(shared: &Shared, peer: &InstanceId, message: Message) {
+    // An error means that there is no link; the next one starts with the complete state.
     if let Some(mesh) = shared.mesh() {
         mesh.send_to(peer, message).ok();
     }
 }
 
-fn answer(shared: &Arc<Shared>, from: &InstanceId, message: Message) {
+fn apply_message(shared: &Arc<Shared>, from: &InstanceId, message: Message) {
     match message {
-        Message::Endpoint(news) => endpoint_news(shared, &news),
+        Message::Endpoint(update) => apply_endpoint_update(shared, &update),
         Message::ConfigVersion(version) if version > shared.active().version => {
-            tell(shared, from, Message::ConfigWanted(version));
+            send(shared, from, Message::ConfigWanted(version));
         }
-        Message::ConfigWanted(version) => give_config(shared, from, version),
-        Message::Config { version, content } => take_config(shared, from, version, &content),
+        Message::ConfigWanted(version) => send_config(shared, from, version),
+        Message::Config { version, content } => apply_config(shared, from, version, &content),
         Message::StatusWanted { query } => {
             let status = crate::admin::status(shared);
-            // Plain strings and numbers can always be written.
+            // Plain strings and numbers can always be serialised.
             let content = Bytes::from(serde_json::to_vec(&status).unwrap_or_default());
-            tell(shared, from, Message::Status { query, content });
+            send(shared, from, Message::Status { query, content });
         }
-        Message::LedgerRead(ends) => ledgers::heard(shared, &ends),
+        Message::LedgerRead(ends) => ledgers::apply_stream_ends(shared, &ends),
         Message::Status { query, content } => shared.status_queries.record_reply(query, content),
         Message::ConfigVersion(_) => {}
     }
 }
 
-/// Another instance saw an endpoint leave. Only that is taken over: whether an endpoint is dead
-/// depends on the link to it, and each instance has its own.
-fn endpoint_news(shared: &Shared, news: &EndpointStateUpdate) {
+/// Applies another instance's observation of an endpoint, if it is that the endpoint is leaving.
+/// Whether an endpoint is dead depends on the connection to it, which each instance judges for
+/// itself.
+fn apply_endpoint_update(shared: &Shared, update: &EndpointStateUpdate) {
     let active = shared.active();
-    let Some(endpoint) = active.endpoints.get(&news.endpoint) else { return };
-    if news.state == EndpointState::Leaving {
+    let Some(endpoint) = active.endpoints.get(&update.endpoint) else { return };
+    if update.state == EndpointState::Leaving {
         shared.record_lifecycle(
             endpoint,
-            LifecycleState { incarnation: news.incarnation, leaving: true },
+            LifecycleState { incarnation: update.incarnation, leaving: true },
         );
     }
 }
 
-fn give_config(shared: &Shared, peer: &InstanceId, wanted: Version) {
+fn send_config(shared: &Shared, peer: &InstanceId, wanted: Version) {
     let active = shared.active();
     if active.version < wanted {
         return;
@@ -160,15 +161,15 @@
     match serde_json::to_vec(&active.config) {
         Ok(content) => {
             let message = Message::Config { version: active.version, content: content.into() };
-            tell(shared, peer, message);
+            send(shared, peer, message);
         }
         Err(e) => log::error!(cause:% = e; "config_not_written"),
     }
 }
 
-/// Takes over a peer's configuration after the same checks that every instance makes, so that one
-/// faulty instance can't spread what the others would refuse.
-fn take_config(shared: &Arc<Shared>, from: &InstanceId, version: Version, content: &[u8]) {
+/// Applies a peer's configuration after the same checks that every instance makes, so that a faulty
+/// instance can't spread a configuration that the others would refuse.
+fn apply_config(shared: &Arc<Shared>, from: &InstanceId, version: Version, content: &[u8]) {
     let text = String::from_utf8_lossy(content).into_owned();
     let name = format!("version {version} from {from}");
     match load(&[SourceFile { name, text }]) {
