--- a/crates/daemon/src/checkpoint.rs
+++ b/crates/daemon/src/checkpoint.rs
@@ -56,7 +56,8 @@
 ) {
     let log_retention = schedule.log_retention;
     // Jitter; otherwise all instances would write theirs at the same time.
-    let due = (log_retention / CHECKPOINTS_PER_RETENTION).mul_f64(0.75 + 0.5 * fastrand::f64());
+    let checkpoint_interval =
+        (log_retention / CHECKPOINTS_PER_RETENTION).mul_f64(0.75 + 0.5 * fastrand::f64());
     let (mut last_covered, mut covered_at) = (None, clock.now());
     let mut written_at = None;
     loop {
@@ -69,8 +70,8 @@
         }
         let awaits_read_back =
             written_at.is_some_and(|written_at| now.since(written_at) < READ_BACK_TIMEOUT);
-        let urgent = source.is_urgent() && !awaits_read_back;
-        if !urgent && now.since(covered_at) < due {
+        let is_urgent = source.is_urgent() && !awaits_read_back;
+        if !is_urgent && now.since(covered_at) < checkpoint_interval {
             continue;
         }
         let id = format!("{}/{}", schedule.writer, now.0);
--- a/crates/daemon/src/ledger/claim.rs
+++ b/crates/daemon/src/ledger/claim.rs
@@ -12,8 +12,7 @@
 use crate::endpoint::lock;
 
 /// The exclusive right to run one call. It ends by [`RunClaim::complete`],
-/// [`RunClaim::mark_unknown`] or [`RunClaim::abandon`]. Dropping it records the strongest outcome
-/// that is still certain.
+/// [`RunClaim::mark_unknown`] or [`RunClaim::abandon`]; dropping it is the same as abandoning it.
 pub struct RunClaim<L: Log> {
     ledger: Option<Ledger<L>>,
     key: CallKey,
--- a/crates/daemon/src/ledger/decide.rs
+++ b/crates/daemon/src/ledger/decide.rs
@@ -8,12 +8,12 @@
 /// The next step of a call.
 pub(super) enum NextStep {
     Finish(OutcomeWithoutRun),
-    /// Wait: another call with the same key is in flight.
-    Wait(Receiver<()>),
-    /// Wait: the stream hasn't been read to its end yet.
-    Read(Receiver<()>),
-    /// Wait for the call's own claim, which has been queued.
-    Claim(Receiver<()>),
+    /// Another call with the same key is in flight.
+    WaitForKey(Receiver<()>),
+    /// The stream hasn't been read to its end yet.
+    WaitForStreamEnd(Receiver<()>),
+    /// The call's own claim has been queued.
+    WaitForClaim(Receiver<()>),
 }
 
 /// Outcome of a call that ends without running here. The variants are described at
@@ -69,7 +69,7 @@
     }
     if let Some(attempt) = key_state.next_attempt(req.deduplicates, ledger.now_ms()) {
         // A caller with this key was told "not run". Only a call that arrived after that reply may
-        // run.
+        // run, or the reply would become false.
         let must_not_run = waited && key_state.phase == Phase::NotRun;
         return if must_not_run {
             KeyDecision::Finish(OutcomeWithoutRun::NotRun)
--- a/crates/daemon/src/ledger/mod.rs
+++ b/crates/daemon/src/ledger/mod.rs
@@ -214,20 +214,20 @@
             let next = lock(&self.core.state).next_step(&req, waited, now);
             let changed = match next {
                 NextStep::Finish(outcome) => return outcome.into(),
-                NextStep::Read(changed) => {
+                NextStep::WaitForStreamEnd(changed) => {
                     if !self.completes_by(req.deadline, changed.recv()).await {
                         return ClaimOutcome::Unknown;
                     }
                     continue;
                 }
-                NextStep::Wait(changed) => {
+                NextStep::WaitForKey(changed) => {
                     if !self.completes_by(req.deadline, changed.recv()).await {
                         return ClaimOutcome::Unknown;
                     }
                     waited = true;
                     continue;
                 }
-                NextStep::Claim(changed) => changed,
+                NextStep::WaitForClaim(changed) => changed,
             };
             self.core.wake_tx.try_send(()).ok();
             // Dropped with this future when the caller disconnects, which abandons the claim.
--- a/crates/daemon/src/ledger/reader.rs
+++ b/crates/daemon/src/ledger/reader.rs
@@ -8,8 +8,8 @@
 use super::{Core, wake_all};
 use crate::endpoint::lock;
 
-/// Limit on the records of one read. A page of large answers stays below the client's limit of 16
-/// MB.
+/// Limit on the records of one read, which keeps a page of large answers below the client's limit
+/// of 16 MB.
 const MAX_PAGE_RECORDS: usize = 200;
 /// How long a read waits for a record. A connection that went silent is detected one second later,
 /// which must be well within a caller's deadline.
--- a/crates/daemon/src/ledger/state.rs
+++ b/crates/daemon/src/ledger/state.rs
@@ -21,10 +21,11 @@
 };
 use crate::clock;
 
-/// Limit on the claims that wait for an append. At 20 appends a second, a low rate, a hundred
-/// thousand would wait for longer than any caller does.
-const MAX_WAITING_CLAIMS: usize = 10_000;
-/// Limit on the keys of one stream. A key takes about 400 bytes besides its answer; otherwise a
+/// Limit on this instance's calls that have claimed and haven't ended, most of which wait for an
+/// append. At 20 appends a second, a low rate, a hundred thousand would wait for longer than any
+/// caller does.
+const MAX_OWN_CALLS: usize = 10_000;
+/// Limit on the keys of one stream; a key takes about 400 bytes besides its answer. Without it, a
 /// caller that keeps generating new keys would fill the memory of every instance for a whole
 /// retention window.
 const MAX_KEYS: usize = 1_000_000;
@@ -57,7 +58,7 @@
     pub(super) busy_since: Option<Time>,
     pub(super) reads_failing_since: Option<Time>,
     pub(super) own_calls: HashMap<CallKey, OwnCall>,
-    /// Answers of this instance's calls that the folded log doesn't contain yet.
+    /// Answers of this instance's calls that weren't read back from the log yet.
     pub(super) answers: HashMap<CallKey, (Fingerprint, Answer)>,
     pub(super) queue: Vec<Entry>,
     pub(super) sequence: u64,
@@ -137,14 +138,14 @@
         let Some(ledger) = self.replay.state().filter(|_| self.reached_end) else {
             return match self.is_down(now) {
                 true => NextStep::Finish(OutcomeWithoutRun::Behind),
-                false => NextStep::Read(self.add_waiter(&req.key)),
+                false => NextStep::WaitForStreamEnd(self.add_waiter(&req.key)),
             };
         };
         let attempt = match ledger.key_state(&req.key) {
             None => 1,
             Some(key_state) => match decide_by_key_state(key_state, ledger, req, waited) {
                 KeyDecision::Claim(attempt) => attempt,
-                KeyDecision::Wait => return NextStep::Wait(self.add_waiter(&req.key)),
+                KeyDecision::Wait => return NextStep::WaitForKey(self.add_waiter(&req.key)),
                 KeyDecision::Finish(outcome) => return NextStep::Finish(outcome),
             },
         };
@@ -154,17 +155,17 @@
             }
             return match call.refused {
                 true => NextStep::Finish(self.unavailable_outcome()),
-                false => NextStep::Wait(self.add_waiter(&req.key)),
+                false => NextStep::WaitForKey(self.add_waiter(&req.key)),
             };
         }
         if self.is_down(now) {
             return NextStep::Finish(self.unavailable_outcome());
         }
-        if self.own_calls.len() >= MAX_WAITING_CLAIMS || self.key_count() >= MAX_KEYS {
+        if self.own_calls.len() >= MAX_OWN_CALLS || self.key_count() >= MAX_KEYS {
             return NextStep::Finish(OutcomeWithoutRun::Full);
         }
         self.enqueue_claim(req, attempt, now);
-        NextStep::Claim(self.add_waiter(&req.key))
+        NextStep::WaitForClaim(self.add_waiter(&req.key))
     }
 
     /// Outcome of a call that can't be claimed while the log is down.
@@ -290,7 +291,7 @@
                 changed.extend(self.waiters.keys().cloned());
             }
         }
-        self.forget_stored_answers(&changed);
+        self.drop_stored_answers(&changed);
         self.update_own_claims(&mut changed);
         if self
             .in_flight
@@ -303,7 +304,7 @@
         changed.iter().flat_map(|key| self.waiters.remove(key).unwrap_or_default()).collect()
     }
 
-    fn forget_stored_answers(&mut self, changed: &[CallKey]) {
+    fn drop_stored_answers(&mut self, changed: &[CallKey]) {
         let Some(ledger) = self.replay.state() else { return };
         for key in changed {
             let stored = ledger.key_state(key).map(|key_state| &key_state.phase);
--- a/crates/policy/src/ledger/fold.rs
+++ b/crates/policy/src/ledger/fold.rs
@@ -152,14 +152,15 @@
     /// here and doesn't depend on when [`Ledger::expire`] last swept, so that all readers decide
     /// alike.
     pub fn sequence(&self, writer: &Writer) -> u64 {
-        let oldest = self.writer_expiry_ms();
-        let known = self.writers.get(writer).filter(|(_, seen_ms)| *seen_ms >= oldest);
-        known.map_or(0, |(sequence, _)| *sequence)
+        let oldest = self.oldest_retained_writer_ms();
+        let last_batch =
+            self.writers.get(writer).filter(|(_, last_batch_ms)| *last_batch_ms >= oldest);
+        last_batch.map_or(0, |(sequence, _)| *sequence)
     }
 
-    fn writer_expiry_ms(&self) -> u64 {
-        let kept = millis(self.window.0).saturating_add(millis(MAX_CLOCK_SKEW));
-        self.now_ms.saturating_sub(kept)
+    fn oldest_retained_writer_ms(&self) -> u64 {
+        let retention_ms = millis(self.window.0).saturating_add(millis(MAX_CLOCK_SKEW));
+        self.now_ms.saturating_sub(retention_ms)
     }
 
     fn apply_entry(
@@ -288,8 +289,8 @@
         }
         if now_ms >= self.swept_at_ms.saturating_add(WRITER_SWEEP_INTERVAL_MS) {
             self.swept_at_ms = now_ms;
-            let oldest = self.writer_expiry_ms();
-            self.writers.retain(|_, (_, seen_ms)| *seen_ms >= oldest);
+            let oldest = self.oldest_retained_writer_ms();
+            self.writers.retain(|_, (_, last_batch_ms)| *last_batch_ms >= oldest);
         }
     }
 }
@@ -316,8 +317,8 @@
     fn restore(window: &RetentionWindow, parts: Vec<LedgerPart>) -> Self {
         let mut ledger = Ledger::empty(window);
         for part in parts {
-            for (writer, sequence, seen_ms) in part.writers {
-                ledger.writers.insert(writer, (sequence, seen_ms));
+            for (writer, sequence, last_batch_ms) in part.writers {
+                ledger.writers.insert(writer, (sequence, last_batch_ms));
             }
             for (key, key_state) in part.keys {
                 let (expires_ms, bytes) = (key_state.expires_ms, key_state.body_bytes());
--- a/crates/policy/src/membership/member.rs
+++ b/crates/policy/src/membership/member.rs
@@ -74,8 +74,8 @@
         }
         // Such a list entry may still refer to the previous incarnation; applying it would exclude
         // an endpoint that has just restarted.
-        let may_mean_previous = self.replaced_at.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
-        if leaving && !may_mean_previous {
+        let may_refer_to_previous = self.replaced_at.is_some_and(|at| now.since(at) < MAX_LIST_LAG);
+        if leaving && !may_refer_to_previous {
             self.listed_leaving_at = Some(now);
         } else if !leaving && self.listed_leaving_at.is_some_and(|at| now.since(at) >= MAX_LIST_LAG)
         {
@@ -89,17 +89,17 @@
         if self.stopped {
             return MemberState::Dead;
         }
-        let silent = now.since(self.last_seen_at);
+        let silence = now.since(self.last_seen_at);
         // A member that was never seen directly is in service as long as the list contains it.
         let is_listed =
             !self.seen_directly && self.listed_at.is_some() && self.listed_at == list_read_at;
-        if silent >= DEAD_TIMEOUT && !is_listed {
+        if silence >= DEAD_TIMEOUT && !is_listed {
             return MemberState::Dead;
         }
         if self.leaving || self.operator_leaving || self.listed_leaving_at.is_some() {
             return MemberState::Leaving;
         }
-        if silent >= SUSPECT_TIMEOUT && !is_listed {
+        if silence >= SUSPECT_TIMEOUT && !is_listed {
             return MemberState::Suspect;
         }
         MemberState::Live
--- a/crates/policy/src/membership/mod.rs
+++ b/crates/policy/src/membership/mod.rs
@@ -124,15 +124,15 @@
 
     /// Applies a complete list. Members that it lacks are no longer confirmed by the list, which
     /// alone doesn't make a member dead that sends heartbeats.
-    pub fn apply_list(&mut self, lines: &[ListEntry<K>], now: Time) {
+    pub fn apply_list(&mut self, entries: &[ListEntry<K>], now: Time) {
         self.list_read_at = Some(now);
         self.members.values_mut().for_each(|member| member.listed_at = None);
-        for line in lines {
-            if let Some(member) = self.member(&line.member, line.incarnation, now) {
-                member.observe_listed(line.incarnation, line.leaving, now);
+        for entry in entries {
+            if let Some(member) = self.member(&entry.member, entry.incarnation, now) {
+                member.observe_listed(entry.incarnation, entry.leaving, now);
             }
         }
-        self.forget_long_dead(now);
+        self.remove_long_dead(now);
     }
 
     /// The member's state; [`MemberState::Dead`] if it is unknown.
@@ -167,7 +167,7 @@
     fn member(&mut self, key: &K, incarnation: Incarnation, now: Time) -> Option<&mut Member> {
         if !self.members.contains_key(key) {
             if self.members.len() >= MAX_MEMBERS {
-                self.forget_dead(now);
+                self.remove_dead(now);
             }
             if self.members.len() >= MAX_MEMBERS {
                 return None;
@@ -183,7 +183,7 @@
         current.then_some(member)
     }
 
-    fn forget_long_dead(&mut self, now: Time) {
+    fn remove_long_dead(&mut self, now: Time) {
         let list_read_at = self.list_read_at;
         self.members.retain(|_, member| {
             member.state(list_read_at, now) != MemberState::Dead
@@ -191,7 +191,7 @@
         });
     }
 
-    fn forget_dead(&mut self, now: Time) {
+    fn remove_dead(&mut self, now: Time) {
         let list_read_at = self.list_read_at;
         self.members.retain(|_, member| member.state(list_read_at, now) != MemberState::Dead);
     }
--- a/crates/policy/src/publication/fold.rs
+++ b/crates/policy/src/publication/fold.rs
@@ -231,8 +231,8 @@
         }
     }
 
-    fn restore(setup: &(), parts: Vec<PublicationPart>) -> Self {
-        let mut publication = Publication::empty(setup);
+    fn restore(params: &(), parts: Vec<PublicationPart>) -> Self {
+        let mut publication = Publication::empty(params);
         for part in parts {
             publication.config = load(&part.files).ok().map(|loaded| Arc::new(loaded.config));
             publication.version = part.version;
--- a/crates/policy/src/replay.rs
+++ b/crates/policy/src/replay.rs
@@ -65,10 +65,10 @@
     type Change;
 
     /// Creates the state before the first record.
-    fn empty(setup: &Self::Params) -> Self;
+    fn empty(params: &Self::Params) -> Self;
 
     /// Restores the state from all parts of a checkpoint.
-    fn restore(setup: &Self::Params, parts: Vec<Self::Part>) -> Self;
+    fn restore(params: &Self::Params, parts: Vec<Self::Part>) -> Self;
 
     /// Splits the state into at least one part, each small enough for one record.
     fn parts(&self) -> Vec<Self::Part>;
@@ -112,7 +112,7 @@
 
 /// Reader of a stream: the position up to which it was read, and the folded state.
 pub struct Replay<F: Fold> {
-    setup: F::Params,
+    params: F::Params,
     next: Offset,
     time_ms: u64,
     state: State<F>,
@@ -136,11 +136,11 @@
 
 impl<F: Fold> Replay<F> {
     /// Creates a reader that starts at the beginning of the stream.
-    pub fn new(setup: F::Params) -> Self {
-        let state = State::Complete(F::empty(&setup));
+    pub fn new(params: F::Params) -> Self {
+        let state = State::Complete(F::empty(&params));
         let (next, first_kept) = (Offset(0), Offset(0));
         Replay {
-            setup,
+            params,
             next,
             time_ms: 0,
             state,
@@ -266,7 +266,7 @@
         let Some((time_ms, parts)) = rebuild.add_part(part) else { return };
         let entries = std::mem::take(&mut rebuild.entries);
         self.time_ms = self.time_ms.max(time_ms);
-        let mut fold = F::restore(&self.setup, parts);
+        let mut fold = F::restore(&self.params, parts);
         for (entry, position) in entries {
             if position.offset >= covers {
                 let position = LogPosition { time_ms: position.time_ms.max(time_ms), ..position };
@@ -292,8 +292,8 @@
         let at = part.part;
         let covers = part.covers;
         parts[at] = Some(part);
-        let same = |other: &CheckpointPart<F::Part>| other.covers == covers;
-        if !parts.iter().all(|part| part.as_ref().is_some_and(same)) {
+        let same_covers = |other: &CheckpointPart<F::Part>| other.covers == covers;
+        if !parts.iter().all(|part| part.as_ref().is_some_and(same_covers)) {
             return None;
         }
         let parts = self.checkpoints.remove(&id)?;
