--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -151,7 +151,7 @@
     let path = match path {
         CHAT_PATH => CHAT_PATH,
         COMPLETIONS_PATH => COMPLETIONS_PATH,
-        _ => return Err(router::not_found(path)),
+        _ => return Err(router::not_found_error(path)),
     };
     match req.method() {
         Method::Post => Ok(RequestTarget::Model(path)),
--- a/crates/daemon/src/instance.rs
+++ b/crates/daemon/src/instance.rs
@@ -21,7 +21,7 @@
     metrics::Metrics,
     peer::{LOAD_BYTES_PER_SECOND, PeerConfig, PeerMesh},
     readiness,
-    server::{self, Audience, Service},
+    server::{self, Audience, ListenerContext},
     settings::Settings,
     shared::Shared,
 };
@@ -191,8 +191,8 @@
     let listener = server::bind(address).map_err(bind_error)?;
     let bound = listener.local_addr().map_err(bind_error)?;
     let chain = filter::chain(shared);
-    let service = Arc::new(Service { shared: shared.clone(), chain, audience });
-    shared.spawn(server::serve(listener, service));
+    let context = Arc::new(ListenerContext { shared: shared.clone(), chain, audience });
+    shared.spawn(server::serve(listener, context));
     Ok(bound)
 }
 
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! Listening for callers and operators.
+//! The HTTP server for callers and operators.
 
 pub mod connection;
-mod last_words;
+mod final_response;
 pub mod registry;
 pub mod respond;
 pub mod router;
@@ -15,57 +15,58 @@
 
 use crate::{error::CallError, filter::Chain, server::connection::Connection, shared::Shared};
 
-/// Which paths a listener serves.
+/// The clients that a listener serves, which determines its paths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
     /// Callers only: model calls and services.
     Callers,
     /// Operators' tools and probes only.
     Operators,
-    /// Both, where the settings name no address for operators.
+    /// Both, if the settings name no separate address for operators.
     Both,
 }
 
-/// Pause after a failed accept. The usual cause is that file descriptors have run out, and without
-/// a pause the loop would keep a thread busy until one is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The usual cause is that no file descriptor is free, and without a
+/// delay the loop would keep a thread busy until one is.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a connection needs to serve requests.
-pub struct Service {
-    /// The instance.
+/// What the connections of a listener need to serve requests.
+pub struct ListenerContext {
+    /// The state of the instance.
     pub shared: Arc<Shared>,
-    /// The filters.
+    /// The filters that process calls, in order.
     pub chain: Chain,
-    /// Which paths are served.
+    /// The clients that the listener serves.
     pub audience: Audience,
 }
 
 /// Binds a listener.
 pub use ::router::net::listen as bind;
 
-/// Accepts connections until it is dropped.
-pub async fn serve(listener: TcpListener, service: Arc<Service>) {
+/// Accepts connections until the future is dropped. Connections beyond `max_connections` get an
+/// error response.
+pub async fn serve(listener: TcpListener, context: Arc<ListenerContext>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if service.shared.connections.len() >= service.shared.settings.max_connections {
-            let bytes = respond::raw(&too_many(), None);
-            service.shared.spawn(async move { last_words::say(stream, &bytes).await });
+        if context.shared.connections.len() >= context.shared.settings.max_connections {
+            let bytes = respond::raw_error(&too_many_connections_error(), None);
+            context.shared.spawn(async move { final_response::send(stream, &bytes).await });
             continue;
         }
-        let conn = Connection::new(stream, service.shared.clock.now());
-        let registered = registry::register(&service.shared, conn.clone());
-        let service = service.clone();
-        service.shared.clone().spawn(async move {
-            conn.run(&service).await;
-            drop(registered);
+        let conn = Connection::new(stream, context.shared.clock.now());
+        let registration = registry::register(&context.shared, conn.clone());
+        let context = context.clone();
+        context.shared.clone().spawn(async move {
+            conn.run(&context).await;
+            drop(registration);
         });
     }
 }
 
-fn too_many() -> CallError {
+fn too_many_connections_error() -> CallError {
     CallError {
         status: StatusCode::ServiceUnavailable,
         code: "connections",
--- a/crates/daemon/src/server/registry.rs
+++ b/crates/daemon/src/server/registry.rs
@@ -1,9 +1,9 @@
-//! All open connections, watched together.
+//! The registry of open connections, with a periodic check that closes overdue ones.
 //!
-//! The failures: a caller that reads nothing keeps its connection and the answer's memory for
-//! ever, and a stopping instance waits for a caller that keeps an idle connection. One look at all
-//! connections every [`LOOK_PERIOD`] costs less than a timer for each, of which every one wakes
-//! the thread that waits for sockets.
+//! Guards against a caller that doesn't read, which would keep its connection and the response's
+//! memory for ever, and against a shutdown that waits for idle connections. One check of all
+//! connections every [`CHECK_INTERVAL`] costs less than a timer for each: every timer wakes the
+//! thread that polls the sockets.
 
 use std::{
     sync::{
@@ -22,73 +22,73 @@
     shared::{Shared, Stage},
 };
 
-/// How often connections are looked at. Deadlines of answers are kept exactly elsewhere; this
-/// only cuts callers that don't read.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+/// Interval between two checks of all connections. It may be coarse, because the deadlines of
+/// responses are enforced elsewhere; this only closes the connections of callers that don't read.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a stopping instance leaves a connection open on which no request is under way. The
-/// other side may be sending one at this moment; it then hears that the instance is stopping.
-const IDLE_GRACE: Duration = Duration::from_millis(500);
+/// How long an idle connection stays open once the instance refuses requests. The caller may just
+/// be sending a request, and then gets the response that the instance is shutting down.
+const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// All open connections.
+/// The open connections of callers and operators.
 #[derive(Debug, Default)]
 pub struct Registry {
-    next: AtomicU64,
-    open: Mutex<IndexMap<u64, Arc<Connection>>>,
+    next_key: AtomicU64,
+    connections_by_key: Mutex<IndexMap<u64, Arc<Connection>>>,
 }
 
-/// An entry of the registry; dropping it ends it.
-pub(super) struct Registered {
+/// Keeps a connection in the registry until it is dropped.
+pub(super) struct Registration {
     shared: Arc<Shared>,
     key: u64,
 }
 
 impl Registry {
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
-        lock(&self.open).len()
+        lock(&self.connections_by_key).len()
     }
 
-    /// Whether none is open.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn cut_late(&self, shared: &Shared) {
+    fn cut_overdue(&self, shared: &Shared) {
         let now = shared.clock.now();
         let idle_since = match shared.stage() {
             Stage::Refusing => {
-                Some(policy::Time(now.0.saturating_sub(IDLE_GRACE.as_micros() as u64)))
+                Some(policy::Time(now.0.saturating_sub(IDLE_GRACE_PERIOD.as_micros() as u64)))
             }
             Stage::Serving | Stage::Leaving => None,
         };
-        for conn in lock(&self.open).values() {
-            conn.cut_if_late(now, idle_since);
+        for conn in lock(&self.connections_by_key).values() {
+            conn.cut_if_overdue(now, idle_since);
         }
     }
 }
 
-/// Enters a connection.
-pub(super) fn register(shared: &Arc<Shared>, conn: Arc<Connection>) -> Registered {
+/// Adds a connection to the registry until the returned value is dropped.
+pub(super) fn register(shared: &Arc<Shared>, conn: Arc<Connection>) -> Registration {
     let registry = &shared.connections;
-    let key = registry.next.fetch_add(1, Ordering::Relaxed);
-    lock(&registry.open).insert(key, conn);
+    let key = registry.next_key.fetch_add(1, Ordering::Relaxed);
+    lock(&registry.connections_by_key).insert(key, conn);
     shared.metrics.connections.add(1, &[]);
-    Registered { shared: shared.clone(), key }
+    Registration { shared: shared.clone(), key }
 }
 
-impl Drop for Registered {
+impl Drop for Registration {
     fn drop(&mut self) {
-        lock(&self.shared.connections.open).swap_remove(&self.key);
+        lock(&self.shared.connections.connections_by_key).swap_remove(&self.key);
         self.shared.metrics.connections.add(-1, &[]);
     }
 }
 
-/// Looks at all connections until the instance is gone.
+/// Periodically closes overdue connections, until the instance is dropped.
 pub async fn watch(shared: Weak<Shared>) {
     loop {
-        Timer::after(LOOK_PERIOD).await;
+        Timer::after(CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        shared.connections.cut_late(&shared);
+        shared.connections.cut_overdue(&shared);
     }
 }
--- a/crates/daemon/src/server/respond.rs
+++ b/crates/daemon/src/server/respond.rs
@@ -1,4 +1,4 @@
-//! From answers and errors to HTTP responses.
+//! Converts answers and errors to HTTP responses.
 
 use bytes::Bytes;
 use http_types::{Body, Response, StatusCode};
@@ -8,10 +8,10 @@
     filter::{Answer, relay::EventBody},
 };
 
-/// The header that names a request, on every answer.
+/// The header with the request's id, sent with every response.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// The response to a call.
+/// Builds the response to a call.
 pub fn response(result: Result<Answer, CallError>) -> Response {
     match result {
         Ok(Answer::Complete(answer)) => {
@@ -28,10 +28,10 @@
     }
 }
 
-/// The media type of most answers.
+/// The media type of most responses.
 pub const JSON: &str = "application/json";
 
-/// A response of raw bytes.
+/// Builds a response with the given body. A `content_type` that isn't ASCII is left out.
 pub fn bytes(status: StatusCode, content_type: &str, content: Bytes) -> Response {
     let mut resp = Response::new(status);
     resp.set_body(&content[..]);
@@ -41,12 +41,12 @@
     resp
 }
 
-/// A response of text.
+/// Builds a plain text response.
 pub fn text(status: StatusCode, content: &str) -> Response {
     bytes(status, "text/plain; charset=utf-8", Bytes::copy_from_slice(content.as_bytes()))
 }
 
-/// The response that tells an error.
+/// Builds an error response.
 pub fn error(e: &CallError) -> Response {
     let mut resp = bytes(e.status, JSON, e.to_json());
     if let Some(seconds) = e.retry_after_seconds() {
@@ -55,8 +55,8 @@
     resp
 }
 
-/// The same error as bytes of a whole HTTP answer, for where there is no request to answer.
-pub fn raw(e: &CallError, request_id: Option<&str>) -> Vec<u8> {
+/// Encodes an error as a complete HTTP response, for connections without a parsed request.
+pub fn raw_error(e: &CallError, request_id: Option<&str>) -> Vec<u8> {
     let body = e.to_json();
     let retry_after =
         e.retry_after_seconds().map_or(String::new(), |wait| format!("retry-after: {wait}\r\n"));
@@ -74,7 +74,7 @@
     let mut resp = Response::new(StatusCode::Ok);
     resp.set_body(Body::from_reader(body, None));
     resp.insert_header("content-type", "text/event-stream");
-    // Asks reverse proxies in between not to collect events before passing them on.
+    // Asks reverse proxies not to buffer events.
     resp.insert_header("cache-control", "no-cache");
     resp.insert_header("x-accel-buffering", "no");
     resp
--- a/crates/daemon/src/server/router.rs
+++ b/crates/daemon/src/server/router.rs
@@ -1,4 +1,4 @@
-//! Which part of the daemon answers a path.
+//! Dispatches requests by path to the admin interface or the filters.
 
 use std::sync::Arc;
 
@@ -10,48 +10,48 @@
     admin,
     error::CallError,
     filter::{self, parse, workspace},
-    server::{Audience, Service, connection::Connection, respond},
+    server::{Audience, ListenerContext, connection::Connection, respond},
 };
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn route(
-    service: &Service,
+    context: &ListenerContext,
     conn: Arc<Connection>,
     mut req: Request,
 ) -> http_types::Result<Response> {
-    // Where callers and operators share an address, anyone who can call could publish a
-    // configuration or drain the instance; only this machine's own users may.
-    if service.audience == Audience::Both && admin::is_privileged(&req) && !conn.is_local() {
-        return Ok(respond::error(&not_for_callers()));
+    // If callers and operators share an address, every caller could publish a configuration or
+    // drain the instance. Privileged paths are then limited to connections from this machine.
+    if context.audience == Audience::Both && admin::is_privileged(&req) && !conn.is_loopback() {
+        return Ok(respond::error(&forbidden_error()));
     }
-    if service.audience != Audience::Callers
-        && let Some(resp) = Box::pin(admin::answer(&service.shared, &mut req)).await
+    if context.audience != Audience::Callers
+        && let Some(resp) = Box::pin(admin::answer(&context.shared, &mut req)).await
     {
         return Ok(resp);
     }
-    if service.audience == Audience::Operators {
-        return Ok(respond::error(&not_found(req.url().path())));
+    if context.audience == Audience::Operators {
+        return Ok(respond::error(&not_found_error(req.url().path())));
     }
     if req.method() == Method::Get && req.url().path() == "/v1/models" {
-        let mut resp = models(service, &req);
-        let record = service.shared.begin_request(parse::request_id(&req));
+        let mut resp = list_models(context, &req);
+        let record = context.shared.begin_request(parse::request_id(&req));
         record
             .update(|summary| (summary.status, summary.outcome) = (resp.status().into(), "listed"));
         resp.insert_header(respond::REQUEST_ID, record.request_id());
         return Ok(resp);
     }
-    // On the heap, so that a connection that is idle or passes on a stream doesn't carry the room
-    // that the filters take.
-    Ok(Box::pin(filter::answer(&service.chain, &service.shared, conn, req)).await)
+    // Boxed, so that an idle or streaming connection doesn't include the size of the filters'
+    // futures.
+    Ok(Box::pin(filter::answer(&context.chain, &context.shared, conn, req)).await)
 }
 
-fn not_for_callers() -> CallError {
+fn forbidden_error() -> CallError {
     let message = "this is served to other machines only where the settings name `admin_listen`";
     CallError::caller(StatusCode::Forbidden, "not_for_callers", message)
 }
 
-/// The error for a path that nothing serves.
-pub fn not_found(path: &str) -> CallError {
+/// The error for a path that isn't served.
+pub fn not_found_error(path: &str) -> CallError {
     let message = format!("nothing is served at `{path}`");
     CallError::caller(StatusCode::NotFound, "not_found", message)
 }
@@ -69,8 +69,8 @@
     owned_by: &'static str,
 }
 
-fn models(service: &Service, req: &Request) -> Response {
-    let active = service.shared.active();
+fn list_models(context: &ListenerContext, req: &Request) -> Response {
+    let active = context.shared.active();
     let key = workspace::bearer(req);
     if let Err(e) = workspace::identify(&active, key.as_deref()) {
         return respond::error(&e);
--- a/crates/daemon/src/server/stream.rs
+++ b/crates/daemon/src/server/stream.rs
@@ -1,4 +1,4 @@
-//! The caller's socket, with a guard on the heads of requests.
+//! The caller's socket, with a validator for the heads of requests.
 
 use std::{
     io,
@@ -12,45 +12,51 @@
 
 use crate::endpoint::lock;
 
-/// The most of a header's name that an error repeats.
-const NAME_SHOWN: usize = 64;
+/// Maximum length of a header name in an error message; longer names are cut off.
+const MAX_SHOWN_NAME_BYTES: usize = 64;
 
-/// Checks the bytes of a request's head as they come.
+/// Checks the bytes of a request's head as they are received.
 ///
-/// The failure: the HTTP library takes header values for ASCII and panics on others, which would
-/// end a thread of the daemon. So a head with such a byte is stopped before the library sees it.
+/// Guards against a panic that would end a thread of the daemon: the HTTP library assumes that
+/// header values are ASCII and panics otherwise. A head with such a byte is rejected before the
+/// library parses it.
 #[derive(Debug, Default)]
-pub struct HeadGuard {
-    armed: bool,
-    began: bool,
-    line: usize,
-    name: Vec<u8>,
-    in_name: bool,
-    /// How many bytes of the blank line that ends a head have been seen.
-    ending: usize,
-    finding: Option<String>,
+pub struct HeadValidator {
+    is_active: bool,
+    has_started: bool,
+    line_number: usize,
+    header_name: Vec<u8>,
+    in_header_name: bool,
+    /// How many bytes of the sequence `\r\n\r\n` that ends a head have been received.
+    end_bytes_seen: usize,
+    error: Option<String>,
 }
 
-impl HeadGuard {
-    /// Begins to check a new head.
-    pub fn arm(&mut self) {
-        *self = HeadGuard { armed: true, line: 1, in_name: true, ..HeadGuard::default() };
+impl HeadValidator {
+    /// Starts to check a new head.
+    pub fn reset(&mut self) {
+        *self = HeadValidator {
+            is_active: true,
+            line_number: 1,
+            in_header_name: true,
+            ..HeadValidator::default()
+        };
     }
 
-    /// Whether anything of the head has come.
-    pub fn began(&self) -> bool {
-        self.began
+    /// Whether any byte of the head has been received.
+    pub fn has_started(&self) -> bool {
+        self.has_started
     }
 
-    /// What was wrong with the head, if anything.
-    pub fn finding(&self) -> Option<&str> {
-        self.finding.as_deref()
+    /// Why the head was rejected, if it was.
+    pub fn error(&self) -> Option<&str> {
+        self.error.as_deref()
     }
 
-    /// Checks the next bytes; false where one of them must not pass.
+    /// Checks the next bytes; false if the head is to be rejected.
     pub fn check(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
-            if !self.armed {
+            if !self.is_active {
                 return true;
             }
             if !self.check_byte(*byte) {
@@ -61,56 +67,60 @@
     }
 
     fn check_byte(&mut self, byte: u8) -> bool {
-        self.began = true;
+        self.has_started = true;
         if !byte.is_ascii() || byte == 0 {
-            self.finding = Some(self.describe());
+            self.error = Some(self.describe_error());
             return false;
         }
-        self.ending = match (byte, self.ending) {
-            (b'\r', 0 | 2) | (b'\n', 1 | 3) => self.ending + 1,
+        self.end_bytes_seen = match (byte, self.end_bytes_seen) {
+            (b'\r', 0 | 2) | (b'\n', 1 | 3) => self.end_bytes_seen + 1,
             (b'\r', _) => 1,
             _ => 0,
         };
         match byte {
             b'\n' => {
-                self.line += 1;
-                self.name.clear();
-                self.in_name = true;
+                self.line_number += 1;
+                self.header_name.clear();
+                self.in_header_name = true;
+            }
+            b':' => self.in_header_name = false,
+            _ if self.in_header_name && self.header_name.len() < MAX_SHOWN_NAME_BYTES => {
+                self.header_name.push(byte)
             }
-            b':' => self.in_name = false,
-            _ if self.in_name && self.name.len() < NAME_SHOWN => self.name.push(byte),
             _ => {}
         }
-        self.armed = self.ending < 4;
+        self.is_active = self.end_bytes_seen < 4;
         true
     }
 
-    fn describe(&self) -> String {
-        let name = String::from_utf8_lossy(&self.name);
-        let place = match self.line {
+    fn describe_error(&self) -> String {
+        let header_name = String::from_utf8_lossy(&self.header_name);
+        let position = match self.line_number {
             1 => "the request line".to_owned(),
-            line => format!("line {line} of the head, header `{}`", name.trim()),
+            line_number => {
+                format!("line {line_number} of the head, header `{}`", header_name.trim())
+            }
         };
-        format!("{place} holds a byte that isn't printable ASCII")
+        format!("{position} holds a byte that isn't printable ASCII")
     }
 }
 
-/// The caller's socket. Clones are the same socket.
+/// The caller's socket, whose received bytes are validated. Clones share the same socket.
 #[derive(Debug, Clone)]
 pub struct CallerStream {
     inner: TcpStream,
-    guard: Arc<Mutex<HeadGuard>>,
+    validator: Arc<Mutex<HeadValidator>>,
 }
 
 impl CallerStream {
-    /// Guards `inner`.
+    /// Wraps `inner` with a validator that is inactive until it is reset.
     pub fn new(inner: TcpStream) -> Self {
-        CallerStream { inner, guard: Arc::default() }
+        CallerStream { inner, validator: Arc::default() }
     }
 
-    /// The guard.
-    pub fn guard(&self) -> &Mutex<HeadGuard> {
-        &self.guard
+    /// The validator of this socket's request heads.
+    pub fn validator(&self) -> &Mutex<HeadValidator> {
+        &self.validator
     }
 }
 
@@ -121,7 +131,7 @@
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.inner).poll_read(cx, buf))?;
-        match lock(&self.guard).check(&buf[..len]) {
+        match lock(&self.validator).check(&buf[..len]) {
             true => Poll::Ready(Ok(len)),
             false => Poll::Ready(Err(io::ErrorKind::InvalidData.into())),
         }
--- a/crates/daemon/tests/parsers.rs
+++ b/crates/daemon/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use daemon::{
     filter::scan::{PromptMember, scan},
-    server::stream::HeadGuard,
+    server::stream::HeadValidator,
 };
 use policy::{Tokens, prompt::PromptHasher};
 use quickcheck::quickcheck;
@@ -48,17 +48,17 @@
 
     fn a_head_passes_if_it_is_ascii(head: Vec<u8>, step: u8) -> bool {
         let head: Vec<u8> = head.into_iter().filter(|byte| *byte != b'\r').collect();
-        let mut guard = HeadGuard::default();
-        guard.arm();
-        let passed = head.chunks(usize::from(step).max(1)).all(|bytes| guard.check(bytes));
+        let mut validator = HeadValidator::default();
+        validator.reset();
+        let passed = head.chunks(usize::from(step).max(1)).all(|bytes| validator.check(bytes));
         passed == head.iter().all(|byte| byte.is_ascii() && *byte != 0)
     }
 
     fn a_body_behind_a_head_passes(body: Vec<u8>, step: u8) -> bool {
-        let mut guard = HeadGuard::default();
-        guard.arm();
+        let mut validator = HeadValidator::default();
+        validator.reset();
         let all = [b"POST / HTTP/1.1\r\nhost: h\r\n\r\n", &body[..]].concat();
-        all.chunks(usize::from(step).max(1)).all(|bytes| guard.check(bytes))
+        all.chunks(usize::from(step).max(1)).all(|bytes| validator.check(bytes))
     }
 }
 
