--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -122,7 +122,8 @@
     let daemon = Daemon::start("million", &Site::of_engines(&[engine.address()]));
     let address = daemon.address;
     let ask = move |tokens: u64, seed: u64| {
-        let shape = PromptShape { patience: common::PATIENCE, ..PromptShape::unique(tokens, seed) };
+        let shape =
+            PromptShape { patience: common::WAIT_TIMEOUT, ..PromptShape::unique(tokens, seed) };
         let prompt = Prompt::new(shape).key(common::KEY);
         smol::spawn(async move { prompt.send(address).await })
     };
--- a/crates/daemon/tests/common/log.rs
+++ b/crates/daemon/tests/common/log.rs
@@ -10,7 +10,7 @@
 use protocols::http::{HttpAnswer, HttpCall};
 use smol::block_on;
 
-use super::{Daemon, Folder, PATIENCE, Site};
+use super::{Daemon, Folder, Site, WAIT_TIMEOUT};
 
 impl Site {
     /// The site as one published file.
@@ -34,7 +34,7 @@
 
     /// A `GET` of the admin API.
     pub fn ask(&self, path: &str) -> HttpAnswer {
-        block_on(HttpCall::get(self.address, path, PATIENCE).send()).unwrap()
+        block_on(HttpCall::get(self.address, path, WAIT_TIMEOUT).send()).unwrap()
     }
 
     /// The daemon's own status.
@@ -46,14 +46,14 @@
     pub fn publish(&self, id: &str, base: u64, files: Vec<SourceFile>) -> PublishAnswer {
         let (id, by) = (id.to_owned(), "tester".to_owned());
         let content = PublishRequest { id, base: Version(base), by, files };
-        let call = HttpCall::post_json(self.address, "/admin/publish", &content, PATIENCE);
+        let call = HttpCall::post_json(self.address, "/admin/publish", &content, WAIT_TIMEOUT);
         block_on(call.unwrap().send()).unwrap().json().unwrap()
     }
 
     /// A call that may not be repeated: its status and the JSON of its body.
     pub fn register(&self, key: &str, body: &str, deadline: Duration) -> (u16, serde_json::Value) {
         let path = "/services/desk/registrations";
-        let mut call = HttpCall::post(self.address, path, body.to_owned().into(), PATIENCE);
+        let mut call = HttpCall::post(self.address, path, body.to_owned().into(), WAIT_TIMEOUT);
         call.headers = vec![
             ("authorization", format!("Bearer {}", super::KEY)),
             ("idempotency-key", key.to_owned()),
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub const KEY: &str = "desk-key";
 
 /// How long a test waits for something that has to come. Only a hang reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A group's servers.
 pub struct Site {
@@ -110,13 +110,13 @@
 
     /// The same with further settings.
     pub fn start_with(name: &str, site: &Site, more: &str) -> Daemon {
-        let daemon = Daemon::begin(name, site, more);
+        let daemon = Daemon::start_unready(name, site, more);
         wait_until("the daemon is ready", || daemon.get("/readyz").starts_with("HTTP/1.1 200"));
         daemon
     }
 
     /// The same without waiting until it is ready.
-    pub fn begin(name: &str, site: &Site, more: &str) -> Daemon {
+    pub fn start_unready(name: &str, site: &Site, more: &str) -> Daemon {
         let folder = Folder::new(name);
         folder.write("20-site.json", &site.config());
         let settings = format!(
@@ -188,7 +188,7 @@
 /// Sends raw bytes and reads until the other side closes.
 pub fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     // The daemon may answer and close before it has read everything.
     stream.write_all(text.as_bytes()).ok();
     let mut answer = Vec::new();
@@ -207,7 +207,7 @@
 /// Opens a stream and reads as far as its first token.
 pub fn open_stream(address: SocketAddr, body: &str) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(post("/v1/completions", body).as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -227,7 +227,7 @@
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use common::{Daemon, PATIENCE, Site, exchange, held, open_stream, post, prompt, wait_until};
+use common::{Daemon, Site, WAIT_TIMEOUT, exchange, held, open_stream, post, prompt, wait_until};
 use policy::Tokens;
 use standin::{
     Engine, EngineConfig,
@@ -23,7 +23,7 @@
 }
 
 fn ask(address: SocketAddr, seed: u64, output: u64) -> smol::Task<standin::client::Reply> {
-    let shape = PromptShape { output, patience: PATIENCE, ..PromptShape::unique(500, seed) };
+    let shape = PromptShape { output, patience: WAIT_TIMEOUT, ..PromptShape::unique(500, seed) };
     let prompt = Prompt::new(shape).key(common::KEY);
     smol::spawn(async move { prompt.send(address).await })
 }
@@ -107,7 +107,7 @@
     let other = smol::block_on(ask(daemon.address, 7, 10));
     assert!(other.whole, "{other:?}");
     wait_until("the engine holds nothing", || held(engine.address()).held.is_empty());
-    caller.set_read_timeout(Some(PATIENCE)).unwrap();
+    caller.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut rest = Vec::new();
     // A reset is as good an end as a close: the answer doesn't look whole.
     caller.read_to_end(&mut rest).ok();
--- a/crates/daemon/tests/published.rs
+++ b/crates/daemon/tests/published.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use common::{Daemon, PATIENCE, Site, wait_until};
+use common::{Daemon, Site, WAIT_TIMEOUT, wait_until};
 use daemon::admin::{Status, publish::PublishAnswer};
 use policy::{
     config::{SourceFile, Version},
@@ -154,7 +154,7 @@
 fn a_lost_answer_is_unknown_and_never_run_again() {
     let setup = Setup::start();
     setup.service.plan_fault(ServiceFault::LoseAnswer);
-    let (status, body) = setup.a.register("k", "{}", PATIENCE);
+    let (status, body) = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (502, &"unknown".into()), "{body}");
     for daemon in [&setup.a, &setup.b] {
         let (status, body) = daemon.register("k", "{}", SHORT);
@@ -167,10 +167,10 @@
 #[test]
 fn a_registration_sent_again_gets_the_first_answer() {
     let setup = Setup::start();
-    let first = setup.a.register("k", "{}", PATIENCE);
+    let first = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!(first.0, 200, "{}", first.1);
-    assert_eq!(setup.b.register("k", "{}", PATIENCE), first);
-    let (status, body) = setup.b.register("k", "{\"other\":1}", PATIENCE);
+    assert_eq!(setup.b.register("k", "{}", WAIT_TIMEOUT), first);
+    let (status, body) = setup.b.register("k", "{\"other\":1}", WAIT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (422, &"no".into()), "{body}");
     assert_eq!(setup.service.runs("k"), 1);
 }
@@ -183,10 +183,10 @@
     setup.a.publish("first", 0, setup.site.files());
     setup.wait_version(1);
     let mut stream = TcpStream::connect(setup.a.address).unwrap();
-    stream.write_all(registration("k", PATIENCE).as_bytes()).unwrap();
+    stream.write_all(registration("k", WAIT_TIMEOUT).as_bytes()).unwrap();
     wait_until("the service has it", || setup.service.calls() > 0);
     drop(stream);
-    let (status, body) = setup.b.register("k", "{}", PATIENCE);
+    let (status, body) = setup.b.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!((status, &body["run"]), (200, &1.into()), "{body}");
     assert_eq!(setup.service.runs("k"), 1);
 }
@@ -195,17 +195,17 @@
 #[test]
 fn a_log_outage_stops_only_calls_that_may_not_be_repeated() {
     let setup = Setup::start();
-    setup.a.register("before", "{}", PATIENCE);
-    wait_until("the answer is kept", || setup.b.register("before", "{}", PATIENCE).0 == 200);
+    setup.a.register("before", "{}", WAIT_TIMEOUT);
+    wait_until("the answer is kept", || setup.b.register("before", "{}", WAIT_TIMEOUT).0 == 200);
     setup.log.set_outage(Outage::Refuses);
     wait_until("the outage is noticed", || setup.a.register("x", "{}", SHORT).0 == 503);
-    let (status, body) = setup.a.register("k", "{}", PATIENCE);
+    let (status, body) = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (503, &"no".into()), "{body}");
     assert!(body["error"]["retry_after"].as_f64().unwrap() > 0.0);
     assert_eq!(setup.service.runs("k"), 0);
-    assert_eq!(setup.b.register("before", "{}", PATIENCE).0, 200);
+    assert_eq!(setup.b.register("before", "{}", WAIT_TIMEOUT).0, 200);
     setup.log.set_outage(Outage::Up);
-    wait_until("registrations go on", || setup.a.register("k", "{}", PATIENCE).0 == 200);
+    wait_until("registrations go on", || setup.a.register("k", "{}", WAIT_TIMEOUT).0 == 200);
     assert_eq!(setup.service.runs("k"), 1);
 }
 
@@ -214,7 +214,7 @@
 #[test]
 fn a_log_that_drops_its_records_loses_neither_configuration_nor_answers() {
     let setup = Setup::start();
-    let first = setup.a.register("k", "{}", PATIENCE);
+    let first = setup.a.register("k", "{}", WAIT_TIMEOUT);
     wait_until("the answer is in the log", || {
         setup.log.records("ledger-0").iter().any(|record| contains(&record.data, "done"))
     });
@@ -228,7 +228,7 @@
     drop((a, b));
     let c = Daemon::follow("entry-c", log.address(), &[]);
     wait_until("the configuration", || c.status().config_version == Version(1));
-    assert_eq!(c.register("k", "{}", PATIENCE), first);
+    assert_eq!(c.register("k", "{}", WAIT_TIMEOUT), first);
     assert_eq!(service.runs("k"), 1);
 }
 
@@ -238,11 +238,11 @@
 fn a_graceful_stop_leaves_no_answer_behind() {
     let mut setup = Setup::start();
     setup.log.set_delay(Duration::from_millis(300));
-    let first = setup.a.register("k", "{}", PATIENCE);
+    let first = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!(first.0, 200, "{}", first.1);
     setup.a.signal("-TERM");
     setup.a.child.wait().unwrap();
-    assert_eq!(setup.b.register("k", "{}", PATIENCE), first);
+    assert_eq!(setup.b.register("k", "{}", WAIT_TIMEOUT), first);
 }
 
 fn contains(data: &[u8], text: &str) -> bool {
@@ -257,11 +257,11 @@
     let proxy = FaultProxy::start(setup.log.address()).unwrap();
     let c = Daemon::follow("entry-c", proxy.address(), &[setup.a.peer_address]);
     wait_until("the configuration", || c.status().config_version == Version(1));
-    wait_until("the ledger", || c.register("first", "{}", PATIENCE).0 == 200);
+    wait_until("the ledger", || c.register("first", "{}", WAIT_TIMEOUT).0 == 200);
     // Resets what is open too, or a waiting read would still tell it of the next record.
     proxy.set_mode(Mode::Reset).unwrap();
     wait_until("the loss is noticed", || c.register("x", "{}", SHORT).0 == 503);
-    setup.a.register("k", "{}", PATIENCE);
+    setup.a.register("k", "{}", WAIT_TIMEOUT);
     wait_until("it hears of the others", || {
         // 503 by what its peers have read, or 504 where a read that was under way when the
         // connections were reset still brought the other's claim.
@@ -278,10 +278,10 @@
     let setup = Setup::start();
     let proxy = FaultProxy::start(setup.log.address()).unwrap();
     let c = Daemon::follow("entry-c", proxy.address(), &[]);
-    wait_until("the ledger", || c.register("first", "{}", PATIENCE).0 == 200);
+    wait_until("the ledger", || c.register("first", "{}", WAIT_TIMEOUT).0 == 200);
     for version in [2, 3] {
         proxy.set_mode(Mode::SilenceOpen(Direction::Both)).unwrap();
-        assert_eq!(c.register(&format!("k{version}"), "{}", PATIENCE).0, 200);
+        assert_eq!(c.register(&format!("k{version}"), "{}", WAIT_TIMEOUT).0, 200);
         setup.a.publish(&version.to_string(), version - 1, setup.changed(version as u32));
         wait_until("the change", || c.status().config_version == Version(version));
     }
@@ -299,8 +299,8 @@
     assert_eq!(setup.a.publish("first", 0, files), PublishAnswer::Accepted(Version(1)));
     setup.wait_version(1);
     setup.service.plan_fault(ServiceFault::LoseAnswer);
-    assert_eq!(setup.a.register("k", "{}", PATIENCE).0, 502);
-    wait_until("the first answer", || setup.b.register("k", "{}", PATIENCE).0 == 200);
+    assert_eq!(setup.a.register("k", "{}", WAIT_TIMEOUT).0, 502);
+    wait_until("the first answer", || setup.b.register("k", "{}", WAIT_TIMEOUT).0 == 200);
     assert_eq!(setup.service.runs("k"), 1);
 }
 
@@ -312,7 +312,7 @@
     setup.a.publish("first", 0, setup.site.files());
     setup.wait_version(1);
     let mut stream = TcpStream::connect(setup.a.address).unwrap();
-    stream.write_all(registration("k", PATIENCE).as_bytes()).unwrap();
+    stream.write_all(registration("k", WAIT_TIMEOUT).as_bytes()).unwrap();
     wait_until("the service has it", || setup.service.calls() > 0);
     setup.a.child.kill().unwrap();
     let (status, body) = setup.b.register("k", "{}", SHORT);
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -15,7 +15,7 @@
 /// Starts a daemon, lets `then` happen and waits for the reason.
 fn tells(name: &str, engine: SocketAddr, more: &str, reason: &str, then: impl FnOnce(&Daemon)) {
     let more = format!(r#""balancer_wait_ms":500{more}"#);
-    let daemon = Daemon::begin(name, &Site::of_engines(&[engine]), &more);
+    let daemon = Daemon::start_unready(name, &Site::of_engines(&[engine]), &more);
     then(&daemon);
     wait_until("the reason is told", || {
         let answer = daemon.get("/readyz");
--- a/crates/daemon/tests/rolling.rs
+++ b/crates/daemon/tests/rolling.rs
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-use common::{Daemon, KEY, PATIENCE, Site, exchange, wait_until};
+use common::{Daemon, KEY, Site, WAIT_TIMEOUT, exchange, wait_until};
 use standin::{
     Engine, EngineConfig,
     client::{Prompt, PromptShape, Reply},
@@ -38,7 +38,7 @@
             addresses[seed as usize % addresses.len()]
         };
         let shape =
-            PromptShape { output: 40, patience: PATIENCE, ..PromptShape::unique(300, seed) };
+            PromptShape { output: 40, patience: WAIT_TIMEOUT, ..PromptShape::unique(300, seed) };
         replies.push(smol::block_on(Prompt::new(shape).key(KEY).send(address)));
     }
     replies
