--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input gets a 4xx that names what is wrong and says that nothing was run, and the daemon
-//! goes on serving.
+//! Malformed requests get a 4xx that names the fault and states that nothing ran, and the daemon
+//! continues to serve.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,7 @@
 use common::{Daemon, KEY, Site, exchange, post, prompt};
 use standin::{Engine, EngineConfig};
 
-/// Sends `text` and gives the answer, after checking that the daemon still serves.
+/// Sends `text` and returns the answer, after checking that the daemon still serves.
 fn refusal(name: &str, text: &str) -> String {
     let engine = Engine::start(EngineConfig::default()).unwrap();
     let site = Site::of_engines(&[engine.address()]);
--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Callers' everyday: answers whole and streamed, and errors that name what is wrong.
+//! Answers to valid requests, complete and streamed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -39,7 +39,7 @@
     let daemon = Daemon::start("stream", &Site::of_engines(&[engine.address()]));
     engine.set_speed(0.01);
     let mut stream = open_stream(daemon.address, &prompt("slow", 40, true));
-    // The engine is far from done, and the caller has the first token.
+    // The caller has the first token while the engine is still generating.
     assert!(engine.stats().generated.0 < 40);
     engine.set_speed(1.0);
     let mut rest = String::new();
@@ -49,8 +49,8 @@
     assert_eq!(lines, 39);
 }
 
-/// A spec binder needs more memory than any one engine has. It runs on one, with its cache spread
-/// over others that lent the rest, and everything is free afterwards.
+/// A prompt that needs more memory than any engine has runs on one engine with memory reserved on
+/// others, and all memory is free afterwards.
 #[test]
 fn a_prompt_larger_than_one_engine_runs_on_several() {
     let config = EngineConfig { kv_total: policy::Tokens(10_000), ..EngineConfig::default() };
@@ -109,8 +109,8 @@
     assert!(answer.contains("x-request-id: "), "{answer}");
 }
 
-/// A spec binder of a million tokens comes in, several megabytes of it, while callers in the aisle
-/// ask short questions. All get their whole answers.
+/// Guards against a prompt of a million tokens, several megabytes, that starves short prompts: all
+/// get complete answers.
 #[test]
 fn a_million_tokens_and_short_questions_are_served_together() {
     let config = EngineConfig {
@@ -121,17 +121,17 @@
     let engine = Engine::start(config).unwrap();
     let daemon = Daemon::start("million", &Site::of_engines(&[engine.address()]));
     let address = daemon.address;
-    let ask = move |tokens: u64, seed: u64| {
+    let send_prompt = move |tokens: u64, seed: u64| {
         let shape =
             PromptShape { patience: common::WAIT_TIMEOUT, ..PromptShape::unique(tokens, seed) };
         let prompt = Prompt::new(shape).key(common::KEY);
         smol::spawn(async move { prompt.send(address).await })
     };
-    let long = ask(1_000_000, 1);
-    // Whether so long a prompt is admitted behind short ones depends on what was learned of the
-    // engine from them, which is the scheduler's and not looked at here.
+    let long = send_prompt(1_000_000, 1);
+    // The long prompt is sent first: whether it is admitted after short ones depends on the speeds
+    // that the scheduler measured with them, which isn't tested here.
     common::wait_until("the engine has the long prompt", || engine.stats().held.0 > 1_000_000);
-    let short: Vec<_> = (2..22).map(|seed| ask(500, seed)).collect();
+    let short: Vec<_> = (2..22).map(|seed| send_prompt(500, seed)).collect();
     for reply in short {
         let reply = smol::block_on(reply);
         assert!(reply.whole, "{reply:?}");
--- a/crates/daemon/tests/common/log.rs
+++ b/crates/daemon/tests/common/log.rs
@@ -1,4 +1,4 @@
-//! Daemons that have their configuration from a log.
+//! Daemons that read their configuration from a log service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,19 +10,19 @@
 use protocols::http::{HttpAnswer, HttpCall};
 use smol::block_on;
 
-use super::{Daemon, Folder, Site, WAIT_TIMEOUT};
+use super::{Daemon, Site, TempFolder, WAIT_TIMEOUT};
 
 impl Site {
-    /// The site as one published file.
+    /// The site as one configuration file for publishing.
     pub fn files(&self) -> Vec<SourceFile> {
         vec![SourceFile { name: "10-site.json".to_owned(), text: self.config() }]
     }
 }
 
 impl Daemon {
-    /// Starts a daemon that follows a log, without waiting until it is ready.
+    /// Starts a daemon that follows a log service, without waiting until it is ready.
     pub fn follow(name: &str, log: SocketAddr, peers: &[SocketAddr]) -> Daemon {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         let peers: Vec<_> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
         let settings = format!(
             r#"{{"settings":{{"instance":"{name}","data_centre":"a","listen":"127.0.0.1:0","peer_listen":"127.0.0.1:0","threads":2,"balancer_wait_ms":100,"log":"{log}","peers":[{}]}}}}"#,
@@ -32,17 +32,17 @@
         Daemon::spawn(folder)
     }
 
-    /// A `GET` of the admin API.
-    pub fn ask(&self, path: &str) -> HttpAnswer {
+    /// Sends a `GET`, for paths of the admin API.
+    pub fn admin_get(&self, path: &str) -> HttpAnswer {
         block_on(HttpCall::get(self.address, path, WAIT_TIMEOUT).send()).unwrap()
     }
 
-    /// The daemon's own status.
+    /// The daemon's `/admin/status`.
     pub fn status(&self) -> Status {
-        self.ask("/admin/status").json().unwrap()
+        self.admin_get("/admin/status").json().unwrap()
     }
 
-    /// Publishes files.
+    /// Publishes configuration files on top of version `base`.
     pub fn publish(&self, id: &str, base: u64, files: Vec<SourceFile>) -> PublishAnswer {
         let (id, by) = (id.to_owned(), "tester".to_owned());
         let content = PublishRequest { id, base: Version(base), by, files };
@@ -50,7 +50,7 @@
         block_on(call.unwrap().send()).unwrap().json().unwrap()
     }
 
-    /// A call that may not be repeated: its status and the JSON of its body.
+    /// Sends a call that isn't idempotent and returns the status and the JSON body of its answer.
     pub fn register(&self, key: &str, body: &str, deadline: Duration) -> (u16, serde_json::Value) {
         let path = "/services/desk/registrations";
         let mut call = HttpCall::post(self.address, path, body.to_owned().into(), WAIT_TIMEOUT);
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts real daemons on free loopback ports, and folders of configuration for them.
+//! Starts daemon processes on free loopback ports, each with its own configuration folder.
 
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used)] // Each test file uses a part of this.
 
@@ -22,15 +22,16 @@
 /// The key of the workspace `desk`.
 pub const KEY: &str = "desk-key";
 
-/// How long a test waits for something that has to come. Only a hang reaches it.
+/// Timeout of every wait in a test. Only a hang reaches it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A group's servers.
+/// The endpoints and the policy of a generated configuration: engines in group `llm`, plain
+/// services in group `desk`.
 pub struct Site {
     pub engines: Vec<SocketAddr>,
     pub services: Vec<SocketAddr>,
     pub policy: &'static str,
-    /// Further members of the engines' deployment, each after a comma.
+    /// Further JSON members of the engines' deployment, each preceded by a comma.
     pub more: &'static str,
 }
 
@@ -70,17 +71,17 @@
     }
 }
 
-/// A folder that is removed with the test.
-pub struct Folder(pub PathBuf);
+/// A temporary folder that is removed when dropped.
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
-    pub fn new(name: &str) -> Folder {
+impl TempFolder {
+    pub fn new(name: &str) -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let dir = std::env::temp_dir();
-        let dir = dir.join(format!("trefoilhall-{}-{name}-{number}", std::process::id()));
-        fs::create_dir_all(&dir).unwrap();
-        Folder(dir)
+        let path = std::env::temp_dir();
+        let path = path.join(format!("trefoilhall-{}-{name}-{number}", std::process::id()));
+        fs::create_dir_all(&path).unwrap();
+        TempFolder(path)
     }
 
     pub fn write(&self, name: &str, text: &str) {
@@ -88,18 +89,18 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         fs::remove_dir_all(&self.0).ok();
     }
 }
 
-/// A running `trefoilhalld`. It is killed with the test, by its own process id.
+/// A running `trefoilhalld` process, killed when dropped.
 pub struct Daemon {
     pub address: SocketAddr,
     pub peer_address: SocketAddr,
     pub child: Child,
-    _folder: Folder,
+    _folder: TempFolder,
 }
 
 impl Daemon {
@@ -108,16 +109,16 @@
         Daemon::start_with(name, site, r#""balancer_wait_ms":100"#)
     }
 
-    /// The same with further settings.
+    /// Like `start`, with further settings as JSON members.
     pub fn start_with(name: &str, site: &Site, more: &str) -> Daemon {
         let daemon = Daemon::start_unready(name, site, more);
         wait_until("the daemon is ready", || daemon.get("/readyz").starts_with("HTTP/1.1 200"));
         daemon
     }
 
-    /// The same without waiting until it is ready.
+    /// Like `start_with`, without waiting until the daemon is ready.
     pub fn start_unready(name: &str, site: &Site, more: &str) -> Daemon {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         folder.write("20-site.json", &site.config());
         let settings = format!(
             r#"{{"settings":{{"instance":"{name}","data_centre":"a","listen":"127.0.0.1:0","peer_listen":"127.0.0.1:0","threads":2,{more}}}}}"#
@@ -126,8 +127,8 @@
         Daemon::spawn(folder)
     }
 
-    /// Starts the daemon on a folder, and waits until it listens.
-    fn spawn(folder: Folder) -> Daemon {
+    /// Starts the daemon with a configuration folder and waits until it listens.
+    fn spawn(folder: TempFolder) -> Daemon {
         let mut child = Command::new(env!("CARGO_BIN_EXE_trefoilhalld"))
             .arg("--config")
             .arg(&folder.0)
@@ -138,13 +139,13 @@
         Daemon { address, peer_address, child, _folder: folder }
     }
 
-    /// Sends a signal by the system's own command.
+    /// Sends a signal with the `kill` command, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// A `GET`, as the whole answer.
+    /// Sends a `GET` and returns the answer with its head.
     pub fn get(&self, path: &str) -> String {
         exchange(
             self.address,
@@ -160,7 +161,8 @@
     }
 }
 
-/// Reads the addresses for callers and peers from the daemon's log, and keeps reading so that the pipe never fills.
+/// Reads the addresses for callers and peers from the daemon's log, and keeps reading so that the
+/// pipe never fills. `SHOW_LOG` prints the log.
 fn listening(child: &mut Child) -> (SocketAddr, SocketAddr) {
     let mut log = BufReader::new(child.stdout.take().unwrap());
     let mut seen = String::new();
@@ -185,7 +187,7 @@
     addresses
 }
 
-/// Sends raw bytes and reads until the other side closes.
+/// Sends raw bytes and reads until the server closes the connection.
 pub fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -196,7 +198,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// The head and body of a `POST` with the workspace's key.
+/// A `POST` request, head and body, with the key of workspace `desk`.
 pub fn post(path: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {KEY}\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
@@ -204,7 +206,7 @@
     )
 }
 
-/// Opens a stream and reads as far as its first token.
+/// Sends a completion request and reads up to the first token.
 pub fn open_stream(address: SocketAddr, body: &str) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -218,21 +220,21 @@
     reader
 }
 
-/// A completion's body.
+/// The body of a completion request with `max_tokens` = `tokens`.
 pub fn prompt(text: &str, tokens: u64, stream: bool) -> String {
     format!(r#"{{"model":"m","stream":{stream},"max_tokens":{tokens},"prompt":"{text}"}}"#)
 }
 
-/// Waits until `done`, and fails the test where that never comes.
+/// Waits until `done` returns true, and panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "waited in vain until {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// What an engine lists as held.
+/// The engine's listing of held memory.
 pub fn held(engine: SocketAddr) -> HeldPage {
     let text =
         exchange(engine, "GET /engine/held HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n");
--- a/crates/daemon/tests/faults.rs
+++ b/crates/daemon/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What callers get when engines, links, callers and instances fail.
+//! Failures of engines, links, callers and instances.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,21 +22,21 @@
     Engine::start(EngineConfig::default()).unwrap()
 }
 
-fn ask(address: SocketAddr, seed: u64, output: u64) -> smol::Task<standin::client::Reply> {
+fn send_prompt(address: SocketAddr, seed: u64, output: u64) -> smol::Task<standin::client::Reply> {
     let shape = PromptShape { output, patience: WAIT_TIMEOUT, ..PromptShape::unique(500, seed) };
     let prompt = Prompt::new(shape).key(common::KEY);
     smol::spawn(async move { prompt.send(address).await })
 }
 
-/// Several citizens read their answers as they come when an engine's machine dies. The streams on
-/// it break in mid-answer. Each goes on behind its last token on the other engine.
+/// Guards against answers lost with an engine: its streams break in mid-answer and resume after
+/// their last token on the other engine.
 #[test]
 fn an_engine_that_dies_costs_no_answer() {
     let engines = [engine(), engine()];
     let daemon =
         Daemon::start("death", &Site::of_engines(&engines.each_ref().map(Engine::address)));
     engines.iter().for_each(|engine| engine.set_speed(0.05));
-    let replies: Vec<_> = (0..6).map(|seed| ask(daemon.address, seed, 60)).collect();
+    let replies: Vec<_> = (0..6).map(|seed| send_prompt(daemon.address, seed, 60)).collect();
     wait_until("both engines generate", || engines.iter().all(|e| e.stats().generated.0 > 0));
     engines[0].kill();
     engines[1].set_speed(1.0);
@@ -46,8 +46,8 @@
     }
 }
 
-/// A clerk closes the window while a long answer is under way. The engine must not go on
-/// generating for nobody, and its memory must be free for others.
+/// Guards against an engine that continues to generate after the caller has hung up, and so keeps
+/// its memory from others.
 #[test]
 fn a_caller_that_hangs_up_frees_the_engine() {
     let engine = engine();
@@ -60,7 +60,7 @@
     assert!(engine.stats().generated.0 < 5_000);
 }
 
-/// The same before the first token, when nothing is written to the caller that could fail.
+/// The same before the first token, when the daemon writes nothing to the caller that could fail.
 #[test]
 fn a_caller_that_hangs_up_while_waiting_frees_the_engine() {
     let engine = engine();
@@ -75,15 +75,16 @@
     assert_eq!(engine.stats().finished, 0);
 }
 
-/// A firewall between daemon and engine forgets an open connection in mid-answer. Nothing breaks,
-/// nothing comes; new connections work. The caller must not wait for its whole deadline.
+/// Guards against a caller that waits until its deadline because a firewall between daemon and
+/// engine dropped the state of an open connection in mid-answer: it stays open and silent, while
+/// new connections work.
 #[test]
 fn a_silent_connection_costs_no_answer() {
     let engine = engine();
     let proxy = FaultProxy::start(engine.address()).unwrap();
     let daemon = Daemon::start("silent", &Site::of_engines(&[proxy.address()]));
     engine.set_speed(0.05);
-    let reply = ask(daemon.address, 1, 100);
+    let reply = send_prompt(daemon.address, 1, 100);
     wait_until("the engine generates", || engine.stats().generated.0 > 3);
     proxy.set_mode(Mode::SilenceOpen(Direction::Both)).unwrap();
     engine.set_speed(1.0);
@@ -92,8 +93,8 @@
     wait_until("the engine holds nothing", || held(engine.address()).held.is_empty());
 }
 
-/// A caller opens a stream and reads nothing. Its answer is longer than all buffers on the way.
-/// It is cut at its deadline, the engine gets its memory back, and others notice nothing.
+/// Guards against a caller that opens a stream and reads nothing, with an answer longer than all
+/// buffers on the way: it is cut at its deadline, its memory is released, and others are served.
 #[test]
 fn a_caller_that_reads_nothing_is_cut_at_its_deadline() {
     let engine = engine();
@@ -104,24 +105,24 @@
     let mut caller = TcpStream::connect(daemon.address).unwrap();
     caller.write_all(call.as_bytes()).unwrap();
     wait_until("the engine generates", || engine.stats().generated.0 > 0);
-    let other = smol::block_on(ask(daemon.address, 7, 10));
+    let other = smol::block_on(send_prompt(daemon.address, 7, 10));
     assert!(other.whole, "{other:?}");
     wait_until("the engine holds nothing", || held(engine.address()).held.is_empty());
     caller.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut rest = Vec::new();
-    // A reset is as good an end as a close: the answer doesn't look whole.
+    // The connection may be reset or closed: in both cases the answer doesn't look complete.
     caller.read_to_end(&mut rest).ok();
     assert!(!String::from_utf8_lossy(&rest).contains("[DONE]"));
 }
 
-/// The platform replaces an instance: SIGTERM while a stream is under way and another caller
-/// comes too late. The stream ends whole, the late one hears that nothing was run.
+/// Guards against a planned stop that cuts streams: after SIGTERM the open stream completes, and
+/// new requests are refused with the statement that they didn't run.
 #[test]
 fn a_stop_cuts_nothing() {
     let engine = engine();
     let mut daemon = Daemon::start("stop", &Site::of_engines(&[engine.address()]));
     engine.set_speed(0.05);
-    let reply = ask(daemon.address, 3, 100);
+    let reply = send_prompt(daemon.address, 3, 100);
     wait_until("the engine generates", || engine.stats().generated.0 > 0);
     daemon.signal("-TERM");
     wait_until("it isn't ready", || daemon.get("/readyz").starts_with("HTTP/1.1 503"));
@@ -135,9 +136,8 @@
     assert!(daemon.child.wait().unwrap().success());
 }
 
-/// Two instances share one engine, and one is killed with streams open. Their callers lose the
-/// connection; the engine must lose nothing for good, and the other instance's callers notice
-/// nothing.
+/// Guards against engine memory that a killed instance leaks: two instances share one engine, and
+/// one is killed with streams open. The other's stream completes, and all memory becomes free.
 #[test]
 fn a_killed_instance_leaves_no_memory_held() {
     let engine = engine();
@@ -145,8 +145,8 @@
     let mut first = Daemon::start("killed", &site);
     let second = Daemon::start("staying", &site);
     engine.set_speed(0.05);
-    let lost = [1, 2].map(|seed| ask(first.address, seed, 5_000));
-    let kept = ask(second.address, 3, 100);
+    let lost = [1, 2].map(|seed| send_prompt(first.address, seed, 5_000));
+    let kept = send_prompt(second.address, 3, 100);
     wait_until("the engine runs all three", || held(engine.address()).held.len() == 3);
     first.child.kill().unwrap();
     engine.set_speed(1.0);
@@ -157,8 +157,8 @@
     wait_until("the engine holds nothing", || engine.stats().held == Tokens::ZERO);
 }
 
-/// A caller's deadline passes while the engine is stuck in a prefill. The answer comes at once
-/// with the deadline and says when to come back, whatever the engine does.
+/// Guards against a caller that waits beyond its deadline because the engine hangs in a prefill:
+/// the error is sent at the deadline, with `Retry-After`.
 #[test]
 fn a_deadline_is_kept_beside_a_frozen_engine() {
     let engine = engine();
@@ -176,8 +176,8 @@
     wait_until("the engine holds nothing", || held(engine.address()).held.is_empty());
 }
 
-/// A stream's deadline passes in mid-answer. The caller hears it as an event and never sees the
-/// end mark, so that half an answer can't be taken for a whole one.
+/// Guards against a truncated stream that looks complete: when its deadline passes in mid-answer,
+/// it ends with an error event and without the end mark.
 #[test]
 fn a_deadline_in_mid_stream_is_told_as_an_event() {
     let engine = engine();
@@ -194,14 +194,14 @@
     assert!(!answer.contains("[DONE]"), "{answer}");
 }
 
-/// Two instances serve from the same configuration, each with its own callers.
+/// Two instances with the same configuration share the engines, each with its own callers.
 #[test]
 fn two_instances_serve_side_by_side() {
     let engines = [engine(), engine()];
     let site = Site::of_engines(&engines.each_ref().map(Engine::address));
     let daemons = [Daemon::start("one", &site), Daemon::start("two", &site)];
     let replies: Vec<_> =
-        (0..20).map(|seed| ask(daemons[seed as usize % 2].address, seed, 20)).collect();
+        (0..20).map(|seed| send_prompt(daemons[seed as usize % 2].address, seed, 20)).collect();
     for reply in replies {
         assert!(smol::block_on(reply).whole);
     }
@@ -224,8 +224,8 @@
     }
 }
 
-/// Everything between daemon and engine goes silent, new connections too, and then the caller
-/// hangs up. No release can arrive. Once the link is back, the engine's memory must be free.
+/// Guards against memory that is never released because the link to the engine was silent when the
+/// caller hung up: the release is repeated until the link works again.
 #[test]
 fn a_release_is_repeated_until_it_arrives() {
     let engine = engine();
@@ -241,8 +241,8 @@
     wait_until("the engine holds nothing", || held(engine.address()).held.is_empty());
 }
 
-/// An instance dies while its link to an engine is silent, so that the engine never sees the
-/// connection break. Its successor under the same name releases what it left.
+/// Guards against memory leaked by an instance that died while its link to the engine was silent,
+/// so that the engine never saw the connection break: the next incarnation releases it.
 #[test]
 fn a_successor_releases_what_its_predecessor_left() {
     let engine = engine();
@@ -259,8 +259,8 @@
     assert_eq!(engine.stats().finished, 0);
 }
 
-/// More callers than an instance may have connections. Those over the limit hear at once that
-/// nothing was run and when to come back.
+/// Connections over the limit are refused immediately, with the statement that nothing ran and with
+/// `Retry-After`.
 #[test]
 fn a_connection_over_the_limit_is_told_so() {
     let engine = engine();
--- a/crates/daemon/tests/holdings.rs
+++ b/crates/daemon/tests/holdings.rs
@@ -1,4 +1,4 @@
-//! What is remembered of memory that was let go.
+//! The tracking of abandoned memory until its release is confirmed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,8 +23,8 @@
     HeldPage { incarnation: Incarnation(1), held: ids.iter().map(held).collect(), next: None }
 }
 
-/// Holds `kept` and `left`, and lets go of the second.
-fn one_let_go(now: Instant) -> Holdings {
+/// Holds `kept` and `left`, and abandons the second.
+fn one_abandoned(now: Instant) -> Holdings {
     let mut holdings = Holdings::default();
     holdings.insert("kept".to_owned(), HeldKind::Reservation);
     holdings.insert("left".to_owned(), HeldKind::Reservation);
@@ -32,55 +32,55 @@
     holdings
 }
 
-/// Names each case by what it guards against.
-macro_rules! remembers {
+/// Checks which ids are still tracked as abandoned after the events of each case.
+macro_rules! tracks_abandoned {
     ($($(#[$line:meta])* $case:ident($holdings:ident, $now:ident) $body:block => $abandoned:expr;)*) => {$(
         $(#[$line])*
         #[test]
         fn $case() {
             let $now = Instant::now();
-            let mut $holdings = one_let_go($now);
+            let mut $holdings = one_abandoned($now);
             $body
             assert_eq!($holdings.abandoned(), $abandoned as [&str; _]);
         }
     )*};
 }
 
-remembers! {
-    /// Guards against memory that nobody releases after the first try failed.
+tracks_abandoned! {
+    /// Guards against memory that is leaked because the first release failed.
     until_the_engine_shows_that_it_is_gone(holdings, now) {
         holdings.record_listing(&listing(&["kept", "left"]), now + Duration::from_secs(1));
         holdings.expire(now + 100 * RESERVATION_LEASE);
     } => ["left"];
-    /// Guards against ids that pile up.
+    /// Guards against ids that accumulate after their release is confirmed.
     no_longer_than_that(holdings, now) {
         holdings.record_listing(&listing(&["kept"]), now + Duration::from_secs(1));
     } => [];
-    /// Guards against a listing that was on its way when the memory was let go.
+    /// Guards against a listing that was requested before the memory was abandoned.
     beyond_an_older_listing(holdings, now) {
         holdings.record_listing(&listing(&[]), now);
     } => ["left"];
-    /// Guards against a release that overtakes the run that takes the memory.
+    /// Guards against a release that reaches the engine before the run that allocates the memory.
     beyond_its_release(holdings, now) {
         holdings.record_release(&["left".to_owned()]);
         holdings.expire(now + RESERVATION_LEASE);
     } => ["left"];
-    /// Guards against ids that pile up where no listing can be read.
+    /// Guards against ids that accumulate while no listing can be read.
     released_only_as_long_as_its_lease(holdings, now) {
         holdings.record_release(&["left".to_owned()]);
         holdings.expire(now + 2 * RESERVATION_LEASE);
     } => [];
 }
 
-/// Guards against renewals that keep what nobody wants, and streams that nobody waits for.
+/// Guards against renewals that keep abandoned memory and abandoned streams alive.
 #[test]
 fn only_wanted_reservations_are_renewed() {
-    let mut holdings = one_let_go(Instant::now());
+    let mut holdings = one_abandoned(Instant::now());
     holdings.insert("stream".to_owned(), HeldKind::Stream);
     assert_eq!(holdings.ids_to_renew(), ["kept"]);
 }
 
-/// Guards against memory of the instance's own that grows while an engine can't be reached.
+/// Guards against unbounded memory use of the instance while an engine can't be reached.
 #[test]
 fn what_is_remembered_is_bounded() {
     let (mut holdings, now) = (Holdings::default(), Instant::now());
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory on engines whose links break long answers, such as the listing of what they hold.
+//! Release of memory on engines whose links cut long answers, such as the listing of held memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,32 +18,32 @@
     proxy::{Direction, FaultProxy, Mode},
 };
 
-/// How long after its last request an engine may still hold memory, as the scenarios have it.
-const EMPTY_WITHIN: Duration = Duration::from_secs(8);
+/// How long an engine may hold memory after its last request; the same limit as in the scenarios.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Streams whose entries take about 1,500 bytes of a listing.
-const STREAMS: usize = 12;
+/// Number of streams; their entries take about 1,500 bytes of a listing.
+const STREAM_COUNT: usize = 12;
 
 type Caller = BufReader<TcpStream>;
 
-/// Slow engines behind proxies, and a daemon that knows them by the proxies' addresses.
-struct Desk {
+/// Slow engines behind fault proxies, and a daemon that reaches them through the proxies.
+struct Setup {
     engines: Vec<Engine>,
     proxies: Vec<FaultProxy>,
     daemon: Daemon,
 }
 
-impl Desk {
-    fn start(name: &str, count: usize) -> Desk {
+impl Setup {
+    fn start(name: &str, count: usize) -> Setup {
         let engines: Vec<Engine> =
             (0..count).map(|_| Engine::start(EngineConfig::default()).unwrap()).collect();
         let proxies: Vec<FaultProxy> =
             engines.iter().map(|engine| FaultProxy::start(engine.address()).unwrap()).collect();
         let addresses: Vec<SocketAddr> = proxies.iter().map(FaultProxy::address).collect();
         let daemon = Daemon::start(name, &Site::of_engines(&addresses));
-        let desk = Desk { engines, proxies, daemon };
-        desk.set_speed(0.02);
-        desk
+        let setup = Setup { engines, proxies, daemon };
+        setup.set_speed(0.02);
+        setup
     }
 
     fn set_speed(&self, speed: f64) {
@@ -66,8 +66,8 @@
         self.proxies.iter().for_each(|proxy| proxy.set_mode(mode).unwrap());
     }
 
-    /// Waits until the first engine holds this many entries.
-    fn holds_within(&self, count: usize, limit: Duration) {
+    /// Waits until the first engine lists `count` entries, and panics after `limit`.
+    fn wait_for_held_count(&self, count: usize, limit: Duration) {
         let (engine, started) = (self.engines[0].address(), Instant::now());
         while held(engine).held.len() != count {
             assert!(started.elapsed() < limit, "{:?}", held(engine).held);
@@ -80,17 +80,17 @@
     callers.iter().for_each(|caller| caller.get_ref().shutdown(Shutdown::Both).unwrap());
 }
 
-/// Guards against memory that is renewed for good because the listing that would show it breaks off.
+/// Guards against memory that is renewed forever because the listing that would show it is cut off.
 macro_rules! released_beside_a_wanted_stream {
     ($($case:ident: $bytes:expr),* $(,)?) => {$(
         #[test]
         fn $case() {
-            let desk = Desk::start(&stringify!($case).replace('_', "-"), 1);
-            let _kept = desk.streams(1);
-            let left = desk.streams(STREAMS);
-            desk.cut_after($bytes);
+            let setup = Setup::start(&stringify!($case).replace('_', "-"), 1);
+            let _kept = setup.streams(1);
+            let left = setup.streams(STREAM_COUNT);
+            setup.cut_after($bytes);
             hang_up(left);
-            desk.holds_within(1, EMPTY_WITHIN);
+            setup.wait_for_held_count(1, RELEASE_TIMEOUT);
         }
     )*};
 }
@@ -102,56 +102,57 @@
     whole_answers: u64::MAX,
 }
 
-/// Guards against memory of an earlier life that stays because no listing arrives whole.
+/// Guards against memory of an earlier incarnation that leaks because no listing arrives
+/// completely.
 #[test]
 fn a_predecessors_memory_is_found_in_parts_of_the_listing() {
-    let mut desk = Desk::start("successor", 1);
-    let _streams = desk.streams(STREAMS);
-    desk.set_mode(Mode::SilenceAll(Direction::Both));
-    desk.daemon.child.kill().unwrap();
-    desk.daemon.child.wait().unwrap();
-    desk.cut_after(900);
-    assert_eq!(held(desk.engines[0].address()).held.len(), STREAMS);
-    let address = desk.proxies[0].address();
+    let mut setup = Setup::start("successor", 1);
+    let _streams = setup.streams(STREAM_COUNT);
+    setup.set_mode(Mode::SilenceAll(Direction::Both));
+    setup.daemon.child.kill().unwrap();
+    setup.daemon.child.wait().unwrap();
+    setup.cut_after(900);
+    assert_eq!(held(setup.engines[0].address()).held.len(), STREAM_COUNT);
+    let address = setup.proxies[0].address();
     let _successor = Daemon::start("successor", &Site::of_engines(&[address]));
-    desk.holds_within(0, EMPTY_WITHIN);
+    setup.wait_for_held_count(0, RELEASE_TIMEOUT);
 }
 
-/// Guards against a run that is given up as silent while its engine reads the prompt, because the
-/// listing that shows it breaks off.
+/// Guards against a run that is abandoned as silent while its engine prefills the prompt, because
+/// the listing that shows it is cut off.
 #[test]
 fn a_run_is_seen_in_parts_of_the_listing() {
-    let desk = Desk::start("reading", 1);
-    let engine = HttpEngine::new(desk.engines[0].address());
+    let setup = Setup::start("reading", 1);
+    let engine = HttpEngine::new(setup.engines[0].address());
     let other = "other/1".parse().unwrap();
-    for number in 0..STREAMS {
+    for number in 0..STREAM_COUNT {
         let id = format!("other/1/{number}/1");
         smol::block_on(engine.reserve(&id, &other, Tokens(1), 60_000)).unwrap();
     }
-    let mut caller = TcpStream::connect(desk.daemon.address).unwrap();
+    let mut caller = TcpStream::connect(setup.daemon.address).unwrap();
     let body = prompt(&"word ".repeat(20_000), 5, true);
     caller.write_all(post("/v1/completions", &body).as_bytes()).unwrap();
-    desk.holds_within(STREAMS + 1, EMPTY_WITHIN);
-    desk.set_speed(0.001);
-    desk.cut_after(900);
+    setup.wait_for_held_count(STREAM_COUNT + 1, RELEASE_TIMEOUT);
+    setup.set_speed(0.001);
+    setup.cut_after(900);
     std::thread::sleep(Duration::from_secs(5));
-    let metrics = desk.daemon.get("/metrics");
+    let metrics = setup.daemon.get("/metrics");
     assert!(!metrics.contains("trefoilhall_attempt_failures"), "{metrics}");
 }
 
-/// Guards against prompts that are refused as crashing engines, because a listing that breaks off
-/// looks like an engine's death.
+/// Guards against harmless prompts that are quarantined as poison requests, because a listing that
+/// is cut off looks like an engine's death.
 #[test]
 fn a_prompt_on_breaking_links_is_no_suspect() {
-    let desk = Desk::start("suspect", 3);
-    let _streams = desk.streams(3 * STREAMS);
-    desk.set_speed(1.0);
-    desk.cut_after(900);
+    let setup = Setup::start("suspect", 3);
+    let _streams = setup.streams(3 * STREAM_COUNT);
+    setup.set_speed(1.0);
+    setup.cut_after(900);
     for _ in 0..4 {
         let call = post("/v1/completions", &prompt("when are you open", 40, false));
-        let answer = exchange(desk.daemon.address, &call);
+        let answer = exchange(setup.daemon.address, &call);
         assert!(!answer.contains("quarantined"), "{answer}");
-        // Deaths that are closer together count as one.
+        // Deaths within a shorter interval count as one.
         std::thread::sleep(Duration::from_millis(2_100));
     }
 }
--- a/crates/daemon/tests/parsers.rs
+++ b/crates/daemon/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers of what callers send, whatever they send.
+//! Property tests of the parsers for callers' input.
 
 use daemon::{
     filter::scan::{PromptMember, scan},
@@ -7,7 +7,7 @@
 use policy::{Tokens, prompt::PromptHasher};
 use quickcheck::quickcheck;
 
-/// What hashing the decoded text gives.
+/// The digest of the decoded texts, hashed directly.
 fn digest(texts: &[String]) -> policy::prompt::HashedPrompt {
     let mut hasher = PromptHasher::new();
     texts.iter().for_each(|text| hasher.update(text.as_bytes()));
@@ -62,7 +62,7 @@
     }
 }
 
-/// The character as JSON may write it in plain ASCII.
+/// The character as an ASCII-only JSON encoder writes it.
 fn escaped(c: char) -> String {
     if c.is_ascii() {
         return c.to_string();
--- a/crates/daemon/tests/pieces.rs
+++ b/crates/daemon/tests/pieces.rs
@@ -1,5 +1,5 @@
-//! Answers whose pieces are late, crossed, repeated or missing. The engine here is a script: it
-//! sends exactly the events that a test names.
+//! Answers whose events are repeated, missing or from another run. The engines are scripted: they
+//! send exactly the events that a test lists.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,22 +18,22 @@
 /// One event of a script.
 #[derive(Clone, Copy)]
 enum Step {
-    /// The piece `offset`, under the run's own name.
+    /// The token at this offset, under the run's own id.
     Piece(u64),
-    /// The last piece, with the reason why generation ended.
+    /// The token at this offset with the finish reason.
     Last(u64),
-    /// A piece of another run.
+    /// The token at this offset, under the id of another run.
     Crossed(u64),
-    /// The end mark.
+    /// The end mark `[DONE]`.
     Done,
-    /// Something that isn't a piece.
+    /// Valid JSON that isn't a token.
     Rubbish,
 }
 
 use Step::{Crossed, Done, Last, Piece, Rubbish};
 
-/// Two engines that follow one list of scripts between them: whichever is asked next follows the
-/// next one. They note the bodies that they get.
+/// The script of two engines: whichever gets the next run answers with the next list of steps. The
+/// bodies of all runs are recorded.
 #[derive(Clone)]
 struct Script {
     runs: Arc<Mutex<VecDeque<Vec<Step>>>>,
@@ -46,7 +46,7 @@
         Script { runs: Arc::new(Mutex::new(runs)), bodies: Arc::default() }
     }
 
-    /// Starts an engine, which ends with the test's process.
+    /// Starts an engine that runs until the test's process exits.
     fn engine(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -124,7 +124,7 @@
     }
 }
 
-/// What the caller gets of such engines, and the bodies that they got.
+/// The answer that the caller gets from two such engines, and the bodies of all runs.
 fn answer_of(name: &str, runs: &[&[Step]], stream: bool) -> (String, Vec<String>) {
     let script = Script::new(runs);
     let site = Site::of_engines(&[script.engine(), script.engine()]);
@@ -134,13 +134,14 @@
     (answer, bodies)
 }
 
-/// The offset that a body asks to resume at.
+/// The offset at which a run's body asks to resume.
 fn resume_of(body: &str) -> Option<u64> {
     let body: serde_json::Value = serde_json::from_str(body).unwrap();
     body["resume"]["from"].as_u64()
 }
 
-/// The caller gets the whole answer, and the runs after the first resume at these offsets.
+/// The caller gets the complete answer, and each run after the first resumes at the given offset
+/// (0: from the beginning).
 macro_rules! whole {
     ($($name:ident: $first:expr $(, $resumed:literal $then:expr)*;)*) => {$(
         #[test]
@@ -167,8 +168,8 @@
     broken_twice: [Piece(0)], 1 [Piece(1)], 2 [Piece(2), Last(3), Done];
 }
 
-/// Every run breaks the rules in the same way, so there is never a whole answer. A caller that
-/// waits for the whole hears an error and nothing that looks like an answer.
+/// Guards against a partial answer that looks complete: all runs fail in the same way, and a caller
+/// that didn't ask for a stream gets only an error.
 #[test]
 fn an_answer_that_never_gets_whole_is_an_error() {
     let bad: &[Step] = &[Crossed(0)];
@@ -177,8 +178,8 @@
     assert!(answer.contains(r#""error":"#) && !answer.contains(r#""choices""#), "{answer}");
 }
 
-/// The same for a caller that reads along: what came stands, an error event follows, and the end
-/// mark never comes.
+/// The same for a streaming caller: the tokens are followed by an error event, and there is no end
+/// mark.
 #[test]
 fn a_stream_that_never_gets_whole_ends_with_an_error() {
     let runs: &[&[Step]] = &[&[Piece(0), Crossed(1)], &[Crossed(1)], &[Crossed(1)], &[Crossed(1)]];
--- a/crates/daemon/tests/published.rs
+++ b/crates/daemon/tests/published.rs
@@ -46,8 +46,8 @@
         };
         let a = Daemon::follow("entry-a", log.address(), &[]);
         let b = Daemon::follow("entry-b", log.address(), &[a.peer_address]);
-        wait_until("the stream is read", || a.ask("/admin/configuration").status == 200);
-        wait_until("the stream is read", || b.ask("/admin/configuration").status == 200);
+        wait_until("the stream is read", || a.admin_get("/admin/configuration").status == 200);
+        wait_until("the stream is read", || b.admin_get("/admin/configuration").status == 200);
         Setup { log, service, site, a, b }
     }
 
@@ -100,7 +100,7 @@
     };
     assert_eq!(version, Version(2));
     assert_eq!(since[0].changes[0].path, "workspaces.desk.weight");
-    let audit: Vec<AuditEntry> = setup.b.ask("/admin/audit?last=3").json().unwrap();
+    let audit: Vec<AuditEntry> = setup.b.admin_get("/admin/audit?last=3").json().unwrap();
     let verdicts: Vec<_> = audit.iter().map(|entry| entry.verdict.clone()).collect();
     let (first, second) = (Verdict::Accepted(Version(1)), Verdict::Accepted(Version(2)));
     assert_eq!(verdicts, [first, second, Verdict::Conflict(Version(2))]);
@@ -144,7 +144,7 @@
     let c = Daemon::follow("entry-c", setup.log.address(), &[setup.a.peer_address]);
     wait_until("the peer's version", || c.status().config_version == Version(1));
     setup.log.set_outage(Outage::Up);
-    let all = || setup.a.ask("/admin/fleet").json::<Vec<Status>>().unwrap();
+    let all = || setup.a.admin_get("/admin/fleet").json::<Vec<Status>>().unwrap();
     wait_until("all instances answer", || all().len() == 3);
 }
 
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! What an instance that isn't ready says it waits for.
+//! The reasons that `/readyz` gives while an instance isn't ready.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,8 +12,14 @@
     proxy::{Direction, FaultProxy, Mode},
 };
 
-/// Starts a daemon, lets `then` happen and waits for the reason.
-fn tells(name: &str, engine: SocketAddr, more: &str, reason: &str, then: impl FnOnce(&Daemon)) {
+/// Starts a daemon, runs `then` and waits until `/readyz` gives the reason.
+fn expect_unready_reason(
+    name: &str,
+    engine: SocketAddr,
+    more: &str,
+    reason: &str,
+    then: impl FnOnce(&Daemon),
+) {
     let more = format!(r#""balancer_wait_ms":500{more}"#);
     let daemon = Daemon::start_unready(name, &Site::of_engines(&[engine]), &more);
     then(&daemon);
@@ -23,7 +29,8 @@
     });
 }
 
-/// Guards against a start that fails without a reason. Each case has what happens and what is told.
+/// Guards against starts that fail without a visible reason. Each case gives the proxy's mode,
+/// further settings, the expected reason and an action after the start.
 macro_rules! waits_for {
     ($($case:ident: $mode:expr, $more:expr, $reason:expr, $then:expr;)*) => {$(
         #[test]
@@ -32,7 +39,7 @@
             let proxy = FaultProxy::start(engine.address()).unwrap();
             proxy.set_mode($mode).unwrap();
             let name = stringify!($case).replace('_', "-");
-            tells(&name, proxy.address(), &$more, $reason, $then);
+            expect_unready_reason(&name, proxy.address(), &$more, $reason, $then);
         }
     )*};
 }
--- a/crates/daemon/tests/services.rs
+++ b/crates/daemon/tests/services.rs
@@ -1,5 +1,5 @@
-//! Plain services: calls pass through, faults of one server cost no answer, and what may not be
-//! repeated isn't.
+//! Plain services: calls are forwarded, a fault of one server costs no answer, and calls that
+//! aren't idempotent aren't repeated.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,7 +35,7 @@
     assert_eq!(service.calls(), 1);
 }
 
-/// One of two servers is gone and its address answers nobody. Status lookups go on.
+/// Guards against lookups that fail because nothing listens at the address of one of two servers.
 #[test]
 fn a_dead_server_costs_no_lookup() {
     let service = service();
@@ -46,8 +46,8 @@
     }
 }
 
-/// Connections to one server go silent, old ones and new. Each lookup still ends in time, on the
-/// other server.
+/// Guards against lookups that wait for a server whose connections are all silent: each is retried
+/// on the other server before its deadline.
 #[test]
 fn a_silent_server_costs_no_lookup() {
     let services = [service(), service()];
@@ -61,8 +61,8 @@
     }
 }
 
-/// There is no log service, so a registration can't be recorded. It must not run, and the clerk
-/// must hear so.
+/// Guards against a call that isn't idempotent and runs although it can't be recorded, because
+/// there is no log service: it is refused with the statement that it didn't run.
 #[test]
 fn without_a_log_a_registration_is_not_run() {
     let service = service();
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -64,7 +64,7 @@
         let peers: Vec<_> = daemons.iter().map(|known| known.peer_address).collect();
         daemons.push(Daemon::follow(&format!("entry-{number}"), log.address(), &peers));
     }
-    wait_until("the stream is read", || daemons[0].ask("/admin/configuration").status == 200);
+    wait_until("the stream is read", || daemons[0].admin_get("/admin/configuration").status == 200);
     let published = daemons[0].publish("first", 0, site.files());
     assert_eq!(published, PublishAnswer::Accepted(Version(1)));
     for daemon in &daemons {
