--- a/crates/daemon/examples/control_cost.rs
+++ b/crates/daemon/examples/control_cost.rs
@@ -1,9 +1,9 @@
-//! What the links between instances cost: bytes, processor time and memory for each instance, at
-//! several fleet sizes and numbers of endpoints, all meshes in this one process over loopback.
+//! Measures the cost of the links between instances: bytes, processor time and memory per instance,
+//! at several fleet sizes and numbers of endpoints. All meshes run in this process over loopback.
 //!
 //! `cargo run --release -p daemon --example control_cost` prints a table for
-//! `docs/decisions/membership.md`; it ends by itself after about four minutes. The processor time
-//! includes making up the load and comparing views, so it is an upper bound.
+//! `docs/decisions/membership.md` and ends after about four minutes. The processor time includes
+//! generating the load and comparing views, so it is an upper bound.
 
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
 
@@ -24,15 +24,15 @@
 use protocols::instances::{ListPage, Listed, ListedState, Role};
 use smol::{Executor, channel::Receiver};
 
-const THREADS: usize = 4;
-const SETTLE: Duration = Duration::from_secs(3);
-const MEASURE: Duration = Duration::from_secs(6);
-const PERIOD: Duration = Duration::from_millis(500);
-const RATE: f64 = 20_000.0;
-/// Requests that an instance starts in each period: 19,000 a second over 350 daemons.
-const ARRIVALS: usize = 27;
+const THREAD_COUNT: usize = 4;
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
+const SHARE_INTERVAL: Duration = Duration::from_millis(500);
+const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
+/// Requests that an instance starts in each interval: 19,000 per second over 350 instances.
+const ARRIVALS_PER_INTERVAL: usize = 27;
 
-/// The newest digest of each sender, by receiver.
+/// Newest digest of each sender, per receiver.
 type Views = Arc<Mutex<HashMap<(usize, InstanceId), LoadDigest>>>;
 
 fn main() {
@@ -54,7 +54,8 @@
         fleet.measure(0, "-");
         drop(fleet);
         for endpoints in [20, 200, 3_600] {
-            // Without a budget the size hardly matters, so one stands for all.
+            // Without a budget the number of endpoints hardly matters, so it is measured at one of
+            // them only.
             let budgets = [LOAD_BYTES_PER_SECOND, u32::MAX];
             for budget in &budgets[..if endpoints == 200 { 2 } else { 1 }] {
                 let budget = *budget;
@@ -77,14 +78,14 @@
     fn start(count: usize, budget: u32) -> Fleet {
         let rss_before = rss_kb();
         let executor = Arc::new(Executor::new());
-        for _ in 0..THREADS {
-            let runs = Arc::downgrade(&executor);
+        for _ in 0..THREAD_COUNT {
+            let weak = Arc::downgrade(&executor);
             thread::spawn(move || {
-                while let Some(executor) = runs.upgrade() {
-                    let moment = async {
+                while let Some(executor) = weak.upgrade() {
+                    let slice = async {
                         smol::Timer::after(Duration::from_millis(200)).await;
                     };
-                    smol::block_on(executor.run(moment));
+                    smol::block_on(executor.run(slice));
                 }
             });
         }
@@ -95,23 +96,24 @@
             instances: meshes.iter().enumerate().map(|(n, m)| listed(n, count, m)).collect(),
         };
         meshes.iter().for_each(|mesh| mesh.apply_list(&page));
-        thread::sleep(SETTLE);
+        thread::sleep(SETTLE_TIME);
         Fleet { meshes, views, rss_before, executor }
     }
 
     fn measure(&self, endpoints: usize, budget: &str) {
         let mut loads: Vec<Load> =
             (0..self.meshes.len()).map(|n| Load::new(n, endpoints)).collect();
-        // At first every name is spelled out; that isn't what a running fleet costs.
+        // At first every name is sent in full, which isn't the cost of a running fleet.
         self.share(&mut loads, 12);
         let (before, cpu, started) = (self.traffic(), cpu_seconds(), Instant::now());
-        let periods = MEASURE.as_millis() / PERIOD.as_millis();
-        let error = self.share(&mut loads, periods as usize);
+        let intervals = MEASUREMENT_TIME.as_millis() / SHARE_INTERVAL.as_millis();
+        let error = self.share(&mut loads, intervals as usize);
         let seconds = started.elapsed().as_secs_f64();
         let (after, cpu) = (self.traffic(), cpu_seconds() - cpu);
         let count = self.meshes.len() as f64;
-        let links = self.meshes.iter().map(linked).sum::<usize>() as f64 / count;
-        let whole = bincode::serde::encode_to_vec(&loads[0].digest, bincode::config::standard());
+        let links = self.meshes.iter().map(linked_peers).sum::<usize>() as f64 / count;
+        let full_digest =
+            bincode::serde::encode_to_vec(&loads[0].digest, bincode::config::standard());
         let entries = loads[0].digest.endpoints.len();
         println!(
             "{:>9} {:>5.1} {:>9} {:>10} {:>9.0} {:>9.0} {:>8.3} {:>8.0} {:>10.1} {:>7} {:>9.0} {:>6}",
@@ -125,32 +127,32 @@
             rss_kb().saturating_sub(self.rss_before) as f64 / count,
             error,
             entries,
-            whole.unwrap().len() as f64 * links / PERIOD.as_secs_f64(),
+            full_digest.unwrap().len() as f64 * links / SHARE_INTERVAL.as_secs_f64(),
             after.2 - before.2,
         );
     }
 
-    /// Shares load for some periods, and gives the mean error of what the peers know of a busy
+    /// Shares load for some intervals, and returns the mean error of the peers' view of a busy
     /// endpoint's wait, in milliseconds.
-    fn share(&self, loads: &mut [Load], periods: usize) -> f64 {
+    fn share(&self, loads: &mut [Load], intervals: usize) -> f64 {
         let deployment = Deployment::new("desk").unwrap();
         let mut errors = Mean::default();
-        for _ in 0..periods {
+        for _ in 0..intervals {
             let started = Instant::now();
             for (mesh, load) in self.meshes.iter().zip(&mut *loads) {
-                load.step();
+                load.advance();
                 if !load.endpoints.is_empty() {
                     mesh.share_load(&deployment, load.digest.clone());
                 }
             }
-            thread::sleep(PERIOD.saturating_sub(started.elapsed()));
-            self.compare(loads, &mut errors);
+            thread::sleep(SHARE_INTERVAL.saturating_sub(started.elapsed()));
+            self.record_errors(loads, &mut errors);
         }
         errors.value()
     }
 
-    fn compare(&self, loads: &[Load], errors: &mut Mean) {
-        // All receivers hear the same parts, so a few of them are enough.
+    fn record_errors(&self, loads: &[Load], errors: &mut Mean) {
+        // All receivers get the same parts, so a few of them are enough.
         let views = self.views.lock().unwrap();
         for ((_, sender), view) in views.iter().filter(|((receiver, _), _)| *receiver < 2) {
             let Some(load) = loads.iter().find(|load| load.digest.instance == *sender) else {
@@ -160,12 +162,12 @@
                 view.endpoints.iter().map(|s| (&s.endpoint, s.waiting_prefill.0 as f64)).collect();
             for (endpoint, waiting) in load.endpoints.iter().zip(&load.waiting) {
                 let seen = known.get(endpoint).copied().unwrap_or(0.0);
-                errors.add((seen - waiting).abs() / RATE * 1e3);
+                errors.add((seen - waiting).abs() / PREFILL_TOKENS_PER_S * 1e3);
             }
         }
     }
 
-    /// Bytes sent and received, and links made.
+    /// Bytes sent, bytes received, and links established, summed over the fleet.
     fn traffic(&self) -> (u64, u64, u64) {
         let traffic = self.meshes.iter().map(PeerMesh::traffic);
         traffic.fold((0, 0, 0), |sum, t| {
@@ -177,7 +179,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.meshes.clear();
-        // The tasks end at their next turn; the threads end with the executor.
+        // The tasks end when they are next polled; the threads end with the executor.
         let deadline = Instant::now() + Duration::from_secs(2);
         while !self.executor.is_empty() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
@@ -219,7 +221,8 @@
     InstanceId::new(&format!("entry-{n}")).unwrap()
 }
 
-/// Three data centres up to 16 instances, then 16 to 18 instances in each, as in the long run.
+/// Three data centres up to 16 instances; beyond that 16 to 18 instances in each, as in the long
+/// run.
 fn data_centre(n: usize, count: usize) -> DataCentre {
     let data_centres = (count / 16).max(3);
     DataCentre::new(&format!("dc-{}", n % data_centres)).unwrap()
@@ -236,11 +239,11 @@
     }
 }
 
-fn linked(mesh: &PeerMesh) -> usize {
+fn linked_peers(mesh: &PeerMesh) -> usize {
     mesh.status().iter().filter(|peer| peer.linked).count()
 }
 
-/// Made-up load of one instance: prompts arrive, 2 in 100 of them long, and engines work them off.
+/// Synthetic load of one instance: prompts arrive, 2 in 100 of them long, and engines prefill them.
 struct Load {
     rng: Rng,
     endpoints: Vec<EndpointId>,
@@ -260,13 +263,13 @@
         Load { rng, endpoints, waiting, prefilled, digest }
     }
 
-    fn step(&mut self) {
-        let worked = RATE * PERIOD.as_secs_f64();
+    fn advance(&mut self) {
+        let prefilled_tokens = PREFILL_TOKENS_PER_S * SHARE_INTERVAL.as_secs_f64();
         for (waiting, prefilled) in self.waiting.iter_mut().zip(&mut self.prefilled) {
-            *prefilled += waiting.min(worked);
-            *waiting = (*waiting - worked).max(0.0);
+            *prefilled += waiting.min(prefilled_tokens);
+            *waiting = (*waiting - prefilled_tokens).max(0.0);
         }
-        for _ in 0..ARRIVALS.min(self.endpoints.len() * 2) {
+        for _ in 0..ARRIVALS_PER_INTERVAL.min(self.endpoints.len() * 2) {
             let n = self.rng.usize(..self.endpoints.len());
             self.waiting[n] += if self.rng.u32(..50) == 0 { 150_000.0 } else { 2_000.0 };
         }
@@ -289,7 +292,7 @@
         running: 3,
         held: tokens,
         prefilled: Tokens(prefilled as u64),
-        prefill_rate: TokenRate(RATE),
+        prefill_rate: TokenRate(PREFILL_TOKENS_PER_S),
         ejected: false,
     }
 }
@@ -311,7 +314,7 @@
     }
 }
 
-/// User and system time of this process. The kernel counts them in hundredths of a second.
+/// User and system time of this process in seconds; the kernel counts hundredths.
 fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap();
     let after_name = stat.rsplit(')').next().unwrap();
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Engines are loaded with what the configuration wants, while callers are served.
+//! Engines are loaded with the configured models while requests are served.
 
 #![allow(clippy::unwrap_used)]
 
@@ -28,14 +28,14 @@
     state.ready && state.order.is_some_and(|order| order.version == "7")
 }
 
-fn store(models: &[&str]) -> WeightStore {
+fn start_store(models: &[&str]) -> WeightStore {
     let sizes = models.iter().map(|name| ((*name).to_owned(), 100_000_000)).collect();
     let config = WeightConfig { sizes, per_window: 2, window: Duration::from_millis(100) };
     WeightStore::start(config).unwrap()
 }
 
 /// Three engines that take a fifth of a second to load.
-fn engines(store: &WeightStore, checks_fencing: bool) -> [Engine; 3] {
+fn start_engines(store: &WeightStore, checks_fencing: bool) -> [Engine; 3] {
     let config = EngineConfig {
         weights: Some(store.address()),
         weight_rate: 5e8,
@@ -45,20 +45,21 @@
     [0; 3].map(|_| Engine::start(config.clone()).unwrap())
 }
 
-fn start(name: &str, engines: &[Engine; 3], store: &WeightStore) -> Daemon {
+fn start_daemon(name: &str, engines: &[Engine; 3], store: &WeightStore) -> Daemon {
     let addresses = engines.each_ref().map(Engine::address);
     let site = Site { more: SERVE, ..Site::of_engines(&addresses) };
     let more = format!(r#""balancer_wait_ms":100,"weights":"{}""#, store.address());
     Daemon::start_with(name, &site, &more)
 }
 
-/// Operators publish a new version. The engines load it one after another; at no moment do two of
-/// them load, and callers get their answers all the while.
+/// Guards against a rollout that takes several engines out of service: a new version is published,
+/// the engines load it one after another, at most one loads at any moment, and requests are served
+/// throughout.
 #[test]
 fn a_new_version_is_loaded_one_engine_at_a_time() {
-    let store = store(&["llm/7"]);
-    let engines = engines(&store, true);
-    let daemon = start("rollout", &engines, &store);
+    let store = start_store(&["llm/7"]);
+    let engines = start_engines(&store, true);
+    let daemon = start_daemon("rollout", &engines, &store);
     let addresses = engines.each_ref().map(Engine::address);
     let mut seed = 0;
     wait_until("every engine has the new version", || {
@@ -72,13 +73,14 @@
     });
 }
 
-/// An instance was paused, wakes, and sends an engine its old order. The engine doesn't check who
-/// gives it orders. What is wanted is seen to differ, and ordered again.
+/// Guards against an engine that keeps an outdated order: a paused instance resumes and sends its
+/// old order to an engine that doesn't check fencing numbers. The difference has to be noticed and
+/// the order sent again.
 #[test]
 fn an_old_order_at_an_engine_that_checks_nothing_is_repaired() {
-    let store = store(&["llm/6", "llm/7"]);
-    let engines = engines(&store, false);
-    let _daemon = start("repair", &engines, &store);
+    let store = start_store(&["llm/6", "llm/7"]);
+    let engines = start_engines(&store, false);
+    let _daemon = start_daemon("repair", &engines, &store);
     let addresses = engines.each_ref().map(Engine::address);
     wait_until("every engine is loaded", || addresses.iter().all(|engine| is_current(*engine)));
     let old = Order {
@@ -93,12 +95,13 @@
     wait_until("the engine is repaired", || is_current(addresses[1]));
 }
 
-/// The version that operators name isn't in the weight store. No engine may give up what it serves.
+/// Guards against engines that give up what they serve: the configured version isn't in the weight
+/// store.
 #[test]
 fn a_version_that_the_store_lacks_is_never_ordered() {
-    let store = store(&["llm/6"]);
-    let engines = engines(&store, true);
-    let daemon = start("missing", &engines, &store);
+    let store = start_store(&["llm/6"]);
+    let engines = start_engines(&store, true);
+    let daemon = start_daemon("missing", &engines, &store);
     let served = || daemon.get("/admin/status").contains(r#""state":"live""#);
     wait_until("the engines are known", served);
     std::thread::sleep(Duration::from_secs(3));
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Links between instances: heartbeats, silence, restarts and late news, over loopback.
+//! Links between instances over loopback: heartbeats, silence, restarts and late updates.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,8 +25,8 @@
 use protocols::instances::{ListPage, Listed, ListedState, Role};
 use smol::{Executor, Timer, channel::Receiver};
 
-/// Long enough for any of these steps on a busy machine; it only turns a hang into a failure.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Long enough for any step on a busy machine; it only turns a hang into a failure.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Peer {
     mesh: PeerMesh,
@@ -38,17 +38,17 @@
     InstanceId::new(name).unwrap()
 }
 
-/// An executor with threads of its own, which end with it.
+/// An executor with its own threads, which end once it is dropped.
 fn executor() -> Arc<Executor<'static>> {
     let executor = Arc::new(Executor::new());
     for _ in 0..2 {
-        let runs = Arc::downgrade(&executor);
+        let weak = Arc::downgrade(&executor);
         thread::spawn(move || {
-            while let Some(executor) = runs.upgrade() {
-                let moment = async {
+            while let Some(executor) = weak.upgrade() {
+                let slice = async {
                     Timer::after(Duration::from_millis(100)).await;
                 };
-                smol::block_on(executor.run(moment));
+                smol::block_on(executor.run(slice));
             }
         });
     }
@@ -61,11 +61,11 @@
     }
 
     fn listen(listen: SocketAddr, name: &str, incarnation: u64, seeds: &[SocketAddr]) -> Peer {
-        let place = DataCentre::new("brasov-a").unwrap();
-        Peer::place(place, listen, name, incarnation, seeds)
+        let data_centre = DataCentre::new("brasov-a").unwrap();
+        Peer::start_in(data_centre, listen, name, incarnation, seeds)
     }
 
-    fn place(
+    fn start_in(
         data_centre: DataCentre,
         listen: SocketAddr,
         name: &str,
@@ -86,8 +86,8 @@
         Peer { mesh, events, skipped: RefCell::default() }
     }
 
-    /// Waits for the first event for which `wanted` gives something; events that came before it are
-    /// kept for later waits, because which of several peers links first is a matter of luck.
+    /// Waits for the first event for which `wanted` returns a value. Events before it are kept for
+    /// later waits, because the order in which several peers link is random.
     fn wait<T>(&self, wanted: impl Fn(&PeerEvent) -> Option<T>) -> T {
         let mut skipped = self.skipped.borrow_mut();
         for i in 0..skipped.len() {
@@ -105,11 +105,12 @@
                 }
             }
         };
-        let patience = async {
-            Timer::after(PATIENCE).await;
+        let timeout = async {
+            Timer::after(TIMEOUT).await;
             None
         };
-        smol::block_on(smol::future::or(search, patience)).expect("the event came")
+        smol::block_on(smol::future::or(search, timeout))
+            .expect("the event arrives within the timeout")
     }
 
     fn wait_linked(&self, name: &str) {
@@ -118,7 +119,7 @@
         });
     }
 
-    fn wait_gone(&self, name: &str) -> Incarnation {
+    fn wait_removed(&self, name: &str) -> Incarnation {
         self.wait(|event| match event {
             PeerEvent::Removed { instance, incarnation } if *instance == id(name) => {
                 Some(*incarnation)
@@ -140,16 +141,16 @@
     }
 }
 
-fn news(life: u64) -> Message {
+fn endpoint_update(incarnation: u64) -> Message {
     Message::Endpoint(EndpointStateUpdate {
         endpoint: EndpointId::new("e1").unwrap(),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         state: EndpointState::Leaving,
     })
 }
 
-fn until(what: &str, reached: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+fn wait_until(what: &str, reached: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !reached() {
         assert!(Instant::now() < deadline, "{what}");
         thread::sleep(Duration::from_millis(10));
@@ -164,13 +165,14 @@
     first.wait_linked("entry-2");
     first.wait_linked("entry-3");
     second.wait_linked("entry-1");
-    let place = DataCentre::new("brasov-a").unwrap();
-    let instances = vec![listed(&second, "entry-2", &place), listed(&third, "entry-3", &place)];
+    let data_centre = DataCentre::new("brasov-a").unwrap();
+    let instances =
+        vec![listed(&second, "entry-2", &data_centre), listed(&third, "entry-3", &data_centre)];
     second.mesh.apply_list(&ListPage { instances });
     second.wait_linked("entry-3");
-    second.mesh.broadcast(news(7)).unwrap();
-    assert_eq!(first.wait_message(), (id("entry-2"), news(7)));
-    assert_eq!(third.wait_message(), (id("entry-2"), news(7)));
+    second.mesh.broadcast(endpoint_update(7)).unwrap();
+    assert_eq!(first.wait_message(), (id("entry-2"), endpoint_update(7)));
+    assert_eq!(third.wait_message(), (id("entry-2"), endpoint_update(7)));
     assert_eq!(second.mesh.owner_status(&id("entry-3"), Incarnation(1)), OwnerStatus::Alive);
 }
 
@@ -185,30 +187,34 @@
     }
 }
 
-/// Above 16 instances there is no full mesh: what one tells all has to pass gateways, two of them
-/// for each pair of data centres, and must reach everyone once.
+/// Above 16 instances there is no full mesh: a fleet-wide message has to pass gateways, two for
+/// each pair of data centres, and must reach every instance exactly once.
 #[test]
 fn a_message_for_all_crosses_data_centres_and_arrives_once() {
-    let places: Vec<DataCentre> = ["tx-central-a", "tx-central-b", "tx-central-c"]
+    let data_centres: Vec<DataCentre> = ["tx-central-a", "tx-central-b", "tx-central-c"]
         .map(|dc| DataCentre::new(dc).unwrap())
         .into();
-    let place = |n: usize| places[n % 3].clone();
+    let data_centre = |n: usize| data_centres[n % 3].clone();
     let name = |n: usize| format!("entry-{n:02}");
     let any = ([127, 0, 0, 1], 0).into();
-    let peers: Vec<Peer> = (0..18).map(|n| Peer::place(place(n), any, &name(n), 1, &[])).collect();
+    let peers: Vec<Peer> =
+        (0..18).map(|n| Peer::start_in(data_centre(n), any, &name(n), 1, &[])).collect();
     let instances =
-        peers.iter().enumerate().map(|(n, peer)| listed(peer, &name(n), &place(n))).collect();
+        peers.iter().enumerate().map(|(n, peer)| listed(peer, &name(n), &data_centre(n))).collect();
     let page = ListPage { instances };
     peers.iter().for_each(|peer| peer.mesh.apply_list(&page));
     let links = |peer: &Peer| peer.mesh.status().iter().filter(|peer| peer.linked).count();
-    // Five within the data centre, and two links for each of three pairs of data centres.
-    until("all links stand", || peers.iter().map(links).sum::<usize>() == 18 * 5 + 2 * 2 * 3);
-    peers[4].mesh.broadcast(news(1)).unwrap();
-    peers[4].mesh.broadcast(news(2)).unwrap();
+    // Each of the 18 instances has five links within its data centre, and there are two links for
+    // each of three pairs of data centres.
+    wait_until("all links are established", || {
+        peers.iter().map(links).sum::<usize>() == 18 * 5 + 2 * 2 * 3
+    });
+    peers[4].mesh.broadcast(endpoint_update(1)).unwrap();
+    peers[4].mesh.broadcast(endpoint_update(2)).unwrap();
     for (n, peer) in peers.iter().enumerate().filter(|(n, _)| *n != 4) {
-        let heard = [peer.wait_message(), peer.wait_message()];
-        assert!(heard.contains(&(id("entry-04"), news(1))), "{n}: {heard:?}");
-        assert!(heard.contains(&(id("entry-04"), news(2))), "{n}: {heard:?}");
+        let received = [peer.wait_message(), peer.wait_message()];
+        assert!(received.contains(&(id("entry-04"), endpoint_update(1))), "{n}: {received:?}");
+        assert!(received.contains(&(id("entry-04"), endpoint_update(2))), "{n}: {received:?}");
     }
     thread::sleep(Duration::from_millis(500));
     for peer in &peers {
@@ -219,18 +225,18 @@
 
 #[test]
 fn two_that_dial_each_other_at_once_keep_one_link() {
-    let free = || standin::free_address().unwrap();
-    let (here, there) = (free(), free());
-    let first = Peer::listen(here, "entry-1", 1, &[there, here]);
-    let second = Peer::listen(there, "entry-2", 1, &[here, there]);
+    let free_address = || standin::free_address().unwrap();
+    let (first_address, second_address) = (free_address(), free_address());
+    let first = Peer::listen(first_address, "entry-1", 1, &[second_address, first_address]);
+    let second = Peer::listen(second_address, "entry-2", 1, &[first_address, second_address]);
     first.wait_linked("entry-2");
     second.wait_linked("entry-1");
     let linked = |peer: &Peer| peer.mesh.status().iter().filter(|peer| peer.linked).count();
-    let settled =
+    let link_counts =
         || (first.mesh.traffic().links_established, second.mesh.traffic().links_established);
-    // Longer than the pause after a dial that failed, and than a silent link would live.
+    // Longer than the redial delay, and than a silent link would last.
     thread::sleep(Duration::from_secs(6));
-    let before = settled();
+    let before = link_counts();
     assert_eq!((linked(&first), linked(&second)), (1, 1));
     assert!(before.0 <= 3 && before.1 <= 3, "{before:?}");
     first.mesh.send_to(&id("entry-2"), Message::ConfigWanted(Version(3))).unwrap();
@@ -265,32 +271,32 @@
     }
 }
 
-/// What a user sees without it: a request waits behind load that ended long ago. A digest was
-/// overtaken by a newer one and then taken for news.
+/// Guards against requests that wait for load which ended long ago: a digest was overtaken by a
+/// newer one and then applied as if it were newer.
 #[test]
 fn a_late_digest_and_one_of_another_life_are_ignored() {
     let first = Peer::start("entry-1", 1, &[]);
     let second = Peer::start("entry-2", 4, &[first.mesh.address()]);
     second.wait_linked("entry-1");
     let deployment = Deployment::new("desk").unwrap();
-    let told = [(4, 5, 5_000), (4, 4, 90_000), (3, 9, 80_000), (4, 6, 1_000)];
-    for (incarnation, sequence, tokens) in told {
+    let sent = [(4, 5, 5_000), (4, 4, 90_000), (3, 9, 80_000), (4, 6, 1_000)];
+    for (incarnation, sequence, tokens) in sent {
         second.mesh.share_load(&deployment, digest(incarnation, sequence, tokens));
-        // Parts that wait are merged; each has to go out by itself here.
+        // Parts that wait are merged, but this test needs each to be sent by itself.
         thread::sleep(Duration::from_millis(200));
     }
-    let mut heard = Vec::new();
-    while heard.last() != Some(&1_000) {
-        heard.push(first.wait(|event| match event {
+    let mut received = Vec::new();
+    while received.last() != Some(&1_000) {
+        received.push(first.wait(|event| match event {
             PeerEvent::Load { digest, .. } => Some(digest.endpoints[0].waiting_prefill.0),
             _ => None,
         }));
     }
-    assert_eq!(heard, [5_000, 1_000]);
+    assert_eq!(received, [5_000, 1_000]);
 }
 
-/// What a user sees without it: until the old life times out, requests wait behind load that died
-/// with it, and memory on engines that it left stays held.
+/// Guards against load and engine memory of a dead incarnation that stay accounted for until it
+/// times out, although its successor runs already.
 #[test]
 fn a_restart_under_the_same_name_ends_the_old_life_at_once() {
     let first = Peer::start("entry-1", 1, &[]);
@@ -298,9 +304,9 @@
     first.wait_linked("entry-2");
     drop(second);
     let _second = Peer::start("entry-2", 2, &[first.mesh.address()]);
-    assert_eq!(first.wait_gone("entry-2"), Incarnation(1));
+    assert_eq!(first.wait_removed("entry-2"), Incarnation(1));
     assert_eq!(first.state("entry-2"), Some(MemberState::Live));
-    // A life that wakes after it was replaced finds no way back.
+    // A paused incarnation that resumes after it was replaced gets no link.
     let stale = Peer::start("entry-2", 1, &[first.mesh.address()]);
     thread::sleep(Duration::from_secs(1));
     assert_eq!(first.mesh.status()[0].incarnation, Incarnation(2));
@@ -315,15 +321,16 @@
     second.mesh.set_leaving();
     first.wait(|event| matches!(event, PeerEvent::Leaving { .. }).then_some(()));
     assert_eq!(first.state("entry-2"), Some(MemberState::Leaving));
-    // Its heartbeats go on saying so; the instance hears it once.
+    // Its heartbeats repeat it, but the instance gets one event only.
     thread::sleep(Duration::from_millis(2_500));
     assert_eq!(first.events.try_recv().ok(), None);
     smol::block_on(second.mesh.close());
-    assert_eq!(first.wait_gone("entry-2"), Incarnation(1));
+    assert_eq!(first.wait_removed("entry-2"), Incarnation(1));
     assert_eq!(first.state("entry-2"), None);
 }
 
-/// Passes connections on, until it is told to forget all that are open; new ones work.
+/// Relays connections. Once `forget` is set, it silently drops the data of all open ones; new ones
+/// work.
 struct Relay {
     address: SocketAddr,
     forget: Arc<AtomicBool>,
@@ -334,16 +341,16 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let forget = Arc::new(AtomicBool::new(false));
-        let forgotten = forget.clone();
+        let is_forgotten = forget.clone();
         thread::spawn(move || {
             for near in listener.incoming().take(100) {
                 let (near, far) = (near.unwrap(), TcpStream::connect(target).unwrap());
-                // Connections opened after the order are passed on for good.
-                let dooms = !forgotten.load(Ordering::SeqCst);
+                // Connections opened after `forget` was set work for good.
+                let may_forget = !is_forgotten.load(Ordering::SeqCst);
                 let back = (far.try_clone().unwrap(), near.try_clone().unwrap());
                 for (from, to) in [(near, far), back] {
-                    let forgotten = forgotten.clone();
-                    thread::spawn(move || pass(from, to, dooms, &forgotten));
+                    let is_forgotten = is_forgotten.clone();
+                    thread::spawn(move || copy(from, to, may_forget, &is_forgotten));
                 }
             }
         });
@@ -351,14 +358,14 @@
     }
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, dooms: bool, forgotten: &AtomicBool) {
+fn copy(mut from: TcpStream, mut to: TcpStream, may_forget: bool, is_forgotten: &AtomicBool) {
     let mut buf = [0; 4096];
     loop {
         let len = from.read(&mut buf).unwrap_or(0);
-        if dooms && forgotten.load(Ordering::SeqCst) {
-            // Swallows what comes, and keeps the end of the one side from the other.
+        if may_forget && is_forgotten.load(Ordering::SeqCst) {
+            // Discards the data, and hides the end of one side from the other.
             while from.read(&mut buf).is_ok_and(|len| len > 0) {}
-            thread::sleep(PATIENCE);
+            thread::sleep(TIMEOUT);
             return;
         }
         if len == 0 || to.write_all(&buf[..len]).is_err() {
@@ -368,9 +375,9 @@
     }
 }
 
-/// What a user sees: for minutes, instances place requests by views that no longer change, and
-/// each holds the other for dead. A device between them has forgotten the open connection, which
-/// stays open and silent; a new one would work at once.
+/// Guards against links that stay silent: a device between two instances loses track of the open
+/// connection, which stays open and silent although a new one would work. For minutes both place
+/// requests by stale load and consider each other dead.
 #[test]
 fn a_silent_link_is_made_anew_before_the_peer_counts_as_dead() {
     let first = Peer::start("entry-1", 1, &[]);
@@ -378,16 +385,16 @@
     let second = Peer::start("entry-2", 1, &[relay.address]);
     second.wait_linked("entry-1");
     relay.forget.store(true, Ordering::SeqCst);
-    // Whichever end notices first dials the other, which then takes the new link for the old.
-    let silent = |peer: &Peer| peer.mesh.traffic().links_timed_out;
-    until("the silent link is noticed", || silent(&first) + silent(&second) > 0);
+    // Whichever end notices first dials the other, which replaces the old link by the new one.
+    let timed_out = |peer: &Peer| peer.mesh.traffic().links_timed_out;
+    wait_until("the silent link is noticed", || timed_out(&first) + timed_out(&second) > 0);
     second.wait(|event| match event {
         PeerEvent::Linked(_) => Some(()),
-        PeerEvent::Removed { .. } => panic!("a live peer was taken for dead"),
+        PeerEvent::Removed { .. } => panic!("a live peer was reported as removed"),
         _ => None,
     });
     assert_eq!(second.state("entry-1"), Some(MemberState::Live));
-    second.mesh.broadcast(news(1)).unwrap();
+    second.mesh.broadcast(endpoint_update(1)).unwrap();
     assert_eq!(first.wait_message().0, id("entry-2"));
 }
 
@@ -395,9 +402,9 @@
 fn bytes_that_are_no_link_harm_nobody() {
     let first = Peer::start("entry-1", 1, &[]);
     let preface_only = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-    for nonsense in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4096], preface_only] {
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4096], preface_only] {
         let mut stream = TcpStream::connect(first.mesh.address()).unwrap();
-        stream.write_all(nonsense).unwrap();
+        stream.write_all(bytes).unwrap();
     }
     let second = Peer::start("entry-2", 1, &[first.mesh.address()]);
     second.wait_linked("entry-1");
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What instances do for one another.
+//! Instances that help each other: configuration from a peer, and status of the fleet.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,9 +11,9 @@
     format!(r#""balancer_wait_ms":100,"peers":["{}"]"#, daemon.peer_address)
 }
 
-/// The platform replaces an instance while its log service is down. The new instance has no
-/// configuration of its own, and takes the one in force from its peer instead of staying out of
-/// service for the length of the outage.
+/// Guards against an instance that stays out of service for the length of a log outage: the
+/// platform starts it while the log service is down, so that it has no configuration of its own and
+/// has to take the one in force from its peer.
 #[test]
 fn a_start_beside_a_dead_log_takes_the_configuration_from_a_peer() {
     let engine = Engine::start(EngineConfig::default()).unwrap();
@@ -26,7 +26,8 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-/// An operator asks any instance for the state of the site, before and after another one stops.
+/// An operator queries one instance for the state of the fleet, before and after another instance
+/// stops.
 #[test]
 fn the_status_names_the_other_instances() {
     let engine = Engine::start(EngineConfig::default()).unwrap();
@@ -35,9 +36,9 @@
     let second = Daemon::start_with("second", &site, &peer_of(&first));
     let status = || second.get("/admin/status");
     let first_is = |state: &str| format!(r#""instance":"first","incarnation":{state}"#);
-    wait_until("the link stands", || status().contains(r#""linked":true"#));
+    wait_until("the link is established", || status().contains(r#""linked":true"#));
     assert!(status().contains(&first_is("")), "{}", status());
     first.signal("-TERM");
     assert!(first.child.wait().unwrap().success());
-    wait_until("it is gone", || status().contains(r#""peers":[]"#));
+    wait_until("the first instance is removed", || status().contains(r#""peers":[]"#));
 }
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -1,10 +1,10 @@
-//! Many faults together, on real processes: answers of the log and of the service get lost, appends
-//! surface late, instances are stopped, woken and killed, and callers send their registrations
-//! again to whichever instance they meet.
+//! Many concurrent faults on real processes: replies of the log and of the service are lost,
+//! appends become visible late, instances are paused, resumed and killed, and callers resend their
+//! registrations to any instance.
 //!
-//! What a user would see if it went wrong: one registration entered twice, or "not run" for one
-//! that stands in the register. The faults are drawn from a fixed seed; how they meet the calls is
-//! up to the machine, and what is asserted holds for every meeting.
+//! Guards against a registration that runs twice, and against "not run" for one that did run. The
+//! faults are drawn from a fixed seed. How they coincide with the calls depends on the machine, and
+//! the assertions hold for every interleaving.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,22 +30,22 @@
 use standin::{AppendFault, LogConfig, LogService, Service, ServiceConfig, ServiceFault};
 
 const SEED: u64 = 20_261_203;
-const SPAN: Duration = Duration::from_secs(8);
-const CALLERS: u64 = 6;
-/// How often a caller sends one registration at most.
-const SENDS: u32 = 4;
+const FAULT_DURATION: Duration = Duration::from_secs(8);
+const CALLER_COUNT: u64 = 6;
+/// Attempts of a caller per registration.
+const MAX_SENDS: u32 = 4;
 
-/// What callers heard of one key.
+/// Replies that callers got for one key.
 #[derive(Debug, Default)]
-struct Heard {
+struct CallerView {
     sent: u32,
     done: u32,
     not_run: u32,
 }
 
-type Journal = Arc<Mutex<HashMap<String, Heard>>>;
+type CallerViews = Arc<Mutex<HashMap<String, CallerView>>>;
 
-/// The addresses of the instances now; a caller uses whichever it draws.
+/// Addresses of the running instances; a caller picks one at random.
 type Addresses = Arc<Mutex<Vec<SocketAddr>>>;
 
 #[test]
@@ -71,33 +71,33 @@
         wait_until("the version is in force", || daemon.status().config_version == Version(1));
     }
     let addresses: Addresses = Arc::default();
-    let journal: Journal = Arc::default();
+    let views: CallerViews = Arc::default();
     let stop = Arc::new(AtomicBool::new(false));
-    note(&addresses, &daemons);
-    let callers: Vec<_> = (0..CALLERS)
+    set_addresses(&addresses, &daemons);
+    let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|caller| {
-            let (addresses, journal, stop) = (addresses.clone(), journal.clone(), stop.clone());
-            thread::spawn(move || call(caller, &addresses, &journal, &stop))
+            let (addresses, views, stop) = (addresses.clone(), views.clone(), stop.clone());
+            thread::spawn(move || run_caller(caller, &addresses, &views, &stop))
         })
         .collect();
-    disturb(&log, &service, &mut daemons, &addresses);
+    inject_faults(&log, &service, &mut daemons, &addresses);
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.join().unwrap();
     }
-    // Whatever was paused or late has come through.
+    // Lets paused instances and late appends finish.
     thread::sleep(Duration::from_secs(2));
-    judge(&journal, &service);
+    check_runs(&views, &service);
 }
 
-fn note(addresses: &Addresses, daemons: &[Daemon]) {
+fn set_addresses(addresses: &Addresses, daemons: &[Daemon]) {
     *addresses.lock().unwrap() = daemons.iter().map(|daemon| daemon.address).collect();
 }
 
-fn disturb(log: &LogService, service: &Service, daemons: &mut Vec<Daemon>, all: &Addresses) {
+fn inject_faults(log: &LogService, service: &Service, daemons: &mut Vec<Daemon>, all: &Addresses) {
     let mut rng = Rng::with_seed(SEED);
-    let end = Instant::now() + SPAN;
-    let mut lives = 3;
+    let end = Instant::now() + FAULT_DURATION;
+    let mut started = 3;
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(rng.u64(5..60)));
         let late = AppendFault::Late(Duration::from_millis(rng.u64(50..900)));
@@ -115,50 +115,51 @@
                 thread::sleep(Duration::from_millis(rng.u64(20..700)));
                 paused.signal("-CONT");
             }
-            _ if lives < 7 => {
-                let gone = rng.usize(0..daemons.len());
-                drop(daemons.remove(gone));
+            _ if started < 7 => {
+                let index = rng.usize(0..daemons.len());
+                drop(daemons.remove(index));
                 let peers: Vec<_> = daemons.iter().map(|known| known.peer_address).collect();
-                daemons.push(Daemon::follow(&format!("entry-{lives}"), log.address(), &peers));
-                lives += 1;
-                note(all, daemons);
+                daemons.push(Daemon::follow(&format!("entry-{started}"), log.address(), &peers));
+                started += 1;
+                set_addresses(all, daemons);
             }
             _ => {}
         }
     }
 }
 
-/// Sends registrations until it is stopped, each until it is done or was sent often enough.
-fn call(caller: u64, addresses: &Addresses, journal: &Journal, stop: &AtomicBool) {
+/// Sends registrations until it is stopped: each until it is done or [`MAX_SENDS`] is reached.
+fn run_caller(caller: u64, addresses: &Addresses, views: &CallerViews, stop: &AtomicBool) {
     let mut rng = Rng::with_seed(SEED + 1 + caller);
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
         number += 1;
         let key = format!("{caller}-{number}");
-        for _ in 0..SENDS {
+        for _ in 0..MAX_SENDS {
             let address = {
                 let addresses = addresses.lock().unwrap();
                 addresses[rng.usize(0..addresses.len())]
             };
             let deadline = rng.u64(100..900);
-            journal.lock().unwrap().entry(key.clone()).or_default().sent += 1;
-            let ran = send(address, &key, deadline);
-            let mut journal = journal.lock().unwrap();
-            let heard = journal.entry(key.clone()).or_default();
-            heard.done += u32::from(ran.as_deref() == Some("yes"));
-            heard.not_run += u32::from(ran.as_deref() == Some("no"));
-            if ran.as_deref() == Some("yes") {
+            views.lock().unwrap().entry(key.clone()).or_default().sent += 1;
+            let outcome = send(address, &key, deadline);
+            let mut views = views.lock().unwrap();
+            let view = views.entry(key.clone()).or_default();
+            view.done += u32::from(outcome.as_deref() == Some("yes"));
+            view.not_run += u32::from(outcome.as_deref() == Some("no"));
+            if outcome.as_deref() == Some("yes") {
                 break;
             }
         }
     }
 }
 
-/// What the caller hears: `yes`, `no`, `unknown`, or nothing.
+/// Returns whether the call ran according to the reply: `yes`, `no` or `unknown`; `None` if there
+/// is no reply.
 fn send(address: SocketAddr, key: &str, deadline: u64) -> Option<String> {
-    let patience = Duration::from_millis(deadline + 1_500);
+    let timeout = Duration::from_millis(deadline + 1_500);
     let path = "/services/desk/registrations";
-    let mut call = HttpCall::post(address, path, "{}".into(), patience);
+    let mut call = HttpCall::post(address, path, "{}".into(), timeout);
     call.headers = vec![
         ("authorization", format!("Bearer {KEY}")),
         ("idempotency-key", key.to_owned()),
@@ -172,21 +173,21 @@
     Some(body["error"]["ran"].as_str()?.to_owned())
 }
 
-fn judge(journal: &Journal, service: &Service) {
-    let journal = journal.lock().unwrap();
+fn check_runs(views: &CallerViews, service: &Service) {
+    let views = views.lock().unwrap();
     let (mut done, mut refused) = (0, 0);
-    for (key, heard) in journal.iter() {
+    for (key, view) in views.iter() {
         let runs = service.runs(key);
-        assert!(runs <= 1, "{key} ran {runs} times: {heard:?}");
-        if heard.done > 0 {
+        assert!(runs <= 1, "{key} ran {runs} times: {view:?}");
+        if view.done > 0 {
             done += 1;
-            assert_eq!(runs, 1, "{key} was answered and never ran");
+            assert_eq!(runs, 1, "{key} was reported as done but never ran");
         }
-        if heard.not_run == heard.sent {
+        if view.not_run == view.sent {
             refused += 1;
-            assert_eq!(runs, 0, "{key} ran, and all its callers heard that it did not");
+            assert_eq!(runs, 0, "{key} ran, but all replies said that it did not");
         }
     }
-    eprintln!("{} registrations, {done} done, {refused} only refused", journal.len());
-    assert!(done > 0, "no registration went through, which shows nothing");
+    eprintln!("{} registrations, {done} done, {refused} only refused", views.len());
+    assert!(done > 0, "no registration succeeded, so the test shows nothing");
 }
