--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators' tools, probes and metrics collectors ask; `docs/PROTOCOLS.md` describes it.
+//! The admin interface for operators' tools, probes and metrics collectors, described in
+//! `docs/PROTOCOLS.md`.
 
 pub mod fleet;
 pub mod publish;
@@ -18,28 +19,28 @@
     shared::{Shared, Stage},
 };
 
-/// `GET /admin/status`.
+/// The response to `GET /admin/status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance.
+    /// The instance's name.
     pub instance: InstanceId,
-    /// Its life.
+    /// The instance's incarnation.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// The instance's data centre.
     pub data_centre: DataCentre,
-    /// Version of the configuration in force; zero for none.
+    /// Version of the active configuration; zero if there is none.
     pub config_version: Version,
-    /// Whether the balancer may send callers here.
+    /// Whether the balancer may send callers to this instance.
     pub ready: bool,
-    /// `serving`, `leaving` or `refusing`.
+    /// The stage of the shutdown: `serving`, `leaving` or `refusing`.
     pub stage: String,
     /// Admitted requests that haven't ended.
     pub under_way: usize,
-    /// Every endpoint.
+    /// All endpoints of the active configuration.
     pub endpoints: Vec<EndpointStatus>,
-    /// Every known instance.
+    /// All other known instances.
     pub peers: Vec<PeerStatus>,
-    /// The ledgers of calls that may not be repeated; none without a log.
+    /// The ledgers of calls that may not be repeated; empty without a log service.
     #[serde(default)]
     pub ledgers: Vec<LedgerStatus>,
 }
@@ -47,30 +48,30 @@
 /// One ledger stream in [`Status`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerStatus {
-    /// Whether the whole stream was read and the log takes appends.
+    /// Whether the stream was read to its end and the log accepts appends.
     pub ready: bool,
-    /// Keys remembered.
+    /// The number of idempotency keys held.
     pub keys: usize,
-    /// The offset that will be read next.
+    /// The offset of the next record to read.
     pub next: Offset,
 }
 
 /// One endpoint in [`Status`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointStatus {
-    /// The endpoint.
+    /// The endpoint's name.
     pub endpoint: EndpointId,
-    /// Its group.
+    /// The endpoint's group.
     pub group: EndpointGroup,
-    /// Its data centre.
+    /// The endpoint's data centre.
     pub data_centre: DataCentre,
-    /// Its life; zero where nothing was heard of it.
+    /// The endpoint's incarnation; zero if it has never responded.
     pub incarnation: Incarnation,
-    /// Whether it may get work.
+    /// Whether it may receive requests.
     pub state: EndpointState,
-    /// Requests of this instance under way there.
+    /// Requests of this instance that are in flight at the endpoint.
     pub running: u32,
-    /// Prefill speed as learned here, in tokens a second; zero where nothing was learned.
+    /// Prefill rate estimated by this instance, in tokens per second; zero without an estimate.
     pub prefill_rate: f64,
     /// Whether this instance has ejected it.
     pub ejected: bool,
@@ -79,66 +80,71 @@
 /// One other instance in [`Status`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The instance.
+    /// The peer's name.
     pub instance: InstanceId,
-    /// Its life.
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// `live`, `leaving`, `suspect` or `dead`, by all witnesses.
+    /// `live`, `leaving`, `suspect` or `dead`, from the reports of all instances.
     pub state: String,
-    /// Whether a link to it stands.
+    /// Whether this instance is connected to it.
     pub linked: bool,
 }
 
-/// Whether a request is one that only operators may make, unlike probes and metrics.
+/// Whether a request is reserved for operators, which probes and metrics aren't.
 pub fn is_privileged(req: &Request) -> bool {
     req.url().path().starts_with("/admin/")
 }
 
-/// Answers a request for operators; none where the path isn't one of theirs.
+/// Handles a request of the admin interface; `None` if the path doesn't belong to it.
 pub async fn answer(shared: &Arc<Shared>, req: &mut Request) -> Option<Response> {
     match (req.method(), req.url().path()) {
         (Method::Get, "/livez") => Some(respond::text(StatusCode::Ok, "ok\n")),
-        (Method::Get, "/readyz") => Some(ready(shared)),
+        (Method::Get, "/readyz") => Some(ready_response(shared)),
         (Method::Get, "/metrics") => Some(respond::text(StatusCode::Ok, &shared.metrics.to_text())),
-        (Method::Get, "/admin/status") => Some(json(&status(shared))),
-        (Method::Get, "/admin/fleet") => Some(json(&fleet::ask(shared).await)),
+        (Method::Get, "/admin/status") => Some(json_response(&status(shared))),
+        (Method::Get, "/admin/fleet") => {
+            Some(json_response(&fleet::collect_statuses(shared).await))
+        }
         _ => publish::answer(shared, req).await,
     }
 }
 
-fn ready(shared: &Shared) -> Response {
+fn ready_response(shared: &Shared) -> Response {
     match shared.unready_reason() {
         None => respond::text(StatusCode::Ok, "ready\n"),
-        Some(why) => respond::text(StatusCode::ServiceUnavailable, &format!("not ready: {why}\n")),
+        Some(reason) => {
+            respond::text(StatusCode::ServiceUnavailable, &format!("not ready: {reason}\n"))
+        }
     }
 }
 
-fn json<T: Serialize>(content: &T) -> Response {
-    json_with(StatusCode::Ok, content)
+fn json_response<T: Serialize>(content: &T) -> Response {
+    json_response_with_status(StatusCode::Ok, content)
 }
 
-fn json_with<T: Serialize>(status: StatusCode, content: &T) -> Response {
+fn json_response_with_status<T: Serialize>(status: StatusCode, content: &T) -> Response {
     let body = serde_json::to_vec(content).unwrap_or_default();
     respond::bytes(status, respond::JSON, Bytes::from(body))
 }
 
-/// The instance as it is now.
+/// Collects the current status of the instance.
 pub fn status(shared: &Shared) -> Status {
     let active = shared.active();
     let deployments = active.deployments.values().map(|route| &route.deployment);
-    let shares: Vec<_> =
+    let digest_entries: Vec<_> =
         deployments.clone().flat_map(|deployment| deployment.digest().endpoints).collect();
     let endpoints = active.endpoints.values().map(|endpoint| {
-        let own = shares.iter().filter(|share| share.endpoint == endpoint.config.id);
+        let own_entries =
+            digest_entries.iter().filter(|entry| entry.endpoint == endpoint.config.id);
         EndpointStatus {
             endpoint: endpoint.config.id.clone(),
             group: endpoint.config.group.clone(),
             data_centre: endpoint.config.data_centre.clone(),
             incarnation: endpoint.lifecycle().incarnation,
             state: endpoint.change().state,
-            running: own.clone().map(|share| share.running).sum(),
-            prefill_rate: own.clone().map(|share| share.prefill_rate.0).fold(0.0, f64::max),
-            ejected: own.clone().any(|share| share.ejected),
+            running: own_entries.clone().map(|entry| entry.running).sum(),
+            prefill_rate: own_entries.clone().map(|entry| entry.prefill_rate.0).fold(0.0, f64::max),
+            ejected: own_entries.clone().any(|entry| entry.ejected),
         }
     });
     Status {
@@ -157,23 +163,23 @@
 
 fn peers(shared: &Shared) -> Vec<PeerStatus> {
     let Some(mesh) = shared.mesh() else { return Vec::new() };
-    let known = mesh.status().into_iter().map(|peer| PeerStatus {
+    let statuses = mesh.status().into_iter().map(|peer| PeerStatus {
         instance: peer.instance,
         incarnation: peer.incarnation,
         state: format!("{:?}", peer.state).to_lowercase(),
         linked: peer.linked,
     });
-    known.collect()
+    statuses.collect()
 }
 
 fn ledgers(shared: &Shared) -> Vec<LedgerStatus> {
     let streams = shared.ledgers().into_iter().flat_map(|ledgers| ledgers.iter());
-    let status = streams.map(|ledger| LedgerStatus {
+    let statuses = streams.map(|ledger| LedgerStatus {
         ready: ledger.is_ready(),
         keys: ledger.key_count(),
         next: ledger.next_offset(),
     });
-    status.collect()
+    statuses.collect()
 }
 
 fn stage_name(stage: Stage) -> &'static str {
--- a/crates/daemon/src/routing.rs
+++ b/crates/daemon/src/routing.rs
@@ -35,9 +35,9 @@
     }
     let sources = platform::sources(routing.log_service, &executor);
     let dialect = platform::PlatformDialect;
-    let router = settings.router(routing);
+    let router_settings = settings.router_settings(routing);
     let main = async {
-        let started = Instance::start(router, dialect, sources, executor.clone()).await;
+        let started = Instance::start(router_settings, dialect, sources, executor.clone()).await;
         let instance = started.map_err(Report::from).attach("the instance can't start")?;
         while let Some(signal) = signals.next().await {
             match signal {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,6 +1,6 @@
-//! What a process must know before it can read the configuration: its own addresses, its data
-//! centre, and where the platform's services are. Read from the folder given by `--config`;
-//! `docs/CONFIG.md` is the reference.
+//! Settings that a process needs before it can read the configuration: its own addresses, its data
+//! centre and the addresses of the platform's services. They are read from the folder given by
+//! `--config`; `docs/CONFIG.md` is the reference.
 
 mod read;
 mod routing;
@@ -18,43 +18,43 @@
 pub struct Settings {
     /// The name of this instance.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// The data centre that this instance runs in.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where other instances connect.
+    /// The address for other instances.
     pub peer_listen: SocketAddr,
-    /// Where operators' tools, probes and metrics connect; the callers' address where absent.
+    /// The address for operators' tools, probes and metrics; the callers' address if absent.
     #[serde(default)]
     pub admin_listen: Option<SocketAddr>,
-    /// The log service. Where absent, the configuration comes from the same folder, and calls
-    /// that may not be repeated are refused.
+    /// The address of the log service. If absent, the configuration is read from the same folder,
+    /// and calls that may not be repeated are refused.
     #[serde(default)]
     pub log: Option<SocketAddr>,
-    /// The list of instances.
+    /// The address of the service that lists the instances.
     #[serde(default)]
     pub instances: Option<SocketAddr>,
-    /// The weight store.
+    /// The address of the weight store.
     #[serde(default)]
     pub weights: Option<SocketAddr>,
-    /// Other instances' peer addresses to try first, before the list is read.
+    /// Peer addresses of other instances to connect to before the list of instances is read.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Threads; as many as cores where absent.
+    /// The number of threads; the number of cores if absent.
     #[serde(default)]
     pub threads: Option<usize>,
-    /// How long readiness is off before the listener closes on a stop, in milliseconds, so that
-    /// the platform's balancer notices.
+    /// How long a shutdown fails readiness probes before new requests are refused, in milliseconds,
+    /// so that the platform's balancer notices.
     #[serde(default = "balancer_wait_ms")]
     pub balancer_wait_ms: u64,
-    /// The most connections of callers at once.
+    /// Maximum number of open connections of callers.
     #[serde(default = "max_connections")]
     pub max_connections: usize,
-    /// The largest accepted body in bytes.
+    /// Maximum size of a request's body, in bytes.
     #[serde(default = "max_body")]
     pub max_body: usize,
-    /// Where present, the instance passes requests on by the sites' own routes instead of serving
-    /// the project's interface.
+    /// If present, the instance forwards requests by the sites' own routes instead of serving the
+    /// project's interface.
     #[serde(default)]
     pub routing: Option<RoutingSettings>,
 }
--- a/crates/daemon/src/settings/read.rs
+++ b/crates/daemon/src/settings/read.rs
@@ -1,5 +1,5 @@
-//! Reads the settings from the member `settings` of a configuration folder, and reports all that
-//! is wrong with them together.
+//! Reads the settings from the member `settings` of a configuration folder. All errors are
+//! collected and reported together.
 
 use std::net::SocketAddr;
 
@@ -7,27 +7,28 @@
 
 use super::{RoutingSettings, Settings, balancer_wait_ms, max_body, max_connections};
 
-/// The most threads that may be set.
+/// Maximum value of `threads`.
 const MAX_THREADS: u64 = 1_024;
-/// The longest wait for the balancer, in milliseconds: ten minutes.
+/// Maximum value of `balancer_wait_ms`: ten minutes.
 const MAX_BALANCER_WAIT_MS: u64 = 600_000;
-/// The most connections; more don't fit into the ports and file descriptors of one instance.
+/// Maximum value of `max_connections`; the ports and file descriptors of an instance don't suffice
+/// for more.
 const MAX_CONNECTIONS: u64 = 1_000_000;
-/// The largest body that may be set, in bytes: 1 GiB.
-const MAX_BODY: u64 = 1 << 30;
+/// Maximum value of `max_body`: 1 GiB.
+const MAX_BODY_LIMIT_BYTES: u64 = 1 << 30;
 
 impl Settings {
-    /// Reads the settings from `node`, the merged member `settings`.
+    /// Reads the settings from `node`, the merged member `settings`. Errors go to `findings`.
     pub fn read(node: &Node, findings: &mut Findings) -> Option<Settings> {
         let mut fields = Fields::open(node, SETTINGS_MEMBER, findings)?;
         let instance = fields.required("instance", "this instance's name", findings);
         let data_centre = fields.required("data_centre", "a data centre's name", findings);
-        let listen = address(&mut fields, "listen", findings);
-        let peer_listen = address(&mut fields, "peer_listen", findings);
-        let admin_listen = fields.optional("admin_listen", ADDRESS, findings);
-        let log = fields.optional("log", ADDRESS, findings);
-        let instances = fields.optional("instances", ADDRESS, findings);
-        let weights = fields.optional("weights", ADDRESS, findings);
+        let listen = required_address(&mut fields, "listen", findings);
+        let peer_listen = required_address(&mut fields, "peer_listen", findings);
+        let admin_listen = fields.optional("admin_listen", ADDRESS_FORMAT, findings);
+        let log = fields.optional("log", ADDRESS_FORMAT, findings);
+        let instances = fields.optional("instances", ADDRESS_FORMAT, findings);
+        let weights = fields.optional("weights", ADDRESS_FORMAT, findings);
         let peers = fields.optional("peers", "a list of addresses", findings);
         let threads = fields.optional_whole("threads", 1..=MAX_THREADS, findings);
         let balancer_wait_ms = fields.whole(
@@ -36,9 +37,15 @@
             balancer_wait_ms(),
             findings,
         );
-        let max_connections =
-            size(&mut fields, "max_connections", MAX_CONNECTIONS, max_connections(), findings);
-        let max_body = size(&mut fields, "max_body", MAX_BODY, max_body(), findings);
+        let max_connections = size_or_default(
+            &mut fields,
+            "max_connections",
+            MAX_CONNECTIONS,
+            max_connections(),
+            findings,
+        );
+        let max_body =
+            size_or_default(&mut fields, "max_body", MAX_BODY_LIMIT_BYTES, max_body(), findings);
         let routing = fields.node("routing");
         let routing = routing.and_then(|node| RoutingSettings::read(node, findings));
         fields.close(findings);
@@ -61,17 +68,17 @@
     }
 }
 
-pub(super) const ADDRESS: &str = "an address as 10.0.0.7:8080";
+pub(super) const ADDRESS_FORMAT: &str = "an address as 10.0.0.7:8080";
 
-fn address(
+fn required_address(
     fields: &mut Fields<'_>,
     name: &'static str,
     findings: &mut Findings,
 ) -> Option<SocketAddr> {
-    fields.required(name, ADDRESS, findings)
+    fields.required(name, ADDRESS_FORMAT, findings)
 }
 
-fn size(
+fn size_or_default(
     fields: &mut Fields<'_>,
     name: &'static str,
     max: u64,
--- a/crates/daemon/src/settings/routing.rs
+++ b/crates/daemon/src/settings/routing.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance that passes requests on by the sites' own routes.
+//! Settings of an instance that forwards requests by the sites' own routes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,51 +9,51 @@
 use router::settings::Bounds;
 use serde::{Deserialize, Serialize};
 
-use super::{Settings, read::ADDRESS};
+use super::{Settings, read::ADDRESS_FORMAT};
 
-/// The longest time that may be set, in milliseconds: an hour.
-const MAX_MS: u64 = 3_600_000;
+/// Maximum value of each duration: one hour.
+const MAX_DURATION_MS: u64 = 3_600_000;
 
-/// Settings of an instance that passes requests on.
+/// Settings of an instance that forwards requests by the sites' own routes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingSettings {
-    /// The platform's log service.
+    /// The address of the platform's log service.
     pub log_service: SocketAddr,
-    /// Where the balancer asks whether the instance is ready.
+    /// The address for the balancer's readiness probes.
     pub ready_listen: SocketAddr,
-    /// A key that was taken away is refused everywhere after this, in milliseconds.
+    /// Time after which a revoked key is refused by all instances, in milliseconds.
     pub revoke_ms: u64,
-    /// An endpoint that leaves gets nothing new after this, in milliseconds.
+    /// Time after which a leaving endpoint gets no new requests, in milliseconds.
     pub leave_ms: u64,
-    /// From the order to stop to the end by force, in milliseconds.
+    /// Time from the stop signal to the forced end, in milliseconds.
     pub stop_ms: u64,
-    /// Repeats that all instances together may add, as a share of first attempts.
+    /// Maximum number of retries of all instances together, as a share of first attempts.
     pub retry_share: f64,
-    /// The window over which repeats are counted, in milliseconds.
+    /// The window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Repeats in a window that are free, over all instances.
+    /// Retries in a window that are allowed in addition to the share, over all instances.
     pub retry_slack: f64,
-    /// How places are chosen.
+    /// How endpoints are selected.
     #[serde(default)]
     pub placement: PlacementRules,
 }
 
 impl RoutingSettings {
-    /// Reads them from the member `routing` of the settings.
+    /// Reads these settings from `node`, the member `routing`. Errors are added to `findings`.
     pub(super) fn read(node: &Node, findings: &mut Findings) -> Option<RoutingSettings> {
         let path = format!("{SETTINGS_MEMBER}.routing");
         let mut fields = Fields::open(node, &path, findings)?;
-        let log_service = fields.required("log_service", ADDRESS, findings);
-        let ready_listen = fields.required("ready_listen", ADDRESS, findings);
-        let mut millis = |name, default| fields.whole(name, 1..=MAX_MS, default, findings);
-        let revoke_ms = millis("revoke_ms", REVOKE_MS);
-        let leave_ms = millis("leave_ms", LEAVE_MS);
-        let stop_ms = millis("stop_ms", STOP_MS);
-        let retry_window_ms = millis("retry_window_ms", RETRY_WINDOW_MS);
+        let log_service = fields.required("log_service", ADDRESS_FORMAT, findings);
+        let ready_listen = fields.required("ready_listen", ADDRESS_FORMAT, findings);
+        let mut millis = |name, default| fields.whole(name, 1..=MAX_DURATION_MS, default, findings);
+        let revoke_ms = millis("revoke_ms", DEFAULT_REVOKE_MS);
+        let leave_ms = millis("leave_ms", DEFAULT_LEAVE_MS);
+        let stop_ms = millis("stop_ms", DEFAULT_STOP_MS);
+        let retry_window_ms = millis("retry_window_ms", DEFAULT_RETRY_WINDOW_MS);
         let retry_share = fields.optional("retry_share", "a number", findings);
         let retry_slack = fields.optional("retry_slack", "a number", findings);
-        let placement = read_placement(&mut fields, findings);
+        let placement = read_placement_rules(&mut fields, findings);
         fields.close(findings);
         Some(RoutingSettings {
             log_service: log_service?,
@@ -61,14 +61,14 @@
             revoke_ms,
             leave_ms,
             stop_ms,
-            retry_share: retry_share.unwrap_or(RETRY_SHARE),
+            retry_share: retry_share.unwrap_or(DEFAULT_RETRY_SHARE),
             retry_window_ms,
-            retry_slack: retry_slack.unwrap_or(RETRY_SLACK),
+            retry_slack: retry_slack.unwrap_or(DEFAULT_RETRY_SLACK),
             placement,
         })
     }
 
-    /// The bounds as times.
+    /// The time limits and the retry budget, as the router takes them.
     pub fn bounds(&self) -> Bounds {
         Bounds {
             revoke_within: Duration::from_millis(self.revoke_ms),
@@ -81,9 +81,10 @@
     }
 }
 
-fn read_placement(fields: &mut Fields<'_>, findings: &mut Findings) -> PlacementRules {
-    let read: Option<PlacementRules> = fields.optional("placement", "rules of placement", findings);
-    let rules = read.unwrap_or_default();
+fn read_placement_rules(fields: &mut Fields<'_>, findings: &mut Findings) -> PlacementRules {
+    let rules: Option<PlacementRules> =
+        fields.optional("placement", "rules of placement", findings);
+    let rules = rules.unwrap_or_default();
     if let Some(name) = rules.invalid_field() {
         let path = fields.path(&format!("placement.{name}"));
         findings.push(fields.location_of("placement"), &path, "expected a larger number");
@@ -92,8 +93,8 @@
 }
 
 impl Settings {
-    /// The same for the router, where these settings are for one.
-    pub fn router(&self, routing: &RoutingSettings) -> router::Settings {
+    /// Converts these settings and `routing` to the router's settings.
+    pub fn router_settings(&self, routing: &RoutingSettings) -> router::Settings {
         router::Settings {
             instance: self.instance.clone(),
             data_centre: self.data_centre.clone(),
@@ -108,10 +109,10 @@
     }
 }
 
-/// In force where the settings don't say: the bounds of today's two sites.
-const REVOKE_MS: u64 = 5_000;
-const LEAVE_MS: u64 = 2_000;
-const STOP_MS: u64 = 8_000;
-const RETRY_WINDOW_MS: u64 = 10_000;
-const RETRY_SHARE: f64 = 0.2;
-const RETRY_SLACK: f64 = 100.0;
+// Defaults, taken from the limits of the two present sites.
+const DEFAULT_REVOKE_MS: u64 = 5_000;
+const DEFAULT_LEAVE_MS: u64 = 2_000;
+const DEFAULT_STOP_MS: u64 = 8_000;
+const DEFAULT_RETRY_WINDOW_MS: u64 = 10_000;
+const DEFAULT_RETRY_SHARE: f64 = 0.2;
+const DEFAULT_RETRY_SLACK: f64 = 100.0;
