--- a/crates/daemon/src/admin/publish.rs
+++ b/crates/daemon/src/admin/publish.rs
@@ -55,7 +55,8 @@
         /// The changes accepted since the base version.
         since: Vec<AuditEntry>,
     },
-    /// The files failed these checks. Either nothing was appended, or no instance will activate them.
+    /// The files failed these checks. Either nothing was appended, or no instance will activate
+    /// them.
     Rejected(Vec<String>),
     /// The log didn't accept the append; nothing has changed.
     NotAppended,
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line arguments.
 
 use std::path::PathBuf;
 
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -1,28 +1,27 @@
-//! Reads a folder of configuration files. What is in them is checked by [`policy::config`].
+//! Reads a folder of configuration files. Their content is checked by [`policy::config`].
 
 use std::{fs, io, path::Path};
 
 use policy::config::{Findings, SourceFile, tree::MAX_FILE_BYTES};
 
-/// The most files of one folder.
+/// Maximum number of files in a folder.
 const MAX_FILES: usize = 1_000;
 
-/// Reads the files of `dir` that end in `.json`.
+/// Reads the files of `dir` whose names end in `.json`, sorted by name.
 ///
-/// Where `dir` is a file, that file alone is read, whatever its name: some platforms place the
-/// settings of a process as one file.
+/// If `dir` is a file, only that file is read, whatever its name: some platforms provide the
+/// settings of a process as a single file.
 ///
-/// Hidden files are skipped, because editors and mounts keep their own there. Links are followed,
-/// because a platform that mounts configuration does it through links. Folders within the folder
-/// aren't read.
+/// Hidden files are skipped, because editors and mounts use them for their own data. Symbolic links
+/// are followed, because platforms mount configuration through them. Subfolders aren't read.
 ///
 /// # Errors
 ///
-/// Findings that name each file that can't be read.
+/// A finding for each file that can't be read.
 pub fn read_folder(dir: &Path) -> Result<Vec<SourceFile>, Findings> {
     let mut findings = Findings::default();
     if dir.is_file() {
-        return read_single(dir).map_err(|e| {
+        return read_single_file(dir).map_err(|e| {
             findings.push(None, "", format!("the file {} can't be read: {e}", dir.display()));
             findings
         });
@@ -54,7 +53,7 @@
     findings.into_result(files)
 }
 
-fn read_single(path: &Path) -> io::Result<Vec<SourceFile>> {
+fn read_single_file(path: &Path) -> io::Result<Vec<SourceFile>> {
     let text = fs::read_to_string(path)?;
     Ok(vec![SourceFile { name: path.display().to_string(), text }])
 }
@@ -65,8 +64,8 @@
     if name.starts_with('.') || !name.ends_with(".json") {
         return Ok(None);
     }
-    let describe = |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
-    let metadata = fs::metadata(entry.path()).map_err(describe)?;
+    let add_file_name = |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
+    let metadata = fs::metadata(entry.path()).map_err(add_file_name)?;
     if !metadata.is_file() {
         return Ok(None);
     }
@@ -74,6 +73,6 @@
         let message = format!("{name}: it has more than {MAX_FILE_BYTES} bytes");
         return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
     }
-    let text = fs::read_to_string(entry.path()).map_err(describe)?;
+    let text = fs::read_to_string(entry.path()).map_err(add_file_name)?;
     Ok(Some(SourceFile { name: name.to_owned(), text }))
 }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,24 +1,24 @@
-//! The process's limit of open files, which is also that of its connections.
+//! The process's limit on open files, which also limits its connections.
 
 use rustix::process::{Resource, getrlimit, setrlimit};
 
-/// Files that the process needs besides its connections: listeners, links to other instances,
-/// polls of endpoints.
-const OTHERS: u64 = 256;
+/// Files that the process needs besides callers' connections: listeners, connections to other
+/// instances, polls of endpoints.
+const RESERVED_FILES: u64 = 256;
 
-/// Raises the limit of open files as far as the system allows, and tells where that isn't enough
-/// for `connections` callers.
+/// Raises the soft limit on open files to the hard limit, and logs a warning if that doesn't
+/// suffice for `max_connections`.
 ///
-/// The failure: the customary soft limit is 1,024, each stream takes two files, and from the five
-/// hundredth on callers find nobody to accept them.
-pub fn raise_open_files(connections: usize) {
+/// Guards against refused connections: the usual soft limit is 1,024 and each stream takes two
+/// files, so from about the five hundredth stream on connections wouldn't be accepted.
+pub fn raise_open_files(max_connections: usize) {
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
     if let Err(e) = setrlimit(Resource::Nofile, limit) {
         log::warn!(cause:% = e; "open_files_not_raised");
     }
     let allowed = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    let wanted = 2 * connections as u64 + OTHERS;
+    let wanted = 2 * max_connections as u64 + RESERVED_FILES;
     if allowed < wanted {
         log::warn!(allowed, wanted; "open_files_too_few");
     }
--- a/crates/daemon/src/logging/mod.rs
+++ b/crates/daemon/src/logging/mod.rs
@@ -1,6 +1,6 @@
-//! Log lines: one event a line, as key=value pairs, on standard output.
+//! Logging to standard output: one event per line, as key=value pairs.
 //!
-//! `docs/OPERATIONS.md` lists the events and how to follow a request through them.
+//! `docs/OPERATIONS.md` lists the events and describes how to trace a request by them.
 
 pub mod queue;
 
@@ -17,17 +17,18 @@
 use crate::cli::LogLevel;
 use queue::{LinePriority, LineQueue, LineWriter};
 
-/// Keeps logging going. Dropping it writes the last lines and ends it.
+/// Keeps the logger and its writing thread alive. Dropping it writes the remaining lines and stops
+/// logging.
 pub struct Logging {
     _handle: LoggerHandle,
     _writer: LineWriter,
 }
 
-/// Starts logging.
+/// Starts logging events of `level` and above.
 ///
 /// # Errors
 ///
-/// Where a logger was started before.
+/// If a logger was started before, or the writing thread can't be started.
 pub fn start(level: LogLevel) -> Result<Logging, FlexiLoggerError> {
     let filter = match level {
         LogLevel::Error => LevelFilter::Error,
@@ -35,7 +36,7 @@
         LogLevel::Info => LevelFilter::Info,
         LogLevel::Debug => LevelFilter::Debug,
     };
-    // Libraries log for their own developers.
+    // Libraries log details for their own developers; only their warnings and errors are included.
     let spec = LogSpecification::builder()
         .default(LevelFilter::Warn)
         .module("daemon", filter)
@@ -45,26 +46,27 @@
         .build();
     let queue = LineQueue::default();
     let writer = queue.write_to(io::stdout())?;
-    let sink = Sink { queue, max_level: filter };
-    let handle = Logger::with(spec).log_to_writer(Box::new(sink)).start()?;
+    let log_writer = QueueLogWriter { queue, level_filter: filter };
+    let handle = Logger::with(spec).log_to_writer(Box::new(log_writer)).start()?;
     Ok(Logging { _handle: handle, _writer: writer })
 }
 
-/// Events of which there is one or more for each request; the first to be left out.
-const ROUTINE: [&str; 5] = ["request", "placed", "refused", "hedged", "reserve"];
+/// Events that occur at least once per request. Their lines are the first to be dropped when the
+/// queue fills up.
+const ROUTINE_EVENTS: [&str; 5] = ["request", "placed", "refused", "hedged", "reserve"];
 
-struct Sink {
+struct QueueLogWriter {
     queue: LineQueue,
-    max_level: LevelFilter,
+    level_filter: LevelFilter,
 }
 
-impl LogWriter for Sink {
+impl LogWriter for QueueLogWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        let mut bytes = Vec::with_capacity(LINE_BYTES);
-        line(&mut bytes, now, record)?;
+        let mut bytes = Vec::with_capacity(LINE_CAPACITY_BYTES);
+        format_line(&mut bytes, now, record)?;
         bytes.push(b'\n');
         let is_routine = record.level() >= Level::Info
-            && record.args().as_str().is_some_and(|event| ROUTINE.contains(&event));
+            && record.args().as_str().is_some_and(|event| ROUTINE_EVENTS.contains(&event));
         self.queue
             .push(bytes, if is_routine { LinePriority::Routine } else { LinePriority::Important });
         Ok(())
@@ -75,43 +77,52 @@
     }
 
     fn max_log_level(&self) -> LevelFilter {
-        self.max_level
+        self.level_filter
     }
 }
 
-/// What most lines fit into.
-const LINE_BYTES: usize = 256;
+/// Initial capacity of a line's buffer; most lines are shorter.
+const LINE_CAPACITY_BYTES: usize = 256;
 
-fn line(out: &mut dyn io::Write, _: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+fn format_line(
+    out: &mut dyn io::Write,
+    _: &mut DeferredNow,
+    record: &Record<'_>,
+) -> io::Result<()> {
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let level = record.level().as_str().to_ascii_lowercase();
-    write!(out, "time={:.3} level={level} event={}", since.as_secs_f64(), quoted(record.args()))?;
-    let mut pairs = Pairs { out, result: Ok(()) };
-    // The visitor keeps its own error.
+    write!(
+        out,
+        "time={:.3} level={level} event={}",
+        since_epoch.as_secs_f64(),
+        quote_if_needed(record.args())
+    )?;
+    let mut pairs = PairFormatter { out, result: Ok(()) };
+    // Errors are returned in `pairs.result`.
     record.key_values().visit(&mut pairs).ok();
     pairs.result
 }
 
-struct Pairs<'a> {
+struct PairFormatter<'a> {
     out: &'a mut dyn io::Write,
     result: io::Result<()>,
 }
 
-impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> VisitSource<'kvs> for PairFormatter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         if self.result.is_ok() {
-            self.result = write!(self.out, " {key}={}", quoted(&value));
+            self.result = write!(self.out, " {key}={}", quote_if_needed(&value));
         }
         Ok(())
     }
 }
 
-/// The text as it is, or in quotes where a reader couldn't tell where it ends. Values come from
-/// callers too, and must not look like further pairs or lines.
-fn quoted(value: &impl ToString) -> String {
+/// Quotes and escapes a value unless it consists of printable ASCII without blanks, quotes and `=`.
+/// Some values come from callers and mustn't be readable as further pairs or lines.
+fn quote_if_needed(value: &impl ToString) -> String {
     let text = value.to_string();
-    let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
-    match !text.is_empty() && text.chars().all(plain) {
+    let is_plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
+    match !text.is_empty() && text.chars().all(is_plain) {
         true => text,
         false => format!("{text:?}"),
     }
--- a/crates/daemon/src/logging/queue.rs
+++ b/crates/daemon/src/logging/queue.rs
@@ -1,8 +1,8 @@
-//! Log lines on their way to a reader that may not read.
+//! A bounded queue of log lines, written by a separate thread.
 //!
-//! Guards against a daemon that stands still because nobody empties its standard output: lines go
-//! into a bounded queue, and a thread of its own writes them. When the queue fills, routine lines
-//! are left out first, and how many of each kind were left out is itself a line.
+//! Guards against a daemon that blocks because its standard output isn't read. When the queue fills
+//! up, routine lines are dropped first, and a log line reports how many of each priority were
+//! dropped.
 
 use std::{
     collections::VecDeque,
@@ -13,46 +13,48 @@
     time::{Duration, Instant},
 };
 
-/// The most lines that wait. At the sites' peaks an instance writes a few hundred a second, so a
-/// reader may fall behind by several seconds.
+/// Capacity of the queue. At peak load an instance logs a few hundred lines a second, so a reader
+/// may fall behind by several seconds.
 const MAX_LINES: usize = 4_096;
 
-/// Lines up to which routine ones are taken. The rest is kept for failures and changes of belief.
-const MAX_ROUTINE: usize = 3_072;
+/// Queue length from which routine lines are dropped. The rest of the capacity is reserved for
+/// important lines.
+const MAX_LINES_FOR_ROUTINE: usize = 3_072;
 
-/// How long a close waits for the reader.
-const CLOSE_WITHIN: Duration = Duration::from_millis(200);
+/// How long closing the writer waits until the queued lines are written.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How much a line matters when there is no room for all.
+/// Priority of a line; it decides which lines are dropped when the queue fills up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinePriority {
-    /// One of many of its kind.
+    /// One of many similar lines, such as one for each request.
     Routine,
-    /// A failure, or a change of what the instance believes.
+    /// A failure, or a change of the instance's state or of its view of others.
     Important,
 }
 
 #[derive(Debug, Default)]
 struct State {
     lines: VecDeque<Vec<u8>>,
-    left_out_routine: u64,
-    left_out_kept: u64,
+    dropped_routine: u64,
+    dropped_important: u64,
     is_waiting: bool,
     is_writing: bool,
     is_closed: bool,
 }
 
 #[derive(Debug, Default)]
-struct Shared {
+struct SharedQueue {
     state: Mutex<State>,
     changed: Condvar,
 }
 
-/// Takes lines without ever waiting.
+/// A queue whose [`LineQueue::push`] never waits for the writer. Clones share the same queue.
 #[derive(Debug, Clone, Default)]
-pub struct LineQueue(Arc<Shared>);
+pub struct LineQueue(Arc<SharedQueue>);
 
-/// The thread that writes a queue's lines.
+/// Owns the thread that writes a queue's lines. Dropping it closes the queue, as
+/// [`LineWriter::close`] does.
 #[derive(Debug)]
 pub struct LineWriter {
     queue: LineQueue,
@@ -60,44 +62,45 @@
 }
 
 impl LineQueue {
-    /// Adds a line, or counts it as left out.
-    pub fn push(&self, line: Vec<u8>, rank: LinePriority) {
+    /// Adds a line, or drops and counts it if the queue is too full for its priority.
+    pub fn push(&self, line: Vec<u8>, priority: LinePriority) {
         let mut state = self.state();
-        let limit = if rank == LinePriority::Routine { MAX_ROUTINE } else { MAX_LINES };
+        let limit =
+            if priority == LinePriority::Routine { MAX_LINES_FOR_ROUTINE } else { MAX_LINES };
         if state.lines.len() >= limit {
-            match rank {
-                LinePriority::Routine => state.left_out_routine += 1,
-                LinePriority::Important => state.left_out_kept += 1,
+            match priority {
+                LinePriority::Routine => state.dropped_routine += 1,
+                LinePriority::Important => state.dropped_important += 1,
             }
             return;
         }
         state.lines.push_back(line);
-        // A writer that is at work looks again by itself.
+        // A writer that isn't waiting checks the queue again by itself.
         if mem::take(&mut state.is_waiting) {
             self.0.changed.notify_one();
         }
     }
 
-    /// Writes this queue's lines to `sink` from a thread of its own.
+    /// Starts a thread that writes this queue's lines to `sink`.
     ///
     /// # Errors
     ///
-    /// Where the thread can't be started.
+    /// If the thread can't be started.
     pub fn write_to(&self, sink: impl Write + Send + 'static) -> std::io::Result<LineWriter> {
         let queue = self.clone();
-        let named = thread::Builder::new().name("trefoilhall-log".to_owned());
-        let thread = named.spawn(move || queue.run(sink))?;
+        let builder = thread::Builder::new().name("trefoilhall-log".to_owned());
+        let thread = builder.spawn(move || queue.write_lines(sink))?;
         Ok(LineWriter { queue: self.clone(), thread: Some(thread) })
     }
 
-    fn run(&self, mut sink: impl Write) {
+    fn write_lines(&self, mut sink: impl Write) {
         while let Some(bytes) = self.next_bytes() {
-            // A reader that is gone can't be told.
+            // An error is ignored: there is no other place to report it.
             sink.write_all(&bytes).and_then(|()| sink.flush()).ok();
         }
     }
 
-    /// All lines that wait, together; none once the queue is closed and empty.
+    /// Waits for lines and returns all that are queued; `None` once the queue is closed and empty.
     fn next_bytes(&self) -> Option<Vec<u8>> {
         let mut state = self.state();
         state.is_writing = false;
@@ -111,11 +114,11 @@
         }
         state.is_writing = true;
         let mut bytes: Vec<u8> = state.lines.drain(..).flatten().collect();
-        let routine = mem::take(&mut state.left_out_routine);
-        let kept = mem::take(&mut state.left_out_kept);
-        if routine + kept > 0 {
+        let routine = mem::take(&mut state.dropped_routine);
+        let important = mem::take(&mut state.dropped_important);
+        if routine + important > 0 {
             let line =
-                format!("level=warn event=log_lines_left_out routine={routine} kept={kept}\n");
+                format!("level=warn event=log_lines_left_out routine={routine} kept={important}\n");
             bytes.extend(line.into_bytes());
         }
         Some(bytes)
@@ -127,24 +130,25 @@
 }
 
 impl LineWriter {
-    /// Waits a moment for the last lines to be written. A reader that doesn't read holds nobody up.
+    /// Closes the queue and waits until the remaining lines are written. The wait is limited, so
+    /// that a reader that doesn't read can't block it.
     pub fn close(mut self) {
-        self.finish();
+        self.wait_and_join();
     }
 
-    fn finish(&mut self) {
+    fn wait_and_join(&mut self) {
         let Some(thread) = self.thread.take() else { return };
-        let end = Instant::now() + CLOSE_WITHIN;
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
         let mut state = self.queue.state();
         state.is_closed = true;
         self.queue.0.changed.notify_all();
         while !state.lines.is_empty() || state.is_writing {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
                 return;
             }
-            let waited = self.queue.0.changed.wait_timeout(state, left);
-            state = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let result = self.queue.0.changed.wait_timeout(state, time_left);
+            state = result.unwrap_or_else(PoisonError::into_inner).0;
         }
         drop(state);
         thread.join().ok();
@@ -153,6 +157,6 @@
 
 impl Drop for LineWriter {
     fn drop(&mut self) {
-        self.finish();
+        self.wait_and_join();
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, collected by opentelemetry and read as Prometheus text at `/metrics`.
+//! Metrics, collected with opentelemetry and exported as Prometheus text at `/metrics`.
 
 use std::time::Duration;
 
@@ -12,29 +12,30 @@
 
 use crate::record::RequestSummary;
 
-/// Bounds of the time histograms in seconds: from a refusal to the longest review.
-const SECONDS: [f64; 16] = [
+/// Bucket bounds of the duration histograms, in seconds: from a refused request to the longest
+/// review.
+const DURATION_BUCKETS_S: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0, 600.0,
 ];
 
-/// All instruments of one instance.
+/// The instruments of one instance.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests under way.
+    /// The number of requests in flight.
     pub requests_in_flight: UpDownCounter<i64>,
-    /// Connections of callers.
+    /// The number of open connections of callers.
     pub connections: UpDownCounter<i64>,
     requests: Counter<u64>,
     attempt_failures: Counter<u64>,
-    once_calls: Counter<u64>,
+    at_most_once_calls: Counter<u64>,
     first_token: Histogram<f64>,
     duration: Histogram<f64>,
     registry: Registry,
-    // Dropping the provider would end collection.
+    // Kept because dropping the provider would end collection.
     _provider: SdkMeterProvider,
 }
 
-/// Metrics can't be set up.
+/// The metrics exporter can't be set up.
 #[derive(Debug)]
 pub struct MetricsError;
 
@@ -47,11 +48,11 @@
 impl std::error::Error for MetricsError {}
 
 impl Metrics {
-    /// Instruments and registry of one instance.
+    /// Creates the instruments and their registry.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] where the exporter refuses its registry.
+    /// [`MetricsError`] if the exporter can't use the registry.
     pub fn new() -> Result<Metrics, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone());
@@ -59,27 +60,35 @@
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("trefoilhall");
         Ok(Metrics {
-            requests_in_flight: gauge(
+            requests_in_flight: up_down_counter(
                 &meter,
                 "trefoilhall_requests_under_way",
                 "requests under way",
             ),
-            connections: gauge(&meter, "trefoilhall_connections", "connections of callers"),
+            connections: up_down_counter(
+                &meter,
+                "trefoilhall_connections",
+                "connections of callers",
+            ),
             requests: counter(&meter, "trefoilhall_requests", "requests that ended"),
             attempt_failures: counter(&meter, "trefoilhall_attempt_failures", "failed attempts"),
-            once_calls: counter(
+            at_most_once_calls: counter(
                 &meter,
                 "trefoilhall_once_calls",
                 "calls that may not be repeated, by what the ledger said",
             ),
-            first_token: seconds(&meter, "trefoilhall_first_token", "time to first token"),
-            duration: seconds(&meter, "trefoilhall_duration", "time from head to end"),
+            first_token: duration_histogram(
+                &meter,
+                "trefoilhall_first_token",
+                "time to first token",
+            ),
+            duration: duration_histogram(&meter, "trefoilhall_duration", "time from head to end"),
             registry,
             _provider: provider,
         })
     }
 
-    /// Counts a request that ended.
+    /// Counts a request that has ended and records its durations.
     pub fn record_request(
         &self,
         summary: &RequestSummary,
@@ -94,8 +103,8 @@
         self.requests.add(1, &labels);
         self.duration.record(total.as_secs_f64(), &[deployment.clone(), outcome]);
         if let Some(first_token) = first_token {
-            let band = KeyValue::new("prompt", band(summary.prompt));
-            self.first_token.record(first_token.as_secs_f64(), &[deployment, band]);
+            let band_label = KeyValue::new("prompt", prompt_band(summary.prompt));
+            self.first_token.record(first_token.as_secs_f64(), &[deployment, band_label]);
         }
     }
 
@@ -106,20 +115,20 @@
         self.attempt_failures.add(1, &[deployment, cause]);
     }
 
-    /// Counts a call that may not be repeated.
+    /// Counts a call that may not be repeated, by the outcome of its ledger lookup.
     pub fn record_at_most_once_call(&self, deployment: &Deployment, outcome: &'static str) {
         let deployment = KeyValue::new("deployment", deployment.as_str().to_owned());
-        self.once_calls.add(1, &[deployment, KeyValue::new("outcome", outcome)]);
+        self.at_most_once_calls.add(1, &[deployment, KeyValue::new("outcome", outcome)]);
     }
 
-    /// Everything as Prometheus text.
+    /// Encodes all metrics in Prometheus' text format; empty if the encoding fails.
     pub fn to_text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
-/// The band of prompt lengths that figures are broken down by.
-pub fn band(prompt: Tokens) -> &'static str {
+/// The range of prompt lengths by which the time to the first token is broken down.
+pub fn prompt_band(prompt: Tokens) -> &'static str {
     match prompt.0 {
         0..=2_000 => "to_2k",
         2_001..=10_000 => "to_10k",
@@ -129,15 +138,23 @@
     }
 }
 
-fn counter(meter: &Meter, name: &'static str, text: &'static str) -> Counter<u64> {
-    meter.u64_counter(name).with_description(text).build()
+fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
+    meter.u64_counter(name).with_description(description).build()
 }
 
-fn gauge(meter: &Meter, name: &'static str, text: &'static str) -> UpDownCounter<i64> {
-    meter.i64_up_down_counter(name).with_description(text).build()
+fn up_down_counter(
+    meter: &Meter,
+    name: &'static str,
+    description: &'static str,
+) -> UpDownCounter<i64> {
+    meter.i64_up_down_counter(name).with_description(description).build()
 }
 
-fn seconds(meter: &Meter, name: &'static str, text: &'static str) -> Histogram<f64> {
-    let histogram = meter.f64_histogram(name).with_description(text).with_unit("s");
-    histogram.with_boundaries(SECONDS.to_vec()).build()
+fn duration_histogram(
+    meter: &Meter,
+    name: &'static str,
+    description: &'static str,
+) -> Histogram<f64> {
+    let histogram = meter.f64_histogram(name).with_description(description).with_unit("s");
+    histogram.with_boundaries(DURATION_BUCKETS_S.to_vec()).build()
 }
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,4 +1,4 @@
-//! Turns the command line and the folder it names into checked types.
+//! Reads the settings and the configuration from the folder given on the command line.
 
 use std::fmt;
 
@@ -7,30 +7,31 @@
 
 use crate::{cli::Args, folder::read_folder, settings::Settings};
 
-/// What the daemon was started with.
+/// The validated options of the daemon.
 #[derive(Debug)]
 pub struct Options {
     /// The settings of this process.
     pub settings: Settings,
-    /// The configuration, where it doesn't come from the log.
+    /// The configuration from the folder; `None` if it comes from the log or if the instance
+    /// forwards requests by the sites' own routes.
     pub config: Option<Config>,
 }
 
-/// The folder can't be used, for all these reasons.
+/// The configuration folder is invalid or can't be read; holds all findings.
 #[derive(Debug)]
 pub struct FolderError(pub Findings);
 
 impl fmt::Display for FolderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let texts: Vec<_> = self.0.iter().map(ToString::to_string).collect();
-        write!(f, "the configuration folder can't be used: {}", texts.join("; "))
+        let messages: Vec<_> = self.0.iter().map(ToString::to_string).collect();
+        write!(f, "the configuration folder can't be used: {}", messages.join("; "))
     }
 }
 
 impl std::error::Error for FolderError {}
 
 impl Options {
-    /// Reads the folder that `args` name.
+    /// Reads the folder given by `--config`.
     ///
     /// # Errors
     ///
@@ -48,8 +49,8 @@
         };
         let settings = findings.into_result(settings).map_err(FolderError)?;
         let settings = settings.ok_or_else(|| Report::new(FolderError(Findings::default())))?;
-        let is_local = settings.log.is_none() && settings.routing.is_none();
-        let config = is_local.then_some(loaded.config);
+        let reads_local_config = settings.log.is_none() && settings.routing.is_none();
+        let config = reads_local_config.then_some(loaded.config);
         Ok(Options { settings, config })
     }
 }
