--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,76 +1,76 @@
-//! One model engine, by the figures that its operators publish.
+//! Emulation of one LLM engine, with the figures that its operators publish.
 //!
-//! An engine on which nobody writes reads in steps of one chunk, the newest part of a split prompt
-//! first and whole prompts after all parts. Where somebody writes it works in passes of a fixed number
-//! of steps, each of which reads at most a chunk; an event of every stream comes with the end of a pass.
-//! Memory isn't emulated.
+//! An engine without decoding requests prefills in steps of one chunk: the newest part of a split
+//! prompt first, and whole prompts after all parts. While requests decode, the engine works in
+//! passes of a fixed number of steps, each of which prefills at most one chunk; at the end of a
+//! pass every stream yields one event. Memory isn't emulated.
 //!
-//! The order of reading stands a second time in `policy::placement`, which only believes what an engine
-//! does. Sharing it would hide every mistake in that belief from the experiments.
+//! `policy::placement` implements the order of prefill a second time, because it only predicts what
+//! an engine does. Sharing the code would hide errors in these predictions from the experiments.
 
 use std::collections::VecDeque;
 
 use policy::routes::EngineRules;
 
-/// Milliseconds from the end of reading to a first event where nobody else writes: half a pass.
+/// Time from the end of prefill to the first event if no other request decodes, in passes.
 const FIRST_EVENT_PASSES: f64 = 0.5;
 
-/// Names a run of a request.
+/// Identifies a run of a request, as an index into the simulation's list of runs.
 pub type RunId = usize;
 
-/// A part of a prompt as it reaches an engine.
+/// The part of a prompt that one engine prefills.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PromptPart {
-    /// Whose part it is.
+    /// The run that it belongs to.
     pub run: RunId,
-    /// Milliseconds of reading.
+    /// Prefill time in milliseconds.
     pub ms: f64,
-    /// Tokens.
+    /// Size in tokens.
     pub tokens: f64,
-    /// It is one of several.
+    /// Whether the prompt is split into several parts.
     pub is_split: bool,
-    /// The run's answer is written here.
+    /// Whether this engine also decodes the answer.
     pub is_head: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Writer {
+struct DecodingRun {
     run: RunId,
-    events_left: u32,
-    /// Thousands of tokens.
-    context: f64,
+    remaining_events: u32,
+    /// Length of its context, in thousands of tokens.
+    context_k: f64,
 }
 
-/// What came of an engine's last activity.
+/// A result of an engine's last pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// A part has been read.
-    Read(RunId),
-    /// An event of an answer.
-    Event(RunId),
-    /// Its last event.
-    Last(RunId),
+    /// A part has been prefilled.
+    Prefilled(RunId),
+    /// An answer has yielded an event.
+    StreamEvent(RunId),
+    /// An answer has yielded its last event.
+    LastStreamEvent(RunId),
 }
 
 #[derive(Debug)]
-struct Activity {
-    /// What is read, and how much of it.
-    reads: Vec<(RunId, f64)>,
-    writes: bool,
+struct Pass {
+    /// The parts that it prefills, with the milliseconds spent on each.
+    prefills: Vec<(RunId, f64)>,
+    decodes: bool,
 }
 
-/// An engine.
+/// An emulated engine.
 #[derive(Debug)]
 pub struct Engine {
     rules: EngineRules,
-    /// Parts to read, in the order of their arrival.
+    /// Parts to prefill, in the order of their arrival.
     parts: Vec<PromptPart>,
     /// Runs that wait for a slot.
     queue: VecDeque<PromptPart>,
-    /// Runs that hold a slot and don't write yet.
-    reading: Vec<RunId>,
-    writers: Vec<Writer>,
-    activity: Option<Activity>,
+    /// Runs that hold a slot and don't decode yet.
+    prefilling: Vec<RunId>,
+    decoding: Vec<DecodingRun>,
+    current_pass: Option<Pass>,
 }
 
 impl Engine {
@@ -80,25 +80,26 @@
             rules,
             parts: Vec::new(),
             queue: VecDeque::new(),
-            reading: Vec::new(),
-            writers: Vec::new(),
-            activity: None,
+            prefilling: Vec::new(),
+            decoding: Vec::new(),
+            current_pass: None,
         }
     }
 
-    /// Whether it waits for work.
+    /// Whether no pass is running.
     pub fn is_idle(&self) -> bool {
-        self.activity.is_none()
+        self.current_pass.is_none()
     }
 
-    /// Whether it reads parts for as many others as it has slots, and refuses one more.
-    pub fn helps_enough(&self) -> bool {
-        let helping = self.parts.iter().filter(|part| !part.is_head).count();
-        helping >= self.rules.slots as usize
+    /// Whether it prefills as many parts for other engines as it has slots, and refuses further
+    /// ones.
+    pub fn is_helper_limit_reached(&self) -> bool {
+        let helper_parts = self.parts.iter().filter(|part| !part.is_head).count();
+        helper_parts >= self.rules.slots as usize
     }
 
-    /// A part arrives.
-    pub fn arrive(&mut self, part: PromptPart) {
+    /// Queues a part for prefill.
+    pub fn enqueue(&mut self, part: PromptPart) {
         if !part.is_head {
             self.parts.push(part);
             return;
@@ -107,106 +108,111 @@
         self.admit();
     }
 
-    /// All parts of a run whose answer is written here have been read.
-    pub fn write(&mut self, run: RunId, events: u32, prompt: u64) {
-        self.reading.retain(|reading| *reading != run);
-        let context = prompt as f64 / 1000.0;
-        self.writers.push(Writer { run, events_left: events, context });
+    /// Starts decoding a run, once all its parts have been prefilled.
+    pub fn start_decoding(&mut self, run: RunId, events: u32, prompt_tokens: u64) {
+        self.prefilling.retain(|other| *other != run);
+        let context_k = prompt_tokens as f64 / 1000.0;
+        self.decoding.push(DecodingRun { run, remaining_events: events, context_k });
     }
 
-    /// A run is over before its end; its place is free at once.
+    /// Removes a run; its slot is free at once.
     pub fn cancel(&mut self, run: RunId) {
-        self.reading.retain(|reading| *reading != run);
+        self.prefilling.retain(|other| *other != run);
         self.parts.retain(|part| part.run != run);
         self.queue.retain(|part| part.run != run);
-        self.writers.retain(|writer| writer.run != run);
+        self.decoding.retain(|other| other.run != run);
         self.admit();
     }
 
-    /// Begins whatever there is to do, and tells how many milliseconds it takes.
-    pub fn begin(&mut self) -> Option<f64> {
-        let writes = !self.writers.is_empty();
-        if !writes && self.parts.is_empty() {
+    /// Starts the next pass and returns its duration in milliseconds, or `None` if there is no
+    /// work.
+    pub fn start_pass(&mut self) -> Option<f64> {
+        let decodes = !self.decoding.is_empty();
+        if !decodes && self.parts.is_empty() {
             return None;
         }
-        let room = match writes {
+        let max_tokens = match decodes {
             true => self.rules.max_prefill_tokens_per_pass(),
             false => f64::from(self.rules.chunk_tokens),
         };
-        let (reads, reading_ms) = self.take(room);
-        let writing_ms = if writes { self.pass_ms() } else { 0.0 };
-        self.activity = Some(Activity { reads, writes });
-        Some(reading_ms + writing_ms)
+        let (prefills, prefill_ms) = self.plan_prefill(max_tokens);
+        let decode_ms = if decodes { self.decode_ms() } else { 0.0 };
+        self.current_pass = Some(Pass { prefills, decodes });
+        Some(prefill_ms + decode_ms)
     }
 
-    /// Ends what was begun.
-    pub fn finish(&mut self) -> Vec<EngineEvent> {
-        let Some(Activity { reads, writes }) = self.activity.take() else { return Vec::new() };
-        let mut happened = Vec::new();
-        for (run, ms) in reads {
+    /// Ends the current pass and returns its results.
+    pub fn finish_pass(&mut self) -> Vec<EngineEvent> {
+        let Some(Pass { prefills, decodes }) = self.current_pass.take() else { return Vec::new() };
+        let mut engine_events = Vec::new();
+        for (run, ms) in prefills {
             let Some(index) = self.parts.iter().position(|part| part.run == run) else { continue };
             let part = &mut self.parts[index];
             let share = ms / part.ms.max(f64::MIN_POSITIVE);
             if share >= 1.0 - 1e-9 {
                 self.parts.remove(index);
-                happened.push(EngineEvent::Read(run));
+                engine_events.push(EngineEvent::Prefilled(run));
             } else {
                 part.tokens *= 1.0 - share;
                 part.ms -= ms;
             }
         }
-        if writes {
-            self.write_events(&mut happened);
+        if decodes {
+            self.decode(&mut engine_events);
         }
-        happened
+        engine_events
     }
 
-    /// Milliseconds until the first event of a run that has just been read.
+    /// Milliseconds until the first event of a run whose prefill has just ended.
     pub fn first_event_ms(&self) -> f64 {
-        if self.writers.len() > 1 { 0.0 } else { FIRST_EVENT_PASSES * self.pass_ms() }
+        if self.decoding.len() > 1 { 0.0 } else { FIRST_EVENT_PASSES * self.decode_ms() }
     }
 
-    fn write_events(&mut self, happened: &mut Vec<EngineEvent>) {
-        for writer in &mut self.writers {
-            writer.events_left = writer.events_left.saturating_sub(1);
-            happened.push(match writer.events_left {
-                0 => EngineEvent::Last(writer.run),
-                _ => EngineEvent::Event(writer.run),
+    fn decode(&mut self, engine_events: &mut Vec<EngineEvent>) {
+        for decoding in &mut self.decoding {
+            decoding.remaining_events = decoding.remaining_events.saturating_sub(1);
+            engine_events.push(match decoding.remaining_events {
+                0 => EngineEvent::LastStreamEvent(decoding.run),
+                _ => EngineEvent::StreamEvent(decoding.run),
             });
         }
-        self.writers.retain(|writer| writer.events_left > 0);
+        self.decoding.retain(|decoding| decoding.remaining_events > 0);
         self.admit();
     }
 
     fn admit(&mut self) {
-        while self.reading.len() + self.writers.len() < self.rules.slots as usize
+        while self.prefilling.len() + self.decoding.len() < self.rules.slots as usize
             && let Some(part) = self.queue.pop_front()
         {
-            self.reading.push(part.run);
+            self.prefilling.push(part.run);
             self.parts.push(part);
         }
     }
 
-    /// What the next `room` tokens are of, and how long they take.
-    fn take(&self, mut room: f64) -> (Vec<(RunId, f64)>, f64) {
+    /// Selects up to `free_tokens` tokens to prefill next, as milliseconds per run, with their total
+    /// duration in milliseconds.
+    fn plan_prefill(&self, mut free_tokens: f64) -> (Vec<(RunId, f64)>, f64) {
         let split = self.parts.iter().rev().filter(|part| part.is_split);
         let whole = self.parts.iter().filter(|part| !part.is_split);
-        let (mut reads, mut total_ms) = (Vec::new(), 0.0);
+        let (mut prefills, mut total_ms) = (Vec::new(), 0.0);
         for part in split.chain(whole) {
-            if room <= 0.0 {
+            if free_tokens <= 0.0 {
                 break;
             }
-            let share = (room / part.tokens.max(1.0)).min(1.0);
-            room -= part.tokens.max(1.0) * share;
+            let share = (free_tokens / part.tokens.max(1.0)).min(1.0);
+            free_tokens -= part.tokens.max(1.0) * share;
             total_ms += part.ms * share;
-            reads.push((part.run, part.ms * share));
+            prefills.push((part.run, part.ms * share));
         }
-        (reads, total_ms)
+        (prefills, total_ms)
     }
 
-    fn pass_ms(&self) -> f64 {
-        let thousands = self.writers.iter().map(|writer| writer.context).sum();
-        self.rules
-            .pass_ms_with_context(u32::try_from(self.writers.len()).unwrap_or(u32::MAX), thousands)
+    /// Duration of the decoding steps of a pass, in milliseconds.
+    fn decode_ms(&self) -> f64 {
+        let total_context_k = self.decoding.iter().map(|decoding| decoding.context_k).sum();
+        self.rules.pass_ms_with_context(
+            u32::try_from(self.decoding.len()).unwrap_or(u32::MAX),
+            total_context_k,
+        )
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,11 @@
-//! Plays a site of model engines, instances and callers in virtual time, without network or clock.
+//! Simulates a site of LLM engines, instances and callers in virtual time, without a network or a
+//! clock.
 //!
-//! The instances run the daemon's own `policy::placement`; the engines are emulated by the figures that
-//! operators publish ([`engine`]), callers and their bursts are drawn from a seed ([`load`]), and
-//! words between instances take time and may be lost ([`simulation`]). What callers receive is judged in
-//! [`outcome`]. `trefoilhall experiment` runs it from a file ([`spec`]); `docs/BENCH.md` tells how near
-//! it comes to the sites' own figures.
+//! The instances run the daemon's own `policy::placement`. The engines are emulated with the
+//! figures that operators publish ([`engine`]), callers and their bursts are generated from a seed
+//! ([`load`]), and updates between instances take time and may be lost ([`simulation`]). What
+//! callers receive is evaluated in [`outcome`]. `trefoilhall experiment` runs a simulation from a
+//! file ([`spec`]); `docs/BENCH.md` compares the results with the sites' own figures.
 
 pub mod engine;
 pub mod load;
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers and their bursts, drawn from a seed.
+//! Generates the calls of a run from a seed: a Poisson process per kind, with bursts.
 
 use fastrand::Rng;
 
@@ -7,35 +7,36 @@
 /// A request as its caller sends it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Call {
-    /// When, in milliseconds.
+    /// Time of arrival, in milliseconds from the start.
     pub at_ms: f64,
-    /// Index of its kind.
+    /// Index of its kind in [`SiteSpec::kinds`].
     pub kind: usize,
-    /// Tokens of its prompt.
+    /// Length of its prompt, in tokens.
     pub prompt: u64,
-    /// Events of its answer.
+    /// Number of events of its answer.
     pub events: u32,
-    /// The instance that it comes to.
+    /// Index of the instance that receives it.
     pub instance: usize,
 }
 
-/// All calls of a run, in the order of their times.
-pub fn calls(spec: &SiteSpec, seed: u64) -> Vec<Call> {
+/// Generates all calls of a run, in the order of their arrival.
+pub fn generate_calls(spec: &SiteSpec, seed: u64) -> Vec<Call> {
     let mut rng = Rng::with_seed(seed);
     let mut calls = Vec::new();
     for (index, kind) in spec.kinds.iter().enumerate() {
-        let highest = highest_rate(spec, kind);
+        let max_rate_per_s = max_rate(spec, kind);
         let mut at_s = 0.0;
-        if highest <= 0.0 {
+        if max_rate_per_s <= 0.0 {
             continue;
         }
         loop {
-            at_s -= (1.0 - rng.f64()).ln() / highest;
+            at_s -= (1.0 - rng.f64()).ln() / max_rate_per_s;
             if at_s >= spec.seconds {
                 break;
             }
-            // Thinned down from the highest rate to that of the moment.
-            if rng.f64() * highest <= rate(spec, kind, at_s) {
+            // Thinning: arrivals at the maximum rate are accepted in proportion to the current
+            // rate.
+            if rng.f64() * max_rate_per_s <= rate(spec, kind, at_s) {
                 calls.push(call(spec, index, at_s, &mut rng));
             }
         }
@@ -46,8 +47,8 @@
 
 fn call(spec: &SiteSpec, index: usize, at_s: f64, rng: &mut Rng) -> Call {
     let kind = &spec.kinds[index];
-    let prompt = skewed(kind.prompt, kind.spread, rng).clamp(1.0, kind.longest);
-    let events = skewed(kind.events, 0.6, rng).clamp(1.0, 2.5 * kind.events);
+    let prompt = log_normal(kind.prompt, kind.spread, rng).clamp(1.0, kind.longest);
+    let events = log_normal(kind.events, 0.6, rng).clamp(1.0, 2.5 * kind.events);
     Call {
         at_ms: at_s * 1000.0,
         kind: index,
@@ -57,22 +58,23 @@
     }
 }
 
-/// Requests of a kind a second at a moment.
+/// Requests of a kind per second at the time `at_s`.
 fn rate(spec: &SiteSpec, kind: &RequestKind, at_s: f64) -> f64 {
-    let during = |burst: &&crate::spec::Burst| {
+    let is_active = |burst: &&crate::spec::Burst| {
         burst.kind == kind.name && (burst.from_s..burst.from_s + burst.for_s).contains(&at_s)
     };
-    let times: f64 = spec.bursts.iter().filter(during).map(|burst| burst.times).product();
-    kind.per_s * times
+    let factor: f64 = spec.bursts.iter().filter(is_active).map(|burst| burst.times).product();
+    kind.per_s * factor
 }
 
-fn highest_rate(spec: &SiteSpec, kind: &RequestKind) -> f64 {
+fn max_rate(spec: &SiteSpec, kind: &RequestKind) -> f64 {
     let starts = spec.bursts.iter().map(|burst| burst.from_s);
     starts.chain([0.0]).map(|at_s| rate(spec, kind, at_s)).fold(kind.per_s, f64::max)
 }
 
-/// A length with a long tail, of this mean.
-fn skewed(mean: f64, spread: f64, rng: &mut Rng) -> f64 {
+/// Draws from a log-normal distribution with this mean, by the Box-Muller transform; `spread` is
+/// the standard deviation of the logarithm.
+fn log_normal(mean: f64, spread: f64, rng: &mut Rng) -> f64 {
     let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos();
     mean * (spread * normal - spread * spread / 2.0).exp()
 }
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -1,121 +1,123 @@
-//! What callers received.
+//! Evaluation of what callers received.
 
 use serde::Serialize;
 
 use crate::spec::{RequestKind, SiteSpec};
 
-/// What one caller received.
+/// What the caller of one request received.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct CallResult {
-    /// Index of its kind.
+    /// Index of its kind in [`SiteSpec::kinds`].
     pub kind: usize,
-    /// Tokens of its prompt.
+    /// Length of its prompt, in tokens.
     pub prompt: u64,
-    /// Milliseconds to its first event.
+    /// Time to its first event, in milliseconds; `None` if none arrived.
     pub first_ms: Option<f64>,
-    /// When its first event was foretold, in milliseconds from its placing.
-    pub foretold_ms: f64,
-    /// Milliseconds for which it was held after it was placed.
+    /// Predicted time from its last placement to its first event, in milliseconds.
+    pub predicted_ms: f64,
+    /// Time between its last placement and the time to send it, in milliseconds.
     pub held_ms: f64,
-    /// Milliseconds of its longest pause.
+    /// Longest pause between two events, in milliseconds.
     pub pause_ms: f64,
-    /// The answer was whole.
-    pub is_whole: bool,
-    /// It was refused in the end.
+    /// Whether the answer was complete.
+    pub is_complete: bool,
+    /// Whether the request was finally refused.
     pub is_refused: bool,
 }
 
 impl CallResult {
-    /// First event and pauses were as wanted.
+    /// Whether the answer was complete, and its first event and pauses met the goals of `kind`.
     pub fn is_on_time(&self, kind: &RequestKind) -> bool {
         let first = self.first_ms.is_some_and(|ms| ms <= kind.goal_ms);
-        self.is_whole && first && self.pause_ms <= kind.pause_ms
+        self.is_complete && first && self.pause_ms <= kind.pause_ms
     }
 
-    /// What the answer is worth, in units of its kind's mean.
+    /// Value of the answer: that of its kind, weighted by [`CallResult::size`].
     fn worth(&self, kind: &RequestKind) -> f64 {
-        match (self.is_whole, self.is_on_time(kind)) {
+        match (self.is_complete, self.is_on_time(kind)) {
             (true, true) => kind.worth * self.size(kind),
             (true, false) => kind.late_worth * self.size(kind),
             _ => 0.0,
         }
     }
 
-    /// Three tenths of a request's worth are the same for all of its kind, the rest goes by the length
-    /// of its prompt, up to four times the mean: as the sites count.
+    /// Weight of a request within its kind, as the sites count it: three tenths are the same for
+    /// all requests of the kind, the rest is proportional to the length of the prompt. The weight
+    /// is at most four times the mean.
     fn size(&self, kind: &RequestKind) -> f64 {
         (0.3 + 0.7 * self.prompt as f64 / kind.prompt).min(4.0)
     }
 }
 
-/// What the callers of one kind received.
+/// Summary of what the callers of one kind received.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct KindSummary {
-    /// Its name.
+    /// Name of the kind.
     pub kind: String,
-    /// Requests.
+    /// Number of requests.
     pub asked: usize,
-    /// Share that was whole and on time.
+    /// Share of requests that were complete and on time.
     pub on_time: f64,
-    /// Share that was whole and late.
+    /// Share of requests that were complete and late.
     pub late: f64,
-    /// Share that was refused.
+    /// Share of requests that were refused.
     pub refused: f64,
-    /// Share of the worth that was earned.
+    /// Goodput: earned share of the kind's possible value.
     pub worth: f64,
-    /// Milliseconds to the first event that half of them had.
+    /// Median time to the first event, in milliseconds.
     pub first_p50_ms: f64,
-    /// The same for 99 in 100.
+    /// 99th percentile of the time to the first event, in milliseconds.
     pub first_p99_ms: f64,
-    /// Milliseconds of the longest pause of 99 in 100.
+    /// 99th percentile of the longest pause of a complete answer, in milliseconds.
     pub pause_p99_ms: f64,
 }
 
-/// Sums up each kind.
+/// Summarizes the results of each kind, in the order of [`SiteSpec::kinds`].
 pub fn summarize_by_kind(spec: &SiteSpec, received: &[CallResult]) -> Vec<KindSummary> {
-    let each = spec.kinds.iter().enumerate();
-    each.map(|(index, kind)| {
-        let of_kind: Vec<&CallResult> = received.iter().filter(|r| r.kind == index).collect();
-        sum_up(kind, &of_kind)
-    })
-    .collect()
+    let kinds = spec.kinds.iter().enumerate();
+    kinds
+        .map(|(index, kind)| {
+            let of_kind: Vec<&CallResult> = received.iter().filter(|r| r.kind == index).collect();
+            summarize(kind, &of_kind)
+        })
+        .collect()
 }
 
-/// Share of all worth that was earned.
+/// Goodput: earned share of the possible value of all requests.
 pub fn worth_ratio(spec: &SiteSpec, received: &[CallResult]) -> f64 {
-    let (mut earned, mut owed) = (0.0, 0.0);
+    let (mut earned, mut possible) = (0.0, 0.0);
     for answer in received {
         let kind = &spec.kinds[answer.kind];
         earned += answer.worth(kind);
-        owed += kind.worth * answer.size(kind);
+        possible += kind.worth * answer.size(kind);
     }
-    share(earned, owed)
+    ratio(earned, possible)
 }
 
-fn sum_up(kind: &RequestKind, received: &[&CallResult]) -> KindSummary {
+fn summarize(kind: &RequestKind, received: &[&CallResult]) -> KindSummary {
     let asked = received.len();
-    let part = |wanted: &dyn Fn(&&&CallResult) -> bool| {
-        share(received.iter().filter(wanted).count() as f64, asked as f64)
+    let share_of = |predicate: &dyn Fn(&&&CallResult) -> bool| {
+        ratio(received.iter().filter(predicate).count() as f64, asked as f64)
     };
     let firsts = received.iter().filter_map(|r| r.first_ms).collect();
-    let pauses = received.iter().filter(|r| r.is_whole).map(|r| r.pause_ms).collect();
+    let pauses = received.iter().filter(|r| r.is_complete).map(|r| r.pause_ms).collect();
     let earned: f64 = received.iter().map(|r| r.worth(kind)).sum();
-    let owed: f64 = received.iter().map(|r| kind.worth * r.size(kind)).sum();
+    let possible: f64 = received.iter().map(|r| kind.worth * r.size(kind)).sum();
     let firsts = sorted(firsts);
     KindSummary {
         kind: kind.name.clone(),
         asked,
-        on_time: part(&|r| r.is_on_time(kind)),
-        late: part(&|r| r.is_whole && !r.is_on_time(kind)),
-        refused: part(&|r| r.is_refused),
-        worth: share(earned, owed),
+        on_time: share_of(&|r| r.is_on_time(kind)),
+        late: share_of(&|r| r.is_complete && !r.is_on_time(kind)),
+        refused: share_of(&|r| r.is_refused),
+        worth: ratio(earned, possible),
         first_p50_ms: quantile(&firsts, 0.5),
         first_p99_ms: quantile(&firsts, 0.99),
         pause_p99_ms: quantile(&sorted(pauses), 0.99),
     }
 }
 
-fn share(part: f64, whole: f64) -> f64 {
+fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 1.0 }
 }
 
@@ -124,7 +126,7 @@
     values
 }
 
-fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let index = ((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1));
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let index = ((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1));
     sorted.get(index).copied().unwrap_or(f64::NAN)
 }
--- a/crates/emulator/src/placer.rs
+++ b/crates/emulator/src/placer.rs
@@ -1,4 +1,4 @@
-//! What places requests: the product's own arranger, and what it is compared with.
+//! Placement policies of an experiment: the scheduler of `policy::placement` and the baselines.
 
 use policy::{
     EndpointId, FailCause, InstanceId, Time,
@@ -11,24 +11,25 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Names a way to place requests.
+/// Name of a placement policy, as experiment files and result tables write it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacerName {
-    /// The product's own.
+    /// [`GroupScheduler`], the scheduler that the daemon runs.
     Arranger,
-    /// The same, but every prompt is read by one engine.
+    /// [`GroupScheduler`] without splitting: one engine prefills the whole prompt.
     NoSplitting,
-    /// The same, but nothing is held until its engines have read what came before.
+    /// [`GroupScheduler`] without holding: requests are sent at once, and not only when their
+    /// engines have prefilled earlier ones.
     NoHolding,
-    /// One engine after the other.
+    /// Each engine in turn.
     RoundRobin,
-    /// The engine with the fewest requests of this instance.
+    /// The engine with the fewest requests of this instance in flight.
     LeastOutstanding,
 }
 
 impl PlacerName {
-    /// The name as it stands in files and tables.
+    /// The name as experiment files and result tables write it.
     pub fn as_str(self) -> &'static str {
         match self {
             PlacerName::Arranger => "arranger",
@@ -46,14 +47,14 @@
     }
 }
 
-/// One way to place requests, as an experiment tries it.
+/// A placement policy with its parameters, as one row of an experiment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Trial {
-    /// Its name in tables.
+    /// Name in result tables.
     pub name: String,
-    /// What places.
+    /// The placement policy.
     pub policy: PlacerName,
-    /// What the product's own goes by.
+    /// Parameters of [`GroupScheduler`]; baselines ignore them.
     pub placement: PlacementRules,
 }
 
@@ -63,22 +64,22 @@
     }
 }
 
-/// One instance's way to place requests.
+/// The placement policy of one instance, with its state.
 #[derive(Debug)]
 pub enum Placer {
-    /// The product's own.
-    Arranged {
-        /// Decides.
+    /// A policy that is based on [`GroupScheduler`].
+    Scheduled {
+        /// The scheduler, as in the daemon.
         scheduler: Box<GroupScheduler>,
-        /// Requests are sent as soon as they are placed.
+        /// Whether requests are sent as soon as they are placed, without a hold.
         sends_at_once: bool,
     },
-    /// A baseline.
-    Naive(Naive),
+    /// A simple policy for comparison.
+    Baseline(Baseline),
 }
 
 impl Placer {
-    /// A placer for these engines.
+    /// A placer for the engines `members`. `seed` initialises the scheduler's random generator.
     pub fn new(trial: &Trial, rules: &EngineRules, members: &[Member], seed: u64) -> Placer {
         let name = trial.policy;
         let sends_at_once = name == PlacerName::NoHolding;
@@ -91,124 +92,127 @@
                 let mut scheduler = Box::new(GroupScheduler::with_rules(trial.placement, seed));
                 scheduler.set_rules(Some(rules));
                 scheduler.set_members(members.to_vec(), Time::ZERO);
-                Placer::Arranged { scheduler, sends_at_once }
+                Placer::Scheduled { scheduler, sends_at_once }
             }
             PlacerName::RoundRobin | PlacerName::LeastOutstanding => {
                 let outstanding = vec![0; members.len()];
                 let members = members.to_vec();
-                Placer::Naive(Naive { name, members, outstanding, jobs: Vec::new() })
+                Placer::Baseline(Baseline { name, members, outstanding, jobs: Vec::new() })
             }
         }
     }
 
-    /// Finds a place.
+    /// Selects the engines of a request.
     ///
     /// # Errors
     ///
-    /// Where there is none.
+    /// If the policy refuses the request.
     pub fn place(
         &mut self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         now: Time,
     ) -> Result<Placement, PlacementRefusal> {
         match self {
-            Placer::Arranged { scheduler, sends_at_once } => {
-                let mut placement = scheduler.place(ask, now)?;
+            Placer::Scheduled { scheduler, sends_at_once } => {
+                let mut placement = scheduler.place(request, now)?;
                 if *sends_at_once {
                     placement.hold = Duration::ZERO;
                 }
                 Ok(placement)
             }
-            Placer::Naive(naive) => naive.place(ask),
+            Placer::Baseline(baseline) => baseline.place(request),
         }
     }
 
-    /// Whether a held request may be sent as placed.
-    pub fn stands(&self, job: JobId, now: Time) -> bool {
+    /// Whether the placement of a held request is still valid when it is sent.
+    pub fn is_still_valid(&self, job: JobId, now: Time) -> bool {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.is_still_valid(job, now),
-            Placer::Naive(_) => true,
+            Placer::Scheduled { scheduler, .. } => scheduler.is_still_valid(job, now),
+            Placer::Baseline(_) => true,
         }
     }
 
-    /// A connection took so long to be made.
-    pub fn connected(&mut self, engine: &EndpointId, took: Duration) {
-        if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.record_connect_time(engine, took);
+    /// Records how long a connection to an engine took.
+    pub fn record_connect_time(&mut self, engine: &EndpointId, duration: Duration) {
+        if let Placer::Scheduled { scheduler, .. } = self {
+            scheduler.record_connect_time(engine, duration);
         }
     }
 
-    /// The first event came.
-    pub fn began(&mut self, job: JobId, now: Time) {
-        if let Placer::Arranged { scheduler, .. } = self {
+    /// Records the first event of a request.
+    pub fn record_first_event(&mut self, job: JobId, now: Time) {
+        if let Placer::Scheduled { scheduler, .. } = self {
             scheduler.record_first_event(job, now);
         }
     }
 
-    /// There was a pause.
-    pub fn paused(&mut self, job: JobId, pause: Duration, now: Time) {
-        if let Placer::Arranged { scheduler, .. } = self {
+    /// Records the pause between two events of a request.
+    pub fn record_pause(&mut self, job: JobId, pause: Duration, now: Time) {
+        if let Placer::Scheduled { scheduler, .. } = self {
             scheduler.record_pause(job, pause, now);
         }
     }
 
-    /// A request is over.
-    pub fn ended(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
+    /// Ends a request; `failed` is the cause if it wasn't completed.
+    pub fn finish(&mut self, job: JobId, failed: Option<FailCause>, now: Time) {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.finish(job, failed, now),
-            Placer::Naive(naive) => naive.ended(job),
+            Placer::Scheduled { scheduler, .. } => scheduler.finish(job, failed, now),
+            Placer::Baseline(baseline) => baseline.finish(job),
         }
     }
 
-    /// An engine was named as the one that a run broke on.
-    pub fn at_fault(&mut self, engine: &EndpointId, now: Time) {
-        if let Placer::Arranged { scheduler, .. } = self {
+    /// Records that a run failed because of this helper.
+    pub fn record_helper_refusal(&mut self, engine: &EndpointId, now: Time) {
+        if let Placer::Scheduled { scheduler, .. } = self {
             scheduler.record_helper_refusal(engine, now);
         }
     }
 
-    /// What the others have to hear.
+    /// Takes the updates to be sent to the other instances. `is_due` includes the periodic ones.
     pub fn take_updates(&mut self, is_due: bool) -> Vec<EndpointUpdate> {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.take_updates(is_due),
-            Placer::Naive(_) => Vec::new(),
+            Placer::Scheduled { scheduler, .. } => scheduler.take_updates(is_due),
+            Placer::Baseline(_) => Vec::new(),
         }
     }
 
-    /// What another instance told.
-    pub fn apply_updates(&mut self, peer: &InstanceId, words: &[EndpointUpdate], now: Time) {
-        if let Placer::Arranged { scheduler, .. } = self {
-            scheduler.apply_updates(peer, words, now);
+    /// Applies the updates received from another instance.
+    pub fn apply_updates(&mut self, peer: &InstanceId, updates: &[EndpointUpdate], now: Time) {
+        if let Placer::Scheduled { scheduler, .. } = self {
+            scheduler.apply_updates(peer, updates, now);
         }
     }
 
-    /// Takes over the engines that are left.
+    /// Sets the engines that are still members of the group.
     pub fn set_members(&mut self, members: Vec<Member>, now: Time) {
         match self {
-            Placer::Arranged { scheduler, .. } => scheduler.set_members(members, now),
-            Placer::Naive(naive) => naive.members = members,
+            Placer::Scheduled { scheduler, .. } => scheduler.set_members(members, now),
+            Placer::Baseline(baseline) => baseline.members = members,
         }
     }
 }
 
-/// A baseline that knows its own requests only and refuses nothing.
+/// A baseline policy that only knows the requests of its own instance and never sheds load.
 #[derive(Debug)]
-pub struct Naive {
+pub struct Baseline {
     name: PlacerName,
     members: Vec<Member>,
     outstanding: Vec<u32>,
+    /// Index of the engine of each job.
     jobs: Vec<usize>,
 }
 
-impl Naive {
-    fn place(&mut self, ask: &PlacementRequest) -> Result<Placement, PlacementRefusal> {
-        let was_tried = |m: &Member| ask.tried.contains(&(m.endpoint.clone(), m.incarnation));
-        let free = (0..self.members.len()).filter(|i| !was_tried(&self.members[*i]));
+impl Baseline {
+    fn place(&mut self, request: &PlacementRequest) -> Result<Placement, PlacementRefusal> {
+        let was_tried = |m: &Member| request.tried.contains(&(m.endpoint.clone(), m.incarnation));
+        let untried = (0..self.members.len()).filter(|i| !was_tried(&self.members[*i]));
         let next = self.jobs.len() % self.members.len().max(1);
-        let turn = |i: &usize| (i + self.members.len() - next) % self.members.len();
+        let turns_until = |i: &usize| (i + self.members.len() - next) % self.members.len();
         let index = match self.name {
-            PlacerName::LeastOutstanding => free.min_by_key(|i| (self.outstanding[*i], turn(i))),
-            _ => free.min_by_key(turn),
+            PlacerName::LeastOutstanding => {
+                untried.min_by_key(|i| (self.outstanding[*i], turns_until(i)))
+            }
+            _ => untried.min_by_key(turns_until),
         };
         let index = index.ok_or(PlacementRefusal::NoEndpoint)?;
         self.outstanding[index] += 1;
@@ -225,7 +229,7 @@
         })
     }
 
-    fn ended(&mut self, job: JobId) {
+    fn finish(&mut self, job: JobId) {
         let index = usize::try_from(job.0).ok().and_then(|job| self.jobs.get(job));
         if let Some(index) = index {
             self.outstanding[*index] = self.outstanding[*index].saturating_sub(1);
@@ -233,7 +237,7 @@
     }
 }
 
-/// The name of an engine.
+/// The identifier of the engine with this index.
 pub fn engine_id(index: usize) -> Option<EndpointId> {
     EndpointId::new(&format!("engine-{index}")).ok()
 }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,4 +1,4 @@
-//! What an experiment plays, as it stands in its file.
+//! Format of an experiment's file: the site, its load and the placement policies to compare.
 
 use indexmap::IndexMap;
 use policy::{placement::PlacementRules, routes::EngineRules};
@@ -6,40 +6,41 @@
 
 use crate::placer::{PlacerName, Trial};
 
-/// Rules of placement by name. What a variant doesn't name is as usual.
+/// Placement parameters by the variant's name. Parameters that a variant doesn't set have their
+/// default values.
 pub type Variants = IndexMap<String, PlacementRules>;
 
-/// A site and what is tried on it.
+/// A site, its load and the placement policies that are tried on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteSpec {
-    /// The engines' published figures.
+    /// Published speed and capacity of the engines.
     pub engine: EngineRules,
-    /// How many engines there are.
+    /// Number of engines.
     pub engines: usize,
-    /// How many instances place work on them.
+    /// Number of instances that place requests on the engines.
     pub instances: usize,
-    /// Milliseconds that a word between instances takes.
+    /// Delivery time of an update between instances, in milliseconds.
     pub word_ms: f64,
-    /// The share of words that are lost.
+    /// Share of the updates between instances that are lost, from 0 up to, but not including, 1.
     #[serde(default)]
     pub word_loss: f64,
-    /// How long callers send, in seconds.
+    /// Time during which callers send requests, in seconds.
     pub seconds: f64,
-    /// The kinds of request.
+    /// Kinds of request, each with its own rate, sizes and goals.
     pub kinds: Vec<RequestKind>,
-    /// Changes of the load.
+    /// Time spans in which the rate of a kind differs.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// Engines that stop answering, never to return.
+    /// Engines that fail and don't recover.
     #[serde(default)]
     pub deaths: Vec<EngineFailure>,
-    /// What places the requests; each is tried.
+    /// Placement policies; each is simulated.
     pub policies: Vec<PlacerName>,
-    /// Other rules for the product's own placing, by name; each is tried.
+    /// Other parameters of [`PlacerName::Arranger`], by name; each is simulated.
     #[serde(default)]
     pub variants: Variants,
-    /// Each is played with each policy and variant.
+    /// Seeds; each policy and variant is simulated with each of them.
     pub seeds: Vec<u64>,
 }
 
@@ -47,56 +48,56 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
-    /// Its name.
+    /// Name of the kind.
     pub name: String,
-    /// Requests a second outside bursts.
+    /// Requests per second outside bursts.
     pub per_s: f64,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt, in tokens.
     pub prompt: f64,
-    /// Spread of the logarithm of its length.
+    /// Standard deviation of the logarithm of the prompt length.
     pub spread: f64,
-    /// The longest prompt.
+    /// Maximum length of a prompt, in tokens.
     pub longest: f64,
-    /// Mean events of an answer.
+    /// Mean number of events of an answer.
     pub events: f64,
-    /// Milliseconds to a first event that is on time.
+    /// Time within which the first event is on time, in milliseconds.
     pub goal_ms: f64,
-    /// Milliseconds of the longest pause that is on time.
+    /// Longest pause between events that is on time, in milliseconds.
     pub pause_ms: f64,
-    /// Milliseconds that a caller waits in all.
+    /// Deadline of a request, in milliseconds.
     pub deadline_ms: f64,
-    /// What an answer is worth that is on time.
+    /// Value of an answer that is on time.
     pub worth: f64,
-    /// What a late one is worth.
+    /// Value of a late answer.
     pub late_worth: f64,
 }
 
-/// A span with more or less of one kind.
+/// A time span in which the rate of one kind is higher or lower.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// The kind.
+    /// Name of the kind.
     pub kind: String,
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub from_s: f64,
-    /// How long it lasts.
+    /// Duration, in seconds.
     pub for_s: f64,
-    /// How many times the usual rate.
+    /// Factor by which the kind's rate is multiplied.
     pub times: f64,
 }
 
-/// An engine that dies.
+/// Permanent failure of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineFailure {
-    /// Which one.
+    /// Index of the engine.
     pub engine: usize,
-    /// When, in seconds.
+    /// Time of the failure, in seconds.
     pub at_s: f64,
 }
 
 impl SiteSpec {
-    /// All that is tried, in the order of the file.
+    /// All trials: the policies, then the variants, in the order of the file.
     pub fn trials(&self) -> Vec<Trial> {
         let policies = self.policies.iter().map(|policy| Trial::from(*policy));
         let variants = self.variants.iter().map(|(name, placement)| Trial {
@@ -107,11 +108,11 @@
         policies.chain(variants).collect()
     }
 
-    /// Reads a file's text.
+    /// Parses and checks the text of an experiment's file.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, all findings together.
+    /// All errors found in the file.
     pub fn parse(text: &str) -> Result<SiteSpec, Vec<String>> {
         let spec: SiteSpec = serde_json::from_str(text).map_err(|e| vec![e.to_string()])?;
         let findings = spec.findings();
@@ -120,17 +121,23 @@
 
     fn findings(&self) -> Vec<String> {
         let mut findings = Vec::new();
-        let mut check = |is_fine: bool, what: String| {
-            if !is_fine {
-                findings.push(what);
+        let mut check = |is_valid: bool, message: String| {
+            if !is_valid {
+                findings.push(message);
             }
         };
-        check(self.engines > 0, "engines: there has to be one at least".to_owned());
-        check(self.instances > 0, "instances: there has to be one at least".to_owned());
-        check(self.seconds > 0.0, format!("seconds: {} isn't a time to play", self.seconds));
-        check(!self.policies.is_empty(), "policies: none is named".to_owned());
-        check(!self.seeds.is_empty(), "seeds: none is named".to_owned());
-        check((0.0..1.0).contains(&self.word_loss), format!("word_loss: {}", self.word_loss));
+        check(self.engines > 0, "engines: expected at least one".to_owned());
+        check(self.instances > 0, "instances: expected at least one".to_owned());
+        check(
+            self.seconds > 0.0,
+            format!("seconds: expected a number above 0, found {}", self.seconds),
+        );
+        check(!self.policies.is_empty(), "policies: expected at least one".to_owned());
+        check(!self.seeds.is_empty(), "seeds: expected at least one".to_owned());
+        check(
+            (0.0..1.0).contains(&self.word_loss),
+            format!("word_loss: expected a number from 0 to below 1, found {}", self.word_loss),
+        );
         for (i, burst) in self.bursts.iter().enumerate() {
             let is_known = self.kinds.iter().any(|kind| kind.name == burst.kind);
             check(is_known, format!("bursts[{i}].kind: there is no kind \"{}\"", burst.kind));
@@ -140,8 +147,14 @@
             check(is_known, format!("deaths[{i}].engine: there is no engine {}", death.engine));
         }
         for (i, kind) in self.kinds.iter().enumerate() {
-            check(kind.prompt > 0.0, format!("kinds[{i}].prompt: {} tokens", kind.prompt));
-            check(kind.goal_ms > 0.0, format!("kinds[{i}].goal_ms: {} ms", kind.goal_ms));
+            check(
+                kind.prompt > 0.0,
+                format!("kinds[{i}].prompt: expected a number above 0, found {}", kind.prompt),
+            );
+            check(
+                kind.goal_ms > 0.0,
+                format!("kinds[{i}].goal_ms: expected a number above 0, found {}", kind.goal_ms),
+            );
         }
         findings
     }
--- a/crates/emulator/src/update_delivery.rs
+++ b/crates/emulator/src/update_delivery.rs
@@ -1,27 +1,31 @@
-//! What instances tell each other, and when.
+//! Delivery of updates between instances.
 
 use policy::placement::update_interval;
 
-use crate::simulation::{Event, World};
+use crate::simulation::{Event, Simulation};
 
-impl World<'_> {
-    /// Tells the levels that are due.
-    pub(crate) fn take_turn(&mut self, instance: usize) {
-        self.tell(instance, true);
-        let every = update_interval(self.spec.instances - 1);
-        self.after(every.as_secs_f64() * 1000.0, Event::Tell(instance));
+impl Simulation<'_> {
+    /// Sends the periodic updates of an instance and schedules the next ones.
+    pub(crate) fn send_periodic_updates(&mut self, instance: usize) {
+        self.send_updates(instance, true);
+        let interval = update_interval(self.spec.instances - 1);
+        self.schedule_after(interval.as_secs_f64() * 1000.0, Event::SendUpdates(instance));
     }
 
-    /// Tells what others have to hear; where levels aren't due, only what can't wait.
-    pub(crate) fn tell(&mut self, from: usize, is_due: bool) {
-        let words = self.placers[from].take_updates(is_due);
-        if words.is_empty() {
+    /// Sends an instance's updates to all others: all of them if `is_due`, otherwise only the
+    /// urgent ones.
+    pub(crate) fn send_updates(&mut self, from: usize, is_due: bool) {
+        let updates = self.placers[from].take_updates(is_due);
+        if updates.is_empty() {
             return;
         }
         for to in (0..self.spec.instances).filter(|to| *to != from) {
             if self.rng.f64() >= self.spec.word_loss {
-                let words = words.clone();
-                self.after(self.spec.word_ms, Event::Words { to, from, words });
+                let updates = updates.clone();
+                self.schedule_after(
+                    self.spec.word_ms,
+                    Event::UpdatesReceived { to, from, updates },
+                );
             }
         }
     }
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The emulated engine against what the sites' engines were seen to do.
+//! The emulated engine, compared with observations of the sites' engines.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,11 +16,11 @@
     PromptPart { run, ms, tokens: ms * 100.0, is_split, is_head: false }
 }
 
-fn order(engine: &mut Engine) -> Vec<usize> {
+fn prefill_order(engine: &mut Engine) -> Vec<usize> {
     let mut order = Vec::new();
-    while engine.begin().is_some() {
-        for happened in engine.finish() {
-            if let EngineEvent::Read(run) = happened {
+    while engine.start_pass().is_some() {
+        for engine_event in engine.finish_pass() {
+            if let EngineEvent::Prefilled(run) = engine_event {
                 order.push(run);
             }
         }
@@ -28,45 +28,45 @@
     order
 }
 
-/// Parts of split prompts are read before whole prompts, the newest first.
+/// Parts of split prompts are prefilled before whole prompts, the newest first.
 #[test]
-fn the_newest_part_is_read_first() {
+fn the_newest_part_is_prefilled_first() {
     let mut engine = Engine::new(site().engine);
-    engine.arrive(part(1, 100.0, false));
-    engine.arrive(part(2, 100.0, true));
-    engine.arrive(part(3, 100.0, true));
-    assert_eq!(order(&mut engine), [3, 2, 1]);
+    engine.enqueue(part(1, 100.0, false));
+    engine.enqueue(part(2, 100.0, true));
+    engine.enqueue(part(3, 100.0, true));
+    assert_eq!(prefill_order(&mut engine), [3, 2, 1]);
 }
 
-/// Milliseconds between an instance and an engine and back.
-const THERE_AND_BACK_MS: f64 = 2.8;
+/// Time between an instance and an engine and back.
+const ROUND_TRIP_MS: f64 = 2.8;
 
-/// Milliseconds until the first event of a prompt that idle engines read in even parts.
+/// Time until the first event of a prompt that idle engines prefill in equal parts.
 fn first_event_ms(tokens: u64, parts: u32) -> f64 {
     let rules = site().engine;
     let mut engine = Engine::new(rules.clone());
-    let share = f64::from(parts);
-    let ms = rules.prefill_ms(tokens) / share;
-    let tokens_each = tokens as f64 / share;
-    engine.arrive(PromptPart { run: 1, ms, tokens: tokens_each, is_split: true, is_head: true });
-    let mut passed_ms = THERE_AND_BACK_MS;
-    while let Some(ms) = engine.begin() {
-        passed_ms += ms;
-        engine.finish();
+    let parts = f64::from(parts);
+    let ms = rules.prefill_ms(tokens) / parts;
+    let tokens_each = tokens as f64 / parts;
+    engine.enqueue(PromptPart { run: 1, ms, tokens: tokens_each, is_split: true, is_head: true });
+    let mut elapsed_ms = ROUND_TRIP_MS;
+    while let Some(ms) = engine.start_pass() {
+        elapsed_ms += ms;
+        engine.finish_pass();
     }
-    engine.write(1, 16, tokens);
-    passed_ms + engine.first_event_ms()
+    engine.start_decoding(1, 16, tokens);
+    elapsed_ms + engine.first_event_ms()
 }
 
 macro_rules! first_events {
-    ($($name:ident: $tokens:literal tokens on $parts:literal came after $seen_ms:literal ms;)*) => {
+    ($($name:ident: $tokens:literal tokens on $parts:literal came after $observed_ms:literal ms;)*) => {
         $(
-            /// A prompt alone, against the first event that was seen at a site.
+            /// The first event of a single prompt, compared with a time observed at a site.
             #[test]
             fn $name() {
                 let first_ms = first_event_ms($tokens, $parts);
-                let error = (first_ms - $seen_ms as f64).abs() / $seen_ms as f64;
-                assert!(error < 0.1, "{first_ms:.0} ms, seen {} ms", $seen_ms);
+                let error = (first_ms - $observed_ms as f64).abs() / $observed_ms as f64;
+                assert!(error < 0.1, "{first_ms:.0} ms, observed {} ms", $observed_ms);
             }
         )*
     };
