--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -57,7 +57,7 @@
 pub struct Refusal {
     /// The cause.
     pub reason: RefusalReason,
-    /// When a retry is likely to succeed, for the `Retry-After` header.
+    /// Time after which a retry is likely to succeed, for the `Retry-After` header.
     pub retry_after: Duration,
     /// The prediction that led to the refusal, if there was one.
     pub forecast: Option<Forecast>,
@@ -217,7 +217,7 @@
     pub cause: FailCause,
     /// Whether the request was run.
     pub ran: RunStatus,
-    /// When a retry is likely to succeed.
+    /// Time after which a retry is likely to succeed.
     pub retry_after: Duration,
 }
 
