--- a/crates/daemon/examples/publish_time.rs
+++ b/crates/daemon/examples/publish_time.rs
@@ -1,5 +1,5 @@
-//! Measures the time from publishing a change until four instances have it in force: with the log
-//! reachable for all, and with one instance that has only its peers.
+//! Measures the time from publishing a change until it is active on four instances: once with the
+//! log reachable by all, and once with one instance that can reach only its peers.
 //!
 //! `cargo run --release -p daemon --example publish_time`
 
@@ -20,18 +20,18 @@
 use smol::block_on;
 use standin::{LogConfig, LogService};
 
-/// Changes that are published in each measurement.
-const CHANGES: u64 = 30;
-/// When a change counts as lost.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Number of changes published in each measurement.
+const CHANGES_PER_MEASUREMENT: u64 = 30;
+/// Time after which a change counts as lost and the measurement fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn main() -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "log reaches   changes  median ms  worst ms")?;
     let log = LogService::start(LogConfig::default())?;
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    for (name, last) in [("all four", log.address()), ("three", nowhere)] {
-        let Some(mut times) = measure(log.address(), last) else {
+    let unreachable = SocketAddr::from(([127, 0, 0, 1], 9));
+    for (name, log_of_last) in [("all four", log.address()), ("three", unreachable)] {
+        let Some(mut times) = measure(log.address(), log_of_last) else {
             writeln!(out, "{name}: failed")?;
             continue;
         };
@@ -44,37 +44,37 @@
     Ok(())
 }
 
-fn measure(log: SocketAddr, last_log: SocketAddr) -> Option<Vec<Duration>> {
+fn measure(log: SocketAddr, log_of_last: SocketAddr) -> Option<Vec<Duration>> {
     let mut instances: Vec<Instance> = Vec::new();
     for number in 0..4 {
-        let log = if number == 3 { last_log } else { log };
-        let peers: Vec<_> = instances.iter().map(|known| known.addresses().peers).collect();
-        instances.push(start(number, log, &peers)?);
+        let log = if number == 3 { log_of_last } else { log };
+        let peers: Vec<_> = instances.iter().map(|instance| instance.addresses().peers).collect();
+        instances.push(start_instance(number, log, &peers)?);
     }
-    // The second measurement goes on with the versions of the first.
+    // The second measurement continues from the versions that the first one published.
     let admin = instances.first()?.addresses().admin;
     thread::sleep(Duration::from_secs(2));
     let mut base = instances.first()?.status().config_version;
     let mut times = Vec::new();
-    for round in 0..CHANGES {
-        let began = Instant::now();
+    for round in 0..CHANGES_PER_MEASUREMENT {
+        let started_at = Instant::now();
         base = publish(admin, base, base.0 + 1)?;
-        while instances.iter().any(|known| known.status().config_version < base) {
-            if began.elapsed() > PATIENCE {
+        while instances.iter().any(|instance| instance.status().config_version < base) {
+            if started_at.elapsed() > TIMEOUT {
                 return None;
             }
             thread::sleep(Duration::from_millis(1));
         }
         if round > 0 {
-            // The first builds everything anew.
-            times.push(began.elapsed());
+            // The first change isn't counted, because it builds the whole configuration.
+            times.push(started_at.elapsed());
         }
     }
     instances.into_iter().for_each(Instance::abort);
     Some(times)
 }
 
-fn start(number: usize, log: SocketAddr, peers: &[SocketAddr]) -> Option<Instance> {
+fn start_instance(number: usize, log: SocketAddr, peers: &[SocketAddr]) -> Option<Instance> {
     let settings = serde_json::json!({
         "instance": format!("entry-{number}"), "data_centre": "a", "listen": "127.0.0.1:0",
         "peer_listen": "127.0.0.1:0", "threads": 2, "log": log, "peers": peers,
@@ -83,15 +83,15 @@
     Instance::start(settings, None).ok()
 }
 
-fn publish(admin: SocketAddr, base: Version, mark: u64) -> Option<Version> {
-    let key = format!("{mark:064x}");
+fn publish(admin: SocketAddr, base: Version, number: u64) -> Option<Version> {
+    let key = format!("{number:064x}");
     let text = format!(
         r#"{{"data_centres":{{"a":{{"region":"r"}}}},"workspaces":{{"w":{{"key_sha256":["{key}"]}}}}}}"#
     );
     let files = vec![SourceFile { name: "a.json".to_owned(), text }];
-    let (id, by) = (format!("change-{mark}"), "bench".to_owned());
+    let (id, by) = (format!("change-{number}"), "bench".to_owned());
     let req = PublishRequest { id, base, by, files };
-    let call = HttpCall::post_json(admin, "/admin/publish", &req, PATIENCE).ok()?;
+    let call = HttpCall::post_json(admin, "/admin/publish", &req, TIMEOUT).ok()?;
     match block_on(call.send()).ok()?.json().ok()? {
         PublishAnswer::Accepted(version) => Some(version),
         _ => None,
--- a/crates/daemon/examples/relay_cost.rs
+++ b/crates/daemon/examples/relay_cost.rs
@@ -1,10 +1,10 @@
-//! Measures what relaying costs a daemon process: processor time for each request and token, and
-//! memory for each open stream.
+//! Measures the cost of relaying in a daemon process: CPU time per request and token, and memory
+//! per open stream.
 //!
 //! Usage: `relay_cost PATH-OF-TREFOILHALLD`. Starts that daemon with one stand-in engine, sends
 //! bounded rounds of requests and reads `/proc/PID`. `docs/CAPACITY.md` uses the slopes.
 
-// An example prints what it measures.
+// The results are printed to standard output.
 #![allow(clippy::print_stdout)]
 
 use std::{
@@ -26,20 +26,20 @@
     free_address,
 };
 
-/// Bearer key of the only workspace.
+/// API key of the only workspace.
 const KEY: &str = "relay-cost";
-/// Requests of each round, and how many are under way at once.
-const REQUESTS: u64 = 1_600;
-const AT_ONCE: usize = 16;
-/// Tokens of answer in the rounds.
-const OUTPUTS: [u64; 3] = [1, 64, 256];
-/// Tokens of prompt in the rounds.
-const PROMPTS: [u64; 3] = [1_000, 10_000, 100_000];
-/// Streams held open for the memory rounds.
-const STREAMS: [u64; 3] = [100, 400, 1_600];
-/// Clock ticks a second in `/proc`, on every Linux of today.
-const TICKS: f64 = 100.0;
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Number of requests in each round, and how many of them are in flight at the same time.
+const REQUESTS_PER_ROUND: u64 = 1_600;
+const MAX_CONCURRENT_REQUESTS: usize = 16;
+/// Output lengths of the rounds.
+const OUTPUT_TOKENS: [u64; 3] = [1, 64, 256];
+/// Prompt lengths of the rounds.
+const PROMPT_TOKENS: [u64; 3] = [1_000, 10_000, 100_000];
+/// Numbers of concurrent streams in the memory rounds.
+const OPEN_STREAMS: [u64; 3] = [100, 400, 1_600];
+/// Unit of CPU times in `/proc`: 100 ticks per second on all current Linux systems.
+const TICKS_PER_SECOND: f64 = 100.0;
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn main() -> ExitCode {
     let Some(program) = env::args().nth(1) else {
@@ -68,24 +68,26 @@
     .ok()?;
     let address = free_address().ok()?;
     let folder = env::temp_dir().join(format!("trefoilhall-relay-{}", std::process::id()));
-    let mut child = start(program, &folder, address, engine.address())?;
+    let mut child = start_daemon(program, &folder, address, engine.address())?;
     wait_ready(address)?;
     println!("prompt output  requests/s  cpu us/request");
     for (prompt, output) in rounds() {
-        round(address, 200, prompt, output, AT_ONCE);
-        let (began, before) = (Instant::now(), cpu_seconds(&child)?);
-        let done = round(address, REQUESTS, prompt, output, AT_ONCE);
-        let rate = done as f64 / began.elapsed().as_secs_f64();
-        let each = (cpu_seconds(&child)? - before) / done as f64 * 1e6;
-        println!("{prompt:6} {output:6} {rate:11.0} {each:15.0}");
+        run_round(address, 200, prompt, output, MAX_CONCURRENT_REQUESTS);
+        let (started_at, cpu_before) = (Instant::now(), cpu_seconds(&child)?);
+        let answered =
+            run_round(address, REQUESTS_PER_ROUND, prompt, output, MAX_CONCURRENT_REQUESTS);
+        let rate = answered as f64 / started_at.elapsed().as_secs_f64();
+        let cpu_us_per_request = (cpu_seconds(&child)? - cpu_before) / answered as f64 * 1e6;
+        println!("{prompt:6} {output:6} {rate:11.0} {cpu_us_per_request:15.0}");
     }
     println!("streams   RSS KB each");
-    for count in STREAMS {
-        let before = resident_kb(&child)?;
-        let streams = thread::spawn(move || round(address, count, 1_000, 20_000, count as usize));
+    for count in OPEN_STREAMS {
+        let rss_before = resident_kb(&child)?;
+        let streams =
+            thread::spawn(move || run_round(address, count, 1_000, 20_000, count as usize));
         thread::sleep(Duration::from_secs(2));
-        let held = resident_kb(&child)?;
-        println!("{count:7} {:13.1}", (held - before) / count as f64);
+        let rss_during = resident_kb(&child)?;
+        println!("{count:7} {:13.1}", (rss_during - rss_before) / count as f64);
         streams.join().ok()?;
     }
     child.kill().ok()?;
@@ -94,11 +96,16 @@
 }
 
 fn rounds() -> impl Iterator<Item = (u64, u64)> {
-    let by_output = OUTPUTS.into_iter().map(|output| (PROMPTS[0], output));
-    by_output.chain(PROMPTS.into_iter().skip(1).map(|prompt| (prompt, OUTPUTS[0])))
+    let by_output = OUTPUT_TOKENS.into_iter().map(|output| (PROMPT_TOKENS[0], output));
+    by_output.chain(PROMPT_TOKENS.into_iter().skip(1).map(|prompt| (prompt, OUTPUT_TOKENS[0])))
 }
 
-fn start(program: &Path, folder: &Path, listen: SocketAddr, engine: SocketAddr) -> Option<Child> {
+fn start_daemon(
+    program: &Path,
+    folder: &Path,
+    listen: SocketAddr,
+    engine: SocketAddr,
+) -> Option<Child> {
     let key: String = Sha256::digest(KEY).iter().map(|byte| format!("{byte:02x}")).collect();
     let content = json!({
         "settings": {
@@ -118,9 +125,9 @@
 }
 
 fn wait_ready(address: SocketAddr) -> Option<()> {
-    let began = Instant::now();
-    while began.elapsed() < PATIENCE {
-        let call = HttpCall::get(address, "/readyz", PATIENCE).send();
+    let started_at = Instant::now();
+    while started_at.elapsed() < TIMEOUT {
+        let call = HttpCall::get(address, "/readyz", TIMEOUT).send();
         if smol::block_on(call).is_ok_and(|answer| answer.is_success()) {
             return Some(());
         }
@@ -129,20 +136,27 @@
     None
 }
 
-/// Sends `count` requests, `at_once` at a time; how many were answered whole.
-fn round(address: SocketAddr, count: u64, prompt: u64, output: u64, at_once: usize) -> u64 {
-    let callers = (0..at_once as u64).map(|caller| {
+/// Sends `count` requests, `max_concurrent` at a time. Returns how many got a complete response.
+fn run_round(
+    address: SocketAddr,
+    count: u64,
+    prompt: u64,
+    output: u64,
+    max_concurrent: usize,
+) -> u64 {
+    let callers = (0..max_concurrent as u64).map(|caller| {
         thread::spawn(move || {
-            let mine = (caller..count).step_by(at_once);
-            mine.filter(|seed| {
-                let shape = PromptShape {
-                    output,
-                    patience: PATIENCE,
-                    ..PromptShape::unique(prompt, *seed)
-                };
-                smol::block_on(Prompt::new(shape).key(KEY).send(address)).whole
-            })
-            .count() as u64
+            let seeds = (caller..count).step_by(max_concurrent);
+            seeds
+                .filter(|seed| {
+                    let shape = PromptShape {
+                        output,
+                        patience: TIMEOUT,
+                        ..PromptShape::unique(prompt, *seed)
+                    };
+                    smol::block_on(Prompt::new(shape).key(KEY).send(address)).whole
+                })
+                .count() as u64
         })
     });
     let callers: Vec<_> = callers.collect();
@@ -154,7 +168,7 @@
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let user: f64 = fields.get(11)?.parse().ok()?;
     let system: f64 = fields.get(12)?.parse().ok()?;
-    Some((user + system) / TICKS)
+    Some((user + system) / TICKS_PER_SECOND)
 }
 
 fn resident_kb(child: &Child) -> Option<f64> {
--- a/crates/daemon/tests/log_queue.rs
+++ b/crates/daemon/tests/log_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines and readers that don't read.
+//! The log queue with a reader that reads slowly or not at all.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,15 +11,15 @@
 use daemon::logging::queue::{LinePriority, LineQueue};
 
 #[derive(Clone, Default)]
-struct Page(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Page {
+impl SharedBuffer {
     fn text(&self) -> String {
         String::from_utf8(self.0.lock().unwrap().clone()).unwrap()
     }
 }
 
-impl Write for Page {
+impl Write for SharedBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
@@ -30,16 +30,16 @@
     }
 }
 
-/// Stands still until it is told to go on.
-struct Stuck {
-    go_on: mpsc::Receiver<()>,
-    page: Page,
+/// A writer that blocks until it receives a message or the sender is dropped.
+struct BlockedWriter {
+    unblock_rx: mpsc::Receiver<()>,
+    output: SharedBuffer,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.go_on.recv().ok();
-        self.page.write(buf)
+        self.unblock_rx.recv().ok();
+        self.output.write(buf)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -49,48 +49,49 @@
 
 #[test]
 fn lines_keep_their_order() {
-    let (queue, page) = (LineQueue::default(), Page::default());
-    let writer = queue.write_to(page.clone()).unwrap();
+    let (queue, output) = (LineQueue::default(), SharedBuffer::default());
+    let writer = queue.write_to(output.clone()).unwrap();
     for i in 0..100 {
         queue.push(format!("{i}\n").into_bytes(), LinePriority::Routine);
     }
     writer.close();
     let expected: String = (0..100).map(|i| format!("{i}\n")).collect();
-    assert_eq!(page.text(), expected);
+    assert_eq!(output.text(), expected);
 }
 
-/// Whoever collects the logs stops reading. Requests go on without a pause, routine lines are left
-/// out first, and afterwards a line says how many.
+/// Guards against a daemon that blocks because its log isn't read: `push` returns at once, routine
+/// lines are dropped first, and a line reports how many were dropped.
 #[test]
 fn a_reader_that_stops_holds_nobody_up() {
-    let (tx, go_on) = mpsc::channel();
-    let (queue, page) = (LineQueue::default(), Page::default());
-    let writer = queue.write_to(Stuck { go_on, page: page.clone() }).unwrap();
-    let began = Instant::now();
+    let (unblock_tx, unblock_rx) = mpsc::channel();
+    let (queue, output) = (LineQueue::default(), SharedBuffer::default());
+    let writer = queue.write_to(BlockedWriter { unblock_rx, output: output.clone() }).unwrap();
+    let started_at = Instant::now();
     for i in 0..20_000 {
         queue.push(format!("routine {i}\n").into_bytes(), LinePriority::Routine);
     }
     for i in 0..500 {
         queue.push(format!("failure {i}\n").into_bytes(), LinePriority::Important);
     }
-    assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
-    drop(tx);
+    assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
+    drop(unblock_tx);
     writer.close();
-    let text = page.text();
+    let text = output.text();
     assert_eq!(text.matches("failure").count(), 500);
     assert!(text.matches("routine ").count() < 8_000);
     assert!(text.contains("event=log_lines_left_out routine="), "{text}");
 }
 
-/// The process ends while nobody reads. The end isn't held up.
+/// Guards against a shutdown that hangs because the log isn't read.
 #[test]
 fn an_end_does_not_wait_for_a_reader() {
-    let (tx, go_on) = mpsc::channel();
+    let (unblock_tx, unblock_rx) = mpsc::channel();
     let queue = LineQueue::default();
-    let writer = queue.write_to(Stuck { go_on, page: Page::default() }).unwrap();
+    let writer =
+        queue.write_to(BlockedWriter { unblock_rx, output: SharedBuffer::default() }).unwrap();
     queue.push(b"line\n".to_vec(), LinePriority::Important);
-    let began = Instant::now();
+    let started_at = Instant::now();
     writer.close();
-    assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
-    drop(tx);
+    assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
+    drop(unblock_tx);
 }
--- a/crates/daemon/tests/published.rs
+++ b/crates/daemon/tests/published.rs
@@ -1,4 +1,5 @@
-//! Configuration and once-only calls with real processes that follow a log.
+//! Published configuration and calls that may not be repeated, with real processes that follow a
+//! log service.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,7 +23,7 @@
     ServiceConfig, ServiceFault,
 };
 
-const SHORT: Duration = Duration::from_millis(700);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(700);
 
 struct Setup {
     log: LogService,
@@ -33,8 +34,8 @@
 }
 
 impl Setup {
-    /// Two daemons without a configuration.
-    fn bare(service: ServiceConfig) -> Setup {
+    /// Starts two daemons that have no configuration.
+    fn without_configuration(service: ServiceConfig) -> Setup {
         let log = LogService::start(LogConfig::default()).unwrap();
         let service = Service::start(service).unwrap();
         let unused: SocketAddr = "127.0.0.1:9".parse().unwrap();
@@ -51,16 +52,16 @@
         Setup { log, service, site, a, b }
     }
 
-    /// Two daemons in service.
+    /// Starts two daemons and publishes the first version of the configuration.
     fn start() -> Setup {
-        let setup = Setup::bare(ServiceConfig::default());
+        let setup = Setup::without_configuration(ServiceConfig::default());
         let answer = setup.a.publish("first", 0, setup.site.files());
         assert_eq!(answer, PublishAnswer::Accepted(Version(1)));
-        setup.wait_version(1);
+        setup.wait_for_version(1);
         setup
     }
 
-    fn wait_version(&self, version: u64) {
+    fn wait_for_version(&self, version: u64) {
         for daemon in [&self.a, &self.b] {
             wait_until("the version is in force", || {
                 daemon.status().config_version == Version(version)
@@ -68,8 +69,8 @@
         }
     }
 
-    /// The site with another weight, which is a valid change.
-    fn changed(&self, weight: u32) -> Vec<SourceFile> {
+    /// The site's files with another workspace weight, which is a valid change.
+    fn files_with_weight(&self, weight: u32) -> Vec<SourceFile> {
         let text = format!(r#"{{"workspaces":{{"desk":{{"weight":{weight}}}}}}}"#);
         let mut files = self.site.files();
         files.push(SourceFile { name: "20-weight.json".to_owned(), text });
@@ -77,8 +78,8 @@
     }
 }
 
-/// A registration as bytes, for callers that hang up.
-fn registration(key: &str, deadline: Duration) -> String {
+/// The bytes of a registration request, for callers that hang up or run in a thread.
+fn registration_request(key: &str, deadline: Duration) -> String {
     format!(
         "POST /services/desk/registrations HTTP/1.1\r\nhost: h\r\nauthorization: Bearer {}\r\n\
          idempotency-key: {key}\r\nx-deadline-ms: {}\r\ncontent-length: 2\r\n\
@@ -88,13 +89,18 @@
     )
 }
 
-/// Two operators publish from the same version; the second hears what the first changed.
+/// Guards against lost changes: two operators publish based on the same version. The second gets a
+/// conflict with the change of the first.
 #[test]
 fn the_loser_of_a_race_sees_the_others_change() {
     let setup = Setup::start();
-    assert_eq!(setup.a.publish("x", 1, setup.changed(2)), PublishAnswer::Accepted(Version(2)));
-    setup.wait_version(2);
-    let PublishAnswer::Conflict { version, since } = setup.b.publish("y", 1, setup.changed(3))
+    assert_eq!(
+        setup.a.publish("x", 1, setup.files_with_weight(2)),
+        PublishAnswer::Accepted(Version(2))
+    );
+    setup.wait_for_version(2);
+    let PublishAnswer::Conflict { version, since } =
+        setup.b.publish("y", 1, setup.files_with_weight(3))
     else {
         panic!("expected a conflict");
     };
@@ -106,23 +112,25 @@
     assert_eq!(verdicts, [first, second, Verdict::Conflict(Version(2))]);
 }
 
-/// The answer to an operator's append is lost. The change is accepted once.
+/// Guards against duplicate changes: the append's response is lost or late, and the change must
+/// still be accepted exactly once.
 #[test]
 fn a_change_whose_append_is_not_answered_is_accepted_once() {
     let setup = Setup::start();
     for (number, fault) in
-        [AppendFault::LoseAnswer, AppendFault::Late(SHORT)].into_iter().enumerate()
+        [AppendFault::LoseAnswer, AppendFault::Late(SHORT_TIMEOUT)].into_iter().enumerate()
     {
         setup.log.plan_fault("configuration", fault);
         let base = number as u64 + 1;
-        let answer = setup.a.publish(&format!("x{base}"), base, setup.changed(base as u32 + 1));
+        let answer =
+            setup.a.publish(&format!("x{base}"), base, setup.files_with_weight(base as u32 + 1));
         assert_eq!(answer, PublishAnswer::Accepted(Version(base + 1)));
     }
-    thread::sleep(SHORT);
-    setup.wait_version(3);
+    thread::sleep(SHORT_TIMEOUT);
+    setup.wait_for_version(3);
 }
 
-/// Someone appends a broken configuration past all tools.
+/// Guards against an invalid configuration that is appended to the log without the operators' tool.
 #[test]
 fn a_configuration_that_fails_its_checks_is_never_in_force() {
     let setup = Setup::start();
@@ -132,11 +140,14 @@
     setup.log.append("configuration", "no JSON at all".into());
     let files = vec![SourceFile { name: "a.json".to_owned(), text: "{\"x\": 1}".to_owned() }];
     assert!(matches!(setup.a.publish("y", 1, files), PublishAnswer::Rejected(_)));
-    assert_eq!(setup.b.publish("ok", 1, setup.changed(2)), PublishAnswer::Accepted(Version(2)));
-    setup.wait_version(2);
+    assert_eq!(
+        setup.b.publish("ok", 1, setup.files_with_weight(2)),
+        PublishAnswer::Accepted(Version(2))
+    );
+    setup.wait_for_version(2);
 }
 
-/// An instance starts while the log is down, and takes the version in force from a peer.
+/// An instance that starts during a log outage gets the current version from a peer.
 #[test]
 fn a_start_without_the_log_takes_the_configuration_from_a_peer() {
     let setup = Setup::start();
@@ -148,8 +159,8 @@
     wait_until("all instances answer", || all().len() == 3);
 }
 
-/// The service runs a registration and its answer is lost; the caller sends it again to both
-/// instances.
+/// Guards against a second run: the response of a completed registration is lost, and the caller
+/// repeats the request to both instances.
 #[test]
 fn a_lost_answer_is_unknown_and_never_run_again() {
     let setup = Setup::start();
@@ -157,13 +168,14 @@
     let (status, body) = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (502, &"unknown".into()), "{body}");
     for daemon in [&setup.a, &setup.b] {
-        let (status, body) = daemon.register("k", "{}", SHORT);
+        let (status, body) = daemon.register("k", "{}", SHORT_TIMEOUT);
         assert_eq!((status, &body["error"]["code"]), (504, &"outcome_unknown".into()), "{body}");
     }
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// A clerk sends a registration twice, to two instances, and then another one under its key.
+/// Guards against a second run: a registration is sent to two instances, and then a different one
+/// with the same idempotency key.
 #[test]
 fn a_registration_sent_again_gets_the_first_answer() {
     let setup = Setup::start();
@@ -175,15 +187,16 @@
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// A caller hangs up while its registration runs, and sends it again.
+/// Guards against a second run: a caller hangs up while its registration is in flight and repeats
+/// it.
 #[test]
 fn a_call_goes_on_without_its_caller() {
     let work = Duration::from_millis(600);
-    let setup = Setup::bare(ServiceConfig { work, ..ServiceConfig::default() });
+    let setup = Setup::without_configuration(ServiceConfig { work, ..ServiceConfig::default() });
     setup.a.publish("first", 0, setup.site.files());
-    setup.wait_version(1);
+    setup.wait_for_version(1);
     let mut stream = TcpStream::connect(setup.a.address).unwrap();
-    stream.write_all(registration("k", WAIT_TIMEOUT).as_bytes()).unwrap();
+    stream.write_all(registration_request("k", WAIT_TIMEOUT).as_bytes()).unwrap();
     wait_until("the service has it", || setup.service.calls() > 0);
     drop(stream);
     let (status, body) = setup.b.register("k", "{}", WAIT_TIMEOUT);
@@ -191,14 +204,15 @@
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// The log is down: registrations are refused at once as not run, and lookups go on.
+/// During a log outage registrations are refused at once as not run, and stored responses are still
+/// returned.
 #[test]
 fn a_log_outage_stops_only_calls_that_may_not_be_repeated() {
     let setup = Setup::start();
     setup.a.register("before", "{}", WAIT_TIMEOUT);
     wait_until("the answer is kept", || setup.b.register("before", "{}", WAIT_TIMEOUT).0 == 200);
     setup.log.set_outage(Outage::Refuses);
-    wait_until("the outage is noticed", || setup.a.register("x", "{}", SHORT).0 == 503);
+    wait_until("the outage is noticed", || setup.a.register("x", "{}", SHORT_TIMEOUT).0 == 503);
     let (status, body) = setup.a.register("k", "{}", WAIT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (503, &"no".into()), "{body}");
     assert!(body["error"]["retry_after"].as_f64().unwrap() > 0.0);
@@ -209,8 +223,8 @@
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// The log drops everything it holds, and then all instances are replaced at once. The new one
-/// has the configuration and the first answer, because checkpoints were written in between.
+/// Guards against data loss: the log drops its records, and then all instances are replaced at
+/// once. The new instance restores the configuration and the first response from checkpoints.
 #[test]
 fn a_log_that_drops_its_records_loses_neither_configuration_nor_answers() {
     let setup = Setup::start();
@@ -232,8 +246,8 @@
     assert_eq!(service.runs("k"), 1);
 }
 
-/// A planned stop while appends are slow: the answer of the last registration is in the log before
-/// the process ends.
+/// Guards against a lost response: a planned shutdown while appends are slow must write the
+/// response of the last registration to the log before the process ends.
 #[test]
 fn a_graceful_stop_leaves_no_answer_behind() {
     let mut setup = Setup::start();
@@ -249,8 +263,8 @@
     String::from_utf8_lossy(data).contains(text)
 }
 
-/// One instance alone loses the log while the others go on. A call that it doesn't know may have
-/// run elsewhere, so it doesn't say "not run".
+/// Guards against a wrong "not run": one instance alone loses its connection to the log. A call
+/// that isn't in its ledger may have run at another instance, so its outcome is unknown.
 #[test]
 fn an_instance_that_alone_lost_the_log_says_unknown() {
     let setup = Setup::start();
@@ -258,21 +272,22 @@
     let c = Daemon::follow("entry-c", proxy.address(), &[setup.a.peer_address]);
     wait_until("the configuration", || c.status().config_version == Version(1));
     wait_until("the ledger", || c.register("first", "{}", WAIT_TIMEOUT).0 == 200);
-    // Resets what is open too, or a waiting read would still tell it of the next record.
+    // Also resets open connections; otherwise a pending long poll would still return the next
+    // record.
     proxy.set_mode(Mode::Reset).unwrap();
-    wait_until("the loss is noticed", || c.register("x", "{}", SHORT).0 == 503);
+    wait_until("the loss is noticed", || c.register("x", "{}", SHORT_TIMEOUT).0 == 503);
     setup.a.register("k", "{}", WAIT_TIMEOUT);
     wait_until("it hears of the others", || {
-        // 503 by what its peers have read, or 504 where a read that was under way when the
-        // connections were reset still brought the other's claim.
-        let (status, body) = c.register("k", "{}", SHORT);
+        // 503 from the positions that its peers have announced, or 504 if a read that was in flight
+        // when the connections were reset still returned the other instance's claim.
+        let (status, body) = c.register("k", "{}", SHORT_TIMEOUT);
         [503, 504].contains(&status) && body["error"]["ran"] == "unknown"
     });
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// Something between an instance and the log loses track of its open connections. Calls and
-/// changes go on over new ones.
+/// Guards against a stall: a middlebox between an instance and the log silently drops the open
+/// connections. Calls and changes continue over new ones.
 #[test]
 fn connections_to_the_log_that_go_silent_hold_nothing_up() {
     let setup = Setup::start();
@@ -282,54 +297,59 @@
     for version in [2, 3] {
         proxy.set_mode(Mode::SilenceOpen(Direction::Both)).unwrap();
         assert_eq!(c.register(&format!("k{version}"), "{}", WAIT_TIMEOUT).0, 200);
-        setup.a.publish(&version.to_string(), version - 1, setup.changed(version as u32));
+        setup.a.publish(&version.to_string(), version - 1, setup.files_with_weight(version as u32));
         wait_until("the change", || c.status().config_version == Version(version));
     }
 }
 
-/// The endpoint answers a repeated key with its first answer, and the route says so: a call of
-/// unknown outcome is asked again.
+/// The route states that the endpoint deduplicates by key, so a call of unknown outcome is sent to
+/// it again.
 #[test]
 fn an_endpoint_that_deduplicates_is_asked_again() {
-    let setup = Setup::bare(ServiceConfig { deduplicates: true, ..ServiceConfig::default() });
+    let setup = Setup::without_configuration(ServiceConfig {
+        deduplicates: true,
+        ..ServiceConfig::default()
+    });
     let route = r#"{"deployments":{"register":{"routes":[
         {"path":"/registrations","repeatable":false,"deduplicates":true}]}}}"#;
     let mut files = setup.site.files();
     files.push(SourceFile { name: "20-route.json".to_owned(), text: route.to_owned() });
     assert_eq!(setup.a.publish("first", 0, files), PublishAnswer::Accepted(Version(1)));
-    setup.wait_version(1);
+    setup.wait_for_version(1);
     setup.service.plan_fault(ServiceFault::LoseAnswer);
     assert_eq!(setup.a.register("k", "{}", WAIT_TIMEOUT).0, 502);
     wait_until("the first answer", || setup.b.register("k", "{}", WAIT_TIMEOUT).0 == 200);
     assert_eq!(setup.service.runs("k"), 1);
 }
 
-/// The instance that runs a registration is killed in mid-call. The caller sends again elsewhere.
+/// Guards against a second run: an instance is killed while its registration is in flight, and the
+/// caller repeats it at another instance.
 #[test]
 fn a_killed_instance_leaves_an_unknown_outcome_and_no_second_run() {
     let work = Duration::from_millis(300);
-    let mut setup = Setup::bare(ServiceConfig { work, ..ServiceConfig::default() });
+    let mut setup =
+        Setup::without_configuration(ServiceConfig { work, ..ServiceConfig::default() });
     setup.a.publish("first", 0, setup.site.files());
-    setup.wait_version(1);
+    setup.wait_for_version(1);
     let mut stream = TcpStream::connect(setup.a.address).unwrap();
-    stream.write_all(registration("k", WAIT_TIMEOUT).as_bytes()).unwrap();
+    stream.write_all(registration_request("k", WAIT_TIMEOUT).as_bytes()).unwrap();
     wait_until("the service has it", || setup.service.calls() > 0);
     setup.a.child.kill().unwrap();
-    let (status, body) = setup.b.register("k", "{}", SHORT);
+    let (status, body) = setup.b.register("k", "{}", SHORT_TIMEOUT);
     assert_eq!((status, &body["error"]["ran"]), (504, &"unknown".into()), "{body}");
-    // The service may or may not have noticed that its caller is gone.
+    // The service may or may not have noticed that its connection was closed.
     assert!(setup.service.runs("k") <= 1);
 }
 
-/// The holder of a claim is stopped before it sends and goes on after its caller's deadline. The
-/// call was not run, and it isn't run later.
+/// Guards against a late run: the instance that holds a claim is paused before it sends the call
+/// and resumes after the caller's deadline.
 #[test]
 fn a_paused_instance_that_wakes_runs_nothing_twice() {
     let setup = Setup::start();
     setup.log.set_delay(Duration::from_millis(300));
     let address = setup.a.address;
-    let head = registration("k", Duration::from_millis(900));
-    let caller = thread::spawn(move || common::exchange(address, &head));
+    let request = registration_request("k", Duration::from_millis(900));
+    let caller = thread::spawn(move || common::exchange(address, &request));
     thread::sleep(Duration::from_millis(150));
     setup.a.signal("-STOP");
     thread::sleep(Duration::from_millis(1_500));
@@ -337,7 +357,7 @@
     let paused = caller.join().unwrap();
     setup.log.set_delay(Duration::ZERO);
     let (status, _) = setup.b.register("k", "{}", Duration::from_secs(3));
-    // Whatever the callers heard, it agrees with what ran.
+    // The number of runs must match the outcome reported to the second caller.
     let runs = setup.service.runs("k");
     assert_eq!(runs, u32::from(status == 200), "{paused}");
 }
--- a/crates/daemon/tests/scenarios.rs
+++ b/crates/daemon/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Plays every file in `scenarios/` against real processes. Each file tells its own story.
+//! Runs every file in `scenarios/` against real processes. Each file describes its own failure
+//! case.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,12 +10,12 @@
 
 use standin::scenario::{parse, run};
 
-fn folder() -> PathBuf {
+fn scenario_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
 }
 
-fn play(name: &str) {
-    let text = fs::read_to_string(folder().join(format!("{name}.scenario"))).unwrap();
+fn run_scenario(name: &str) {
+    let text = fs::read_to_string(scenario_folder().join(format!("{name}.scenario"))).unwrap();
     let scenario = parse(&text).unwrap();
     let report = run(&scenario, Path::new(env!("CARGO_BIN_EXE_trefoilhalld"))).unwrap();
     assert!(report.findings.is_empty(), "{:#?}\n{}", report.findings, report.account);
@@ -25,17 +26,17 @@
         $(
             #[test]
             fn $case() {
-                play(&stringify!($case).replace('_', "-"));
+                run_scenario(&stringify!($case).replace('_', "-"));
             }
         )*
 
         #[test]
         fn every_file_is_played() {
-            let played = [$(stringify!($case).replace('_', "-")),*];
-            for entry in fs::read_dir(folder()).unwrap() {
+            let listed = [$(stringify!($case).replace('_', "-")),*];
+            for entry in fs::read_dir(scenario_folder()).unwrap() {
                 let file = entry.unwrap().path();
                 let name = file.file_stem().unwrap().to_string_lossy().into_owned();
-                assert!(played.contains(&name), "{name} isn't played");
+                assert!(listed.contains(&name), "{name} isn't played");
             }
         }
     };
