--- a/crates/daemon/src/controller/load.rs
+++ b/crates/daemon/src/controller/load.rs
@@ -43,7 +43,7 @@
                 is_failing = true;
             }
         }
-        known.set_load_queried();
+        known.record_load_query();
         drop((shared, known));
         // Jitter keeps instances that started together from polling in step.
         Timer::after(POLL_INTERVAL.mul_f64(0.75 + 0.5 * fastrand::f64())).await;
--- a/crates/daemon/src/endpoint.rs
+++ b/crates/daemon/src/endpoint.rs
@@ -129,7 +129,7 @@
     }
 
     /// Records that its load has been queried.
-    pub fn set_load_queried(&self) {
+    pub fn record_load_query(&self) {
         self.state.load_queried.store(true, Ordering::Relaxed);
     }
 
--- a/crates/daemon/src/filter/dispatch/silence.rs
+++ b/crates/daemon/src/filter/dispatch/silence.rs
@@ -41,7 +41,7 @@
     pub(super) incarnation: Option<Incarnation>,
     ticks: Timer,
     /// Whether anything arrived since the last tick.
-    progress: bool,
+    made_progress: bool,
 }
 
 enum WaitEvent<T> {
@@ -63,7 +63,7 @@
         incarnation: Option<Incarnation>,
     ) -> Self {
         let ticks = Timer::interval(SILENCE_CHECK_INTERVAL);
-        StreamWatchdog { endpoint, attempt, incarnation, ticks, progress: true }
+        StreamWatchdog { endpoint, attempt, incarnation, ticks, made_progress: true }
     }
 
     /// Waits for `next` for as long as the engine's listing shows that it works on the run.
@@ -79,14 +79,14 @@
             let done = async { WaitEvent::Done((&mut next).await) };
             let check = async {
                 self.ticks.next().await;
-                if std::mem::take(&mut self.progress) {
+                if std::mem::take(&mut self.made_progress) {
                     return WaitEvent::Checked(StreamState::Working);
                 }
                 WaitEvent::Checked(self.check(offset).await)
             };
             match done.or(check).await {
                 WaitEvent::Done(result) => {
-                    self.progress = true;
+                    self.made_progress = true;
                     return Ok(result);
                 }
                 WaitEvent::Checked(StreamState::Working) => failed_checks = 0,
--- a/crates/daemon/src/filter/scan.rs
+++ b/crates/daemon/src/filter/scan.rs
@@ -82,7 +82,7 @@
     MaxOutput,
     Prompt,
     Messages,
-    Count,
+    AnswerCount,
     Resume,
     Other,
 }
@@ -103,7 +103,7 @@
             "max_tokens" | "max_completion_tokens" => MemberName::MaxOutput,
             "prompt" => MemberName::Prompt,
             "messages" => MemberName::Messages,
-            "n" => MemberName::Count,
+            "n" => MemberName::AnswerCount,
             "resume" => MemberName::Resume,
             _ => MemberName::Other,
         })
@@ -136,7 +136,7 @@
                 }
                 MemberName::Prompt => read_once(&mut members.prompt, "prompt", &mut map)?,
                 MemberName::Messages => read_once(&mut members.messages, "messages", &mut map)?,
-                MemberName::Count => check_answer_count(&mut map)?,
+                MemberName::AnswerCount => check_answer_count(&mut map)?,
                 // The daemon adds this member itself when it resumes a request.
                 MemberName::Resume => return Err(A::Error::custom("member `resume` is reserved")),
                 MemberName::Other => {
--- a/crates/daemon/src/holdings.rs
+++ b/crates/daemon/src/holdings.rs
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Removes abandoned ids that are missing from a listing requested at `asked`. Those abandoned
-    /// later are kept.
-    pub fn record_listing(&mut self, page: &HeldPage, asked: Instant) {
+    /// Removes abandoned ids that are missing from a listing requested at `requested_at`. Those
+    /// abandoned later are kept.
+    pub fn record_listing(&mut self, page: &HeldPage, requested_at: Instant) {
         let listed_ids: HashSet<&str> = page.held.iter().map(|held| held.id.as_str()).collect();
         self.abandoned.retain(|id, abandoned| {
-            abandoned.abandoned_at >= asked || listed_ids.contains(id.as_str())
+            abandoned.abandoned_at >= requested_at || listed_ids.contains(id.as_str())
         });
     }
 
