--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -1,7 +1,7 @@
 //! Keeps an engine from leaking memory: releases what this instance no longer needs until the
 //! engine confirms it, and renews what it needs.
 //!
-//! What this instance gave up is released by the ids that it remembers, so a listing that can't be
+//! What this instance has abandoned is released by the ids that it remembers, so a listing that can't be
 //! read doesn't delay it. The listing finds the rest: what earlier incarnations of this instance
 //! and dead instances have left.
 //!
@@ -25,7 +25,7 @@
 
 use crate::{endpoint::Endpoint, shared::Shared};
 
-/// Time between sweeps when nothing was given up. A third of [`RESERVATION_LEASE`], so that two
+/// Time between sweeps when nothing was abandoned. A third of [`RESERVATION_LEASE`], so that two
 /// renewals may fail before a reservation expires.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -73,7 +73,7 @@
 
 /// Releases unneeded memory, and returns how many ids the engine may still hold.
 async fn sweep(shared: &Shared, endpoint: &Arc<Endpoint>) -> Result<usize, EngineError> {
-    let released = release_unwanted(endpoint).await;
+    let released = release_abandoned(endpoint).await;
     renew(shared, endpoint).await;
     let queried_at = Instant::now();
     let page = match listing::held(&endpoint.engine()).await {
@@ -90,8 +90,8 @@
     released.map(|()| unwanted_ids.len())
 }
 
-/// Releases what this instance gave up, by the ids that it remembers.
-async fn release_unwanted(endpoint: &Endpoint) -> Result<(), EngineError> {
+/// Releases what this instance has abandoned, by the ids that it remembers.
+async fn release_abandoned(endpoint: &Endpoint) -> Result<(), EngineError> {
     endpoint.holdings().expire(Instant::now());
     let ids = endpoint.holdings().abandoned();
     release(endpoint, &ids, "id").await
@@ -141,7 +141,7 @@
     let owner = &shared.owner;
     let is_responsible = super::is_responsible_for(shared, endpoint.config.id.as_str());
     // This incarnation records what it needs before sending the request, so nothing that is about
-    // to be needed can look given up.
+    // to be needed can look abandoned.
     let unwanted = |held: &&Held| match held.owner == *owner {
         true => !endpoint.holdings().is_wanted(&held.id),
         false => {
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -112,7 +112,7 @@
     println!("bytes of a part with one endpoint and one workspace: {lengths:?}");
     assert!(lengths[1] + 40 < lengths[0] && lengths[1] == lengths[2], "{lengths:?}");
     let foreign = encoder.compact(deployment, load(1));
-    assert!(LoadDecoder::default().expand(&hello, foreign).is_err(), "numbers without names");
+    assert!(LoadDecoder::default().expand(&hello, foreign).is_err(), "indices without names");
 }
 
 fn mesh(name: &str, executor: &Arc<Executor<'static>>) -> (PeerMesh, Receiver<PeerEvent>) {
