--- a/crates/daemon/src/controller/memory.rs
+++ b/crates/daemon/src/controller/memory.rs
@@ -1,9 +1,9 @@
 //! Keeps an engine from leaking memory: releases what this instance no longer needs until the
 //! engine confirms it, and renews what it needs.
 //!
-//! What this instance has abandoned is released by the ids that it remembers, so a listing that can't be
-//! read doesn't delay it. The listing finds the rest: what earlier incarnations of this instance
-//! and dead instances have left.
+//! What this instance has abandoned is released by the ids that it remembers, so a listing that
+//! can't be read doesn't delay it. The listing finds the rest: what earlier incarnations of this
+//! instance and dead instances have left.
 //!
 //! The fault that this guards against: a release is lost, or an instance dies with open streams
 //! over a link whose failure the engine doesn't notice. The engine then lists the memory for good
