--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -18,7 +18,7 @@
 };
 use protocols::{
     http::HttpCall,
-    instances::{Listed, ListedState, Role},
+    instances::{ListedInstance, ListedState, Role},
 };
 use sha2::{Digest, Sha256};
 use standin::{Engine, EngineConfig, Service};
@@ -156,8 +156,8 @@
 }
 
 /// A line of the platform's list.
-pub fn listed(name: &str, role: Role, address: SocketAddr) -> CliResult<Listed> {
-    Ok(Listed {
+pub fn listed(name: &str, role: Role, address: SocketAddr) -> CliResult<ListedInstance> {
+    Ok(ListedInstance {
         name: name.to_owned(),
         role,
         incarnation: Incarnation(0),
--- a/crates/daemon/examples/control_cost.rs
+++ b/crates/daemon/examples/control_cost.rs
@@ -21,7 +21,7 @@
     DataCentre, Deployment, EndpointId, Incarnation, InstanceId, LoadDigest, TokenRate, Tokens,
     report::EndpointShare,
 };
-use protocols::instances::{ListPage, Listed, ListedState, Role};
+use protocols::instances::{ListPage, ListedInstance, ListedState, Role};
 use smol::{Executor, channel::Receiver};
 
 const THREAD_COUNT: usize = 4;
@@ -228,8 +228,8 @@
     DataCentre::new(&format!("dc-{}", n % data_centres)).unwrap()
 }
 
-fn listed(n: usize, count: usize, mesh: &PeerMesh) -> Listed {
-    Listed {
+fn listed(n: usize, count: usize, mesh: &PeerMesh) -> ListedInstance {
+    ListedInstance {
         name: instance(n).to_string(),
         role: Role::Entry,
         incarnation: Incarnation(0),
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -22,7 +22,7 @@
     report::EndpointShare,
     scheduler::EndpointState,
 };
-use protocols::instances::{ListPage, Listed, ListedState, Role};
+use protocols::instances::{ListPage, ListedInstance, ListedState, Role};
 use smol::{Executor, Timer, channel::Receiver};
 
 /// Long enough for any step on a busy machine; it only turns a hang into a failure.
@@ -176,8 +176,8 @@
     assert_eq!(second.mesh.owner_status(&id("entry-3"), Incarnation(1)), OwnerStatus::Alive);
 }
 
-fn listed(peer: &Peer, name: &str, data_centre: &DataCentre) -> Listed {
-    Listed {
+fn listed(peer: &Peer, name: &str, data_centre: &DataCentre) -> ListedInstance {
+    ListedInstance {
         name: name.to_string(),
         role: Role::Entry,
         incarnation: Incarnation(1),
--- a/crates/protocols/src/body.rs
+++ b/crates/protocols/src/body.rs
@@ -1,5 +1,6 @@
-//! Bodies made of several parts that are sent one after another, without being copied together: a
-//! resumed million-token prompt is the caller's bytes, the `resume` member and the last brace.
+//! Request bodies that consist of several parts and are sent without concatenating them. A resumed
+//! request is the caller's bytes, which may hold a million tokens, the `resume` member and the
+//! closing brace.
 
 use std::{
     collections::VecDeque,
@@ -11,22 +12,22 @@
 use bytes::{Buf, Bytes};
 use futures_lite::{AsyncBufRead, AsyncRead};
 
-/// Reads its parts in order.
+/// A reader of several byte sequences in order.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct BodyParts {
     parts: VecDeque<Bytes>,
 }
 
-impl Parts {
-    /// A body of these parts.
+impl BodyParts {
+    /// Creates a body that consists of `parts`.
     pub fn body(parts: &[Bytes]) -> http_types::Body {
         let len = parts.iter().map(Bytes::len).sum();
         let parts = parts.iter().filter(|part| !part.is_empty()).cloned().collect();
-        http_types::Body::from_reader(Parts { parts }, Some(len))
+        http_types::Body::from_reader(BodyParts { parts }, Some(len))
     }
 }
 
-impl AsyncRead for Parts {
+impl AsyncRead for BodyParts {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
@@ -42,7 +43,7 @@
     }
 }
 
-impl AsyncBufRead for Parts {
+impl AsyncBufRead for BodyParts {
     fn poll_fill_buf(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let part = self.get_mut().parts.front();
         Poll::Ready(Ok(part.map_or(&[], |part| &part[..])))
--- a/crates/protocols/src/engine/http.rs
+++ b/crates/protocols/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The management side of an engine over HTTP.
+//! HTTP client of an engine's management interface.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,28 +16,28 @@
     http::{HttpAnswer, HttpCall, HttpError},
 };
 
-/// How long a listing or a small change may take. They need no work on the engine; what takes
-/// longer than this has met a silent link or a stalled process.
+/// Timeout of listings and small changes. They need no work on the engine; a call that takes longer
+/// has met a silent connection or a stalled process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long moving KV cache may take: a million tokens are tens of gigabytes.
-const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of KV cache exports and imports: a million tokens take tens of gigabytes.
+const KV_TRANSFER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One engine.
+/// Client of one engine.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngine {
     address: SocketAddr,
 }
 
 impl HttpEngine {
-    /// The engine that listens at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         HttpEngine { address }
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
         let call = HttpCall::get(self.address, path, CALL_TIMEOUT);
-        read(accepted(call.send().await)?)
+        parse_json(check_response(call.send().await)?)
     }
 
     async fn post<T: Serialize>(
@@ -48,7 +48,7 @@
     ) -> Result<HttpAnswer, EngineError> {
         let call = HttpCall::post_json(self.address, path, content, timeout)
             .map_err(|_| EngineError::BadAnswer)?;
-        accepted(call.send().await)
+        check_response(call.send().await)
     }
 }
 
@@ -89,7 +89,7 @@
     ) -> Result<Incarnation, EngineError> {
         let content = Reserve { id: id.to_owned(), owner: owner.clone(), tokens, lease_ms };
         let answer = self.post("/engine/reserve", &content, CALL_TIMEOUT).await?;
-        read::<Reserved>(answer).map(|reserved| reserved.incarnation)
+        parse_json::<Reserved>(answer).map(|reserved| reserved.incarnation)
     }
 
     async fn cache_events(&self, from: u64) -> Result<CachePage, EngineError> {
@@ -103,7 +103,7 @@
         lease_ms: u64,
     ) -> Result<KvExport, EngineError> {
         let content = ExportCall { stream: stream.to_owned(), owner: owner.clone(), lease_ms };
-        read(self.post("/engine/kv/export", &content, MOVE_TIMEOUT).await?)
+        parse_json(self.post("/engine/kv/export", &content, KV_TRANSFER_TIMEOUT).await?)
     }
 
     async fn import(
@@ -113,7 +113,7 @@
         lease_ms: u64,
     ) -> Result<(), EngineError> {
         let content = ImportCall { export: export.clone(), owner: owner.clone(), lease_ms };
-        self.post("/engine/kv/import", &content, MOVE_TIMEOUT).await.map(drop)
+        self.post("/engine/kv/import", &content, KV_TRANSFER_TIMEOUT).await.map(drop)
     }
 
     async fn order_state(&self) -> Result<OrderState, EngineError> {
@@ -121,11 +121,11 @@
     }
 
     async fn order(&self, order: &Order) -> Result<OrderState, EngineError> {
-        read(self.post("/engine/orders", order, CALL_TIMEOUT).await?)
+        parse_json(self.post("/engine/orders", order, CALL_TIMEOUT).await?)
     }
 }
 
-fn accepted(answer: Result<HttpAnswer, HttpError>) -> Result<HttpAnswer, EngineError> {
+fn check_response(answer: Result<HttpAnswer, HttpError>) -> Result<HttpAnswer, EngineError> {
     match answer {
         Ok(answer) if answer.is_success() => Ok(answer),
         Ok(_) => Err(EngineError::Refused),
@@ -136,6 +136,6 @@
     }
 }
 
-fn read<T: DeserializeOwned>(answer: HttpAnswer) -> Result<T, EngineError> {
+fn parse_json<T: DeserializeOwned>(answer: HttpAnswer) -> Result<T, EngineError> {
     answer.json().map_err(|_| EngineError::BadAnswer)
 }
--- a/crates/protocols/src/engine/listing.rs
+++ b/crates/protocols/src/engine/listing.rs
@@ -1,8 +1,8 @@
-//! The listing of held memory over links that break long answers.
+//! Reads an engine's listing of held memory, in parts if the connection breaks on long responses.
 //!
-//! Guards against an engine whose listing never arrives whole: its owners would neither see which
-//! memory is left over nor whether a stream still runs. Where the whole listing breaks off, it is
-//! read in parts, and in smaller ones where those break off as well.
+//! Guards against a listing that never arrives completely: the instances couldn't tell which memory
+//! was left behind or whether a stream still runs. If the complete listing breaks off, it is read
+//! in parts, and in smaller parts if those break off as well.
 
 use std::time::Duration;
 
@@ -11,50 +11,51 @@
 
 use super::{Engine, EngineError, wire::HeldPage};
 
-/// Entries in a part, from the first try to the last.
-const PARTS: [usize; 3] = [16, 4, 1];
+/// Numbers of entries per part, in the order in which they are tried.
+const PART_SIZES: [usize; 3] = [16, 4, 1];
 
-/// Time for all parts of one listing.
-const LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for all parts of a listing together.
+const PARTS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// All that the engine holds, in one answer if that arrives, else in parts.
+/// Reads the listing of all memory that the engine holds, in parts if necessary.
 ///
 /// # Errors
 ///
-/// The whole listing's error where parts can't help, else that of the smallest part.
+/// The error of the complete listing if parts wouldn't help, otherwise the error of the parts.
 pub async fn held<E: Engine>(engine: &E) -> Result<HeldPage, EngineError> {
     let whole = engine.held().await;
-    if !is_too_long(&whole) {
+    if !is_cut_off(&whole) {
         return whole;
     }
-    let limit = async {
-        Timer::after(LIMIT).await;
+    let timeout = async {
+        Timer::after(PARTS_TIMEOUT).await;
         Err(EngineError::Unknown)
     };
-    in_parts(engine).or(limit).await
+    held_in_parts(engine).or(timeout).await
 }
 
-async fn in_parts<E: Engine>(engine: &E) -> Result<HeldPage, EngineError> {
-    let mut sizes = PARTS.into_iter();
+async fn held_in_parts<E: Engine>(engine: &E) -> Result<HeldPage, EngineError> {
+    let mut sizes = PART_SIZES.into_iter();
     let mut max = sizes.next().unwrap_or(1);
     let mut held = Vec::new();
     let mut after: Option<String> = None;
-    let mut life = None;
+    let mut first_incarnation = None;
     loop {
         let part = engine.held_part(after.as_deref(), max).await;
-        if is_too_long(&part)
+        if is_cut_off(&part)
             && let Some(smaller) = sizes.next()
         {
             max = smaller;
             continue;
         }
-        let HeldPage { incarnation, held: more, next } = part?;
-        // Parts of two lives make no listing, and an engine that goes back would never end one.
-        let is_other_life = *life.get_or_insert(incarnation) != incarnation;
-        if is_other_life || next.is_some() && next <= after {
+        let HeldPage { incarnation, held: entries, next } = part?;
+        // Parts of two incarnations don't form a listing, and without progress in the ids the loop
+        // might never end.
+        let is_other_incarnation = *first_incarnation.get_or_insert(incarnation) != incarnation;
+        if is_other_incarnation || next.is_some() && next <= after {
             return Err(EngineError::BadAnswer);
         }
-        held.extend(more);
+        held.extend(entries);
         if next.is_none() {
             return Ok(HeldPage { incarnation, held, next });
         }
@@ -62,6 +63,6 @@
     }
 }
 
-fn is_too_long(answer: &Result<HeldPage, EngineError>) -> bool {
+fn is_cut_off(answer: &Result<HeldPage, EngineError>) -> bool {
     matches!(answer, Err(EngineError::Broken | EngineError::BadAnswer))
 }
--- a/crates/protocols/src/engine/mod.rs
+++ b/crates/protocols/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Model engines: running requests, and the orders and listings that go with them.
+//! Model engines: running requests, listings of held memory and orders.
 
 pub mod http;
 pub mod listing;
@@ -18,13 +18,13 @@
 pub enum EngineError {
     /// No connection: nothing was sent.
     NotSent,
-    /// No answer in time: it may have taken effect.
+    /// No response within the timeout: the call may have taken effect.
     Unknown,
-    /// The connection broke before the whole answer came: it may have taken effect.
+    /// The connection broke before the complete response arrived: the call may have taken effect.
     Broken,
-    /// The engine refused (no room, an old fencing number, an unknown id).
+    /// The engine refused, for example for lack of memory, an old fencing number or an unknown id.
     Refused,
-    /// The answer made no sense.
+    /// The response is invalid.
     BadAnswer,
 }
 
@@ -42,19 +42,19 @@
 
 impl std::error::Error for EngineError {}
 
-/// The management side of one engine. Every call is idempotent.
+/// The management interface of one engine. Every call is idempotent.
 pub trait Engine: Send + Sync {
-    /// Where it listens.
+    /// The address it listens on.
     fn address(&self) -> SocketAddr;
 
-    /// Its own load report.
+    /// Queries its load report.
     fn load(&self) -> impl Future<Output = Result<Load, EngineError>> + Send;
 
-    /// What holds its memory, each entry with owner and expiry.
+    /// Lists the held memory, each entry with owner and expiry.
     fn held(&self) -> impl Future<Output = Result<HeldPage, EngineError>> + Send;
 
-    /// At most `max` entries of the same listing in the order of their ids, from the first behind
-    /// `after` on. Engines that know no parts answer with the whole listing.
+    /// Lists at most `max` entries in the order of their ids, beginning after the id `after`.
+    /// Engines that don't support parts return the complete listing.
     fn held_part(
         &self,
         after: Option<&str>,
@@ -64,7 +64,7 @@
     /// Releases streams, reservations, imports and exports by id; unknown ids count as released.
     fn release(&self, ids: &[String]) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// Extends the leases of what `owner` holds under `ids`.
+    /// Extends the leases of the entries `ids` of `owner`, or of all its entries if `ids` is empty.
     fn renew(
         &self,
         owner: &Owner,
@@ -72,7 +72,7 @@
         lease_ms: u64,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// Reserves memory under `id`, for `lease_ms` at a time.
+    /// Reserves memory under `id` until the lease expires.
     fn reserve(
         &self,
         id: &str,
@@ -81,13 +81,13 @@
         lease_ms: u64,
     ) -> impl Future<Output = Result<Incarnation, EngineError>> + Send;
 
-    /// Cache events from the sequence number `from` on.
+    /// Reads the prefix cache's events from the sequence number `from` on.
     fn cache_events(
         &self,
         from: u64,
     ) -> impl Future<Output = Result<CachePage, EngineError>> + Send;
 
-    /// Writes out the KV cache of a stream, so that another engine can import it.
+    /// Exports the KV cache of a stream, so that another engine can import it.
     fn export(
         &self,
         stream: &str,
@@ -95,7 +95,7 @@
         lease_ms: u64,
     ) -> impl Future<Output = Result<KvExport, EngineError>> + Send;
 
-    /// Takes in an export as cached prefix.
+    /// Imports an export as a cached prefix.
     fn import(
         &self,
         export: &KvExport,
@@ -103,9 +103,9 @@
         lease_ms: u64,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// What it has loaded and under which fencing number.
+    /// Queries the last order, with its fencing number, and whether it has been carried out.
     fn order_state(&self) -> impl Future<Output = Result<OrderState, EngineError>> + Send;
 
-    /// Orders it to a model, adapter, version and role.
+    /// Orders it to serve a model version, with adapter and role.
     fn order(&self, order: &Order) -> impl Future<Output = Result<OrderState, EngineError>> + Send;
 }
--- a/crates/protocols/src/engine/piece.rs
+++ b/crates/protocols/src/engine/piece.rs
@@ -1,30 +1,30 @@
-//! The content of one event of an answer.
+//! The content of one event of a streamed response.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 
-/// One event's content: one token.
+/// The content of one event, which is usually one token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
     /// The text it adds.
     pub text: String,
     /// Why generation ended, on the last piece.
     pub finish_reason: Option<String>,
-    /// The engine's counts, on the last piece.
+    /// The engine's token counts, on the last piece.
     pub usage: Option<Usage>,
 }
 
-/// The engine's counts.
+/// The engine's token counts of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens generated, over all attempts.
+    /// Number of generated tokens, over all attempts.
     #[serde(default)]
     pub completion_tokens: u64,
-    /// Prompt tokens that were in its prefix cache.
+    /// Number of prompt tokens that were in the prefix cache.
     #[serde(default)]
     pub cached_tokens: Option<u64>,
 }
@@ -54,7 +54,7 @@
 }
 
 impl Piece {
-    /// Reads an event's data; none where it isn't of the protocol's shape.
+    /// Parses an event's data; `None` if it doesn't match the protocol.
     pub fn read(data: &[u8]) -> Option<Piece> {
         let mut chunk: Chunk<'_> = serde_json::from_slice(data).ok()?;
         let choice = chunk.choices.pop()?;
--- a/crates/protocols/src/engine/run.rs
+++ b/crates/protocols/src/engine/run.rs
@@ -1,8 +1,8 @@
-//! Running a request on an engine.
+//! Runs requests on an engine.
 //!
-//! Each run has its own connection. A kept one may have gone silent unnoticed, and a run on it
-//! would cost the caller the whole silence deadline before the first token; a new one costs one
-//! round trip, which within a site is a few milliseconds at most.
+//! Each run opens a new connection. A pooled connection may have gone silent without notice, and a
+//! run on it would wait for the complete silence deadline before the first token. A new one costs a
+//! round trip, which takes at most a few milliseconds within a site.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -13,7 +13,7 @@
 use smol::{Timer, net::TcpStream};
 
 use crate::{
-    body::Parts,
+    body::BodyParts,
     engine::{
         sse::{SseError, SseEvent, SseReader},
         wire::{
@@ -22,67 +22,67 @@
     },
 };
 
-/// How long a connection may take to stand. Within a site a round trip takes at most a few
-/// milliseconds; a lost first packet is sent again after one second.
+/// Timeout of connecting. Within a site a round trip takes at most a few milliseconds, but a lost
+/// first packet is retransmitted only after one second.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long the body of a refusal may take, and how long it may be. It is a sentence or two.
-const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_REFUSAL: u64 = 64 << 10;
+/// Limits reading the body of an error response, which is one or two sentences.
+const ERROR_BODY_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_ERROR_BODY_BYTES: u64 = 64 << 10;
 
 /// One attempt to run a request.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The engine.
+    /// The engine's address.
     pub address: SocketAddr,
     /// `/v1/completions` or `/v1/chat/completions`.
     pub path: &'static str,
-    /// Names the attempt.
+    /// The attempt's id, which the engine echoes.
     pub attempt: AttemptId,
-    /// Its priority.
+    /// The request's priority; higher is served first.
     pub priority: Priority,
-    /// How long the engine keeps the stream after its connection broke.
+    /// How long the engine keeps the stream's memory after the connection breaks.
     pub lease: Duration,
-    /// Reservations on other engines, as `id@address` with commas; empty for none.
+    /// Reservations on other engines, as `id@address` separated by commas; may be empty.
     pub kv_shards: String,
-    /// The caller's trace, if any.
+    /// The caller's `traceparent` header, if any.
     pub traceparent: Option<String>,
-    /// The body in parts.
+    /// The body, in parts that are sent in sequence.
     pub body: Vec<Bytes>,
 }
 
-/// Why a run gave no events.
+/// Why a run couldn't be started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunError {
     /// No connection: nothing was sent.
     NotSent,
-    /// The engine refused before running.
+    /// The engine refused the request without running it.
     Rejected(Rejection),
-    /// The engine's answer is final, whatever it says; the caller should have it.
+    /// The engine responded with a client error, which is passed on to the caller.
     Final(FinalAnswer),
-    /// The engine failed with an error of its own.
+    /// The engine reported an internal error.
     EndpointError,
     /// The connection broke after something may have been sent.
     Broken,
-    /// The answer isn't one to this attempt, or can't be read.
+    /// The response belongs to another attempt, or is invalid.
     BadAnswer,
 }
 
-/// A refusal before running.
+/// A refusal without running the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The life that refused, where it says so.
+    /// The engine's incarnation, if the response states it.
     pub incarnation: Option<Incarnation>,
-    /// It asks for no new work.
+    /// Whether the engine asks for no new work.
     pub leaving: bool,
 }
 
-/// An answer that another engine would give just the same.
+/// A client error that every other engine would report as well.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinalAnswer {
-    /// Its status, 400 to 499.
+    /// The HTTP status, from 400 to 499.
     pub status: u16,
-    /// What it says.
+    /// The response's body, as far as it was received.
     pub body: Bytes,
 }
 
@@ -104,15 +104,15 @@
 /// A run that the engine has accepted.
 #[derive(Debug)]
 pub struct Running {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The engine asks for no new work.
+    /// Whether the engine asks for no new work.
     pub leaving: bool,
     events: SseReader<Body>,
 }
 
 impl Running {
-    /// The next event, or none at the end of the stream. Dropping the future loses nothing.
+    /// Reads the next event; `None` at the end of the stream. Dropping the future loses no data.
     ///
     /// # Errors
     ///
@@ -123,8 +123,8 @@
 }
 
 impl Run {
-    /// Sends the request and waits for the head of the answer, however long that takes: a long
-    /// prompt may wait and be prefilled before it. The caller bounds the wait.
+    /// Sends the request and waits for the head of the response without a timeout: the engine may
+    /// queue and prefill a long prompt first. The caller has to limit the wait.
     ///
     /// # Errors
     ///
@@ -134,7 +134,7 @@
         let attempt = self.attempt.to_string();
         let req = self.request(&attempt)?;
         let resp = async_h1::connect(stream, req).await.map_err(|_| RunError::Broken)?;
-        accepted(resp, &attempt).await
+        check_response(resp, &attempt).await
     }
 
     fn request(self, attempt: &str) -> Result<Request, RunError> {
@@ -153,7 +153,7 @@
         if let Some(traceparent) = self.traceparent {
             req.insert_header("traceparent", traceparent);
         }
-        req.set_body(Parts::body(&self.body));
+        req.set_body(BodyParts::body(&self.body));
         Ok(req)
     }
 }
@@ -169,20 +169,20 @@
     Ok(stream)
 }
 
-async fn accepted(mut resp: Response, attempt: &str) -> Result<Running, RunError> {
+async fn check_response(mut resp: Response, attempt: &str) -> Result<Running, RunError> {
     let incarnation = header(&resp, ENGINE_INCARNATION).and_then(|text| text.parse().ok());
     let leaving = resp.header(LEAVING).is_some();
     match u16::from(resp.status()) {
         200 => {}
         429 | 503 => return Err(RunError::Rejected(Rejection { incarnation, leaving })),
         status @ 400..=499 => {
-            let body = refusal(resp.take_body()).await;
+            let body = read_error_body(resp.take_body()).await;
             return Err(RunError::Final(FinalAnswer { status, body }));
         }
         _ => return Err(RunError::EndpointError),
     }
-    // Guards against answers crossed on the way: one that echoes another attempt belongs to
-    // somebody else, and nothing of it may reach this caller.
+    // Guards against mixed-up responses: one that echoes another attempt belongs to another caller,
+    // and nothing of it may reach this one.
     if header(&resp, ATTEMPT) != Some(attempt) {
         return Err(RunError::BadAnswer);
     }
@@ -190,15 +190,15 @@
     Ok(Running { incarnation, leaving, events: SseReader::new(resp.take_body()) })
 }
 
-async fn refusal(body: Body) -> Bytes {
+async fn read_error_body(body: Body) -> Bytes {
     let mut text = Vec::new();
-    let mut body = body.take(MAX_REFUSAL);
+    let mut body = body.take(MAX_ERROR_BODY_BYTES);
     let read = async {
-        // A refusal that breaks off is passed on as far as it came.
+        // If the body breaks off, the part that was received is passed on.
         body.read_to_end(&mut text).await.ok();
     };
     let limit = async {
-        Timer::after(REFUSAL_TIMEOUT).await;
+        Timer::after(ERROR_BODY_TIMEOUT).await;
     };
     read.or(limit).await;
     text.into()
--- a/crates/protocols/src/engine/sse.rs
+++ b/crates/protocols/src/engine/sse.rs
@@ -1,31 +1,31 @@
-//! Reading server-sent events, one at a time and without waiting for more than one.
+//! Reads server-sent events; each is returned as soon as it is complete.
 
 use std::fmt;
 
 use bytes::Bytes;
 use futures_lite::{AsyncBufRead, AsyncBufReadExt};
 
-/// The longest line that is read. An event carries one token and perhaps usage figures; more than
-/// this is no answer but a fault, and without a bound it would fill the memory.
-pub const MAX_LINE: usize = 1 << 20;
+/// Maximum length of a line. An event carries one token and perhaps usage counts, so a longer line
+/// is a fault of the engine; without a limit it would exhaust the memory.
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One event.
+/// A server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SseEvent {
-    /// The `event:` line; empty where there is none.
+    /// The `event:` field; empty if absent.
     pub event: String,
-    /// The `id:` line; empty where there is none.
+    /// The `id:` field; empty if absent.
     pub id: String,
-    /// The `data:` lines, joined by line feeds.
+    /// The `data:` fields, joined by line feeds.
     pub data: Bytes,
 }
 
-/// Why no event could be read.
+/// Why an event couldn't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SseError {
     /// The connection broke.
     Broken,
-    /// A line is longer than [`MAX_LINE`], or isn't UTF-8 where it has to be.
+    /// A line is longer than [`MAX_LINE_BYTES`], or a name or id isn't UTF-8.
     Malformed,
 }
 
@@ -40,7 +40,7 @@
 
 impl std::error::Error for SseError {}
 
-/// Puts lines together to events.
+/// Assembles events from lines.
 #[derive(Debug, Default)]
 pub struct SseParser {
     event: String,
@@ -50,12 +50,12 @@
 }
 
 impl SseParser {
-    /// Takes one line without its end, and gives the event that it completes, if any.
+    /// Adds a line without its line end. Returns the event that it completes, if any.
     ///
     /// # Errors
     ///
-    /// [`SseError::Malformed`] where a name or id isn't UTF-8, or the data grows beyond
-    /// [`MAX_LINE`].
+    /// [`SseError::Malformed`] if a name or id isn't UTF-8, or the data grows beyond
+    /// [`MAX_LINE_BYTES`].
     pub fn line(&mut self, line: &[u8]) -> Result<Option<SseEvent>, SseError> {
         if line.is_empty() {
             return Ok(self.finish());
@@ -65,14 +65,14 @@
             b"data" => self.add_data(value)?,
             b"id" => self.id = text(value)?,
             b"event" => self.event = text(value)?,
-            // Comments and unknown fields are ignored, as the format demands.
+            // The format requires that comments and unknown fields are ignored.
             _ => {}
         }
         Ok(None)
     }
 
     fn add_data(&mut self, value: &[u8]) -> Result<(), SseError> {
-        if self.data.len() + value.len() > MAX_LINE {
+        if self.data.len() + value.len() > MAX_LINE_BYTES {
             return Err(SseError::Malformed);
         }
         if self.has_data {
@@ -84,11 +84,11 @@
     }
 
     fn finish(&mut self) -> Option<SseEvent> {
-        let whole = std::mem::take(self);
-        whole.has_data.then(|| SseEvent {
-            event: whole.event,
-            id: whole.id,
-            data: whole.data.into(),
+        let parsed = std::mem::take(self);
+        parsed.has_data.then(|| SseEvent {
+            event: parsed.event,
+            id: parsed.id,
+            data: parsed.data.into(),
         })
     }
 }
@@ -103,7 +103,7 @@
     String::from_utf8(value.to_vec()).map_err(|_| SseError::Malformed)
 }
 
-/// Reads events from a stream.
+/// Reads events from a byte stream.
 #[derive(Debug)]
 pub struct SseReader<R> {
     reader: R,
@@ -112,13 +112,13 @@
 }
 
 impl<R: AsyncBufRead + Unpin> SseReader<R> {
-    /// Events of `reader`.
+    /// Creates a reader of the events in `reader`.
     pub fn new(reader: R) -> Self {
         SseReader { reader, line: Vec::new(), parser: SseParser::default() }
     }
 
-    /// The next event, or none at the end of the stream. The future may be dropped and called
-    /// again: what was read of an event is kept.
+    /// Reads the next event; `None` at the end of the stream. The future may be dropped and created
+    /// again: the partly read event is kept.
     ///
     /// # Errors
     ///
@@ -147,7 +147,7 @@
             }
             let end = available.iter().position(|byte| *byte == b'\n');
             let len = end.map_or(available.len(), |end| end + 1);
-            if self.line.len() + len > MAX_LINE {
+            if self.line.len() + len > MAX_LINE_BYTES {
                 return Err(SseError::Malformed);
             }
             self.line.extend_from_slice(&available[..len]);
--- a/crates/protocols/src/engine/wire.rs
+++ b/crates/protocols/src/engine/wire.rs
@@ -1,34 +1,35 @@
-//! Messages and header names of the engine protocol, shared by adapters and stand-ins.
+//! Messages and header names of the engine protocol, used by the clients and the stand-ins.
 
 use std::{fmt, str::FromStr};
 
 use policy::{Incarnation, InstanceId, RequestId, Tokens};
 use serde::{Deserialize, Serialize};
 
-/// Names the attempt: `instance/incarnation/request/attempt`. Engines echo it, and it is the id of
-/// the stream in their listing.
+/// The attempt's id: `instance/incarnation/request/attempt`. Engines echo it and use it as the
+/// stream's id in their listing.
 pub const ATTEMPT: &str = "x-attempt";
 /// How long the engine keeps the stream's memory after its connection has broken, in milliseconds.
 pub const LEASE_MS: &str = "x-lease-ms";
 /// Priority of the request; higher is served first.
 pub const PRIORITY: &str = "x-priority";
-/// Always `events`: the engine answers with server-sent events whatever the body asks for.
+/// Always `events`: the engine responds with server-sent events, whatever the body requests.
 pub const STREAM: &str = "x-stream";
-/// Reservations on other engines that the prompt's cache spreads over: `id@address`, with commas.
+/// Reservations on other engines that hold parts of the prompt's cache: `id@address`, separated by
+/// commas.
 pub const KV_SHARDS: &str = "x-kv-shards";
-/// On answers: the engine's incarnation.
+/// In responses: the engine's incarnation.
 pub const ENGINE_INCARNATION: &str = "x-engine-incarnation";
-/// On answers of engines and services: asks for no new work.
+/// In responses of engines and services: asks for no new work.
 pub const LEAVING: &str = "x-leaving";
 /// Fencing number of a call or an order.
 pub const FENCING: &str = "x-fencing";
 
-/// Who owns memory on an engine.
+/// The owner of memory on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Owner {
-    /// The instance.
+    /// The instance's name.
     pub instance: InstanceId,
-    /// Its life.
+    /// The instance's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -38,38 +39,38 @@
     }
 }
 
-/// The text is not of the form that [`Owner`] or [`AttemptId`] prints.
+/// The text isn't a valid [`Owner`], [`AttemptId`] or [`EventId`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadName;
+pub struct ParseIdError;
 
-impl fmt::Display for BadName {
+impl fmt::Display for ParseIdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "expected `instance/incarnation` or `instance/incarnation/request/attempt`")
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for ParseIdError {}
 
 impl FromStr for Owner {
-    type Err = BadName;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let (instance, incarnation) = text.rsplit_once('/').ok_or(BadName)?;
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let (instance, incarnation) = text.rsplit_once('/').ok_or(ParseIdError)?;
         Ok(Owner {
-            instance: instance.parse().map_err(|_| BadName)?,
-            incarnation: incarnation.parse().map_err(|_| BadName)?,
+            instance: instance.parse().map_err(|_| ParseIdError)?,
+            incarnation: incarnation.parse().map_err(|_| ParseIdError)?,
         })
     }
 }
 
-/// One attempt to run one request of one instance's life.
+/// Id of an attempt to run a request, unique over all incarnations of all instances.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The instance that sent it.
+    /// The instance that sent the request.
     pub owner: Owner,
-    /// The request there.
+    /// The request's id within that incarnation.
     pub request: RequestId,
-    /// Counts from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
 }
 
@@ -80,15 +81,15 @@
 }
 
 impl FromStr for AttemptId {
-    type Err = BadName;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let (rest, attempt) = text.rsplit_once('/').ok_or(BadName)?;
-        let (owner, request) = rest.rsplit_once('/').ok_or(BadName)?;
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let (rest, attempt) = text.rsplit_once('/').ok_or(ParseIdError)?;
+        let (owner, request) = rest.rsplit_once('/').ok_or(ParseIdError)?;
         Ok(AttemptId {
             owner: owner.parse()?,
-            request: request.parse().map_err(|_| BadName)?,
-            attempt: attempt.parse().map_err(|_| BadName)?,
+            request: request.parse().map_err(|_| ParseIdError)?,
+            attempt: attempt.parse().map_err(|_| ParseIdError)?,
         })
     }
 }
@@ -115,51 +116,52 @@
 /// `GET /engine/load`, and `GET /service/load` of plain services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// The life that reports.
+    /// The incarnation of the reporting process.
     pub incarnation: Incarnation,
-    /// How old the figures are, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
-    /// Memory for KV cache in all.
+    /// Total memory for KV cache.
     pub kv_total: Tokens,
-    /// Memory held.
+    /// Memory in use.
     pub kv_used: Tokens,
-    /// Prompt tokens accepted and not yet prefilled.
+    /// Prompt tokens that are accepted but not yet prefilled.
     pub waiting_prefill: Tokens,
-    /// Requests running or waiting.
+    /// Number of running and waiting requests.
     pub running: u32,
-    /// Asks for no new work.
+    /// Whether the reporting process asks for no new work.
     pub leaving: bool,
 }
 
-/// What a piece of held memory is.
+/// The kind of a held entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HeldKind {
     /// A running or waiting request.
     Stream,
-    /// Room for a part of a prompt that another engine runs.
+    /// Memory for a part of the prompt of a request that runs on another engine.
     Reservation,
-    /// KV cache written out for another engine.
+    /// KV cache exported for another engine.
     Export,
-    /// KV cache taken in from another engine.
+    /// KV cache imported from another engine.
     Import,
 }
 
-/// One entry of `GET /engine/held`.
+/// An entry of `GET /engine/held`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    /// Names it in `release`. For streams, the attempt.
+    /// Its id, as used in `release`; for streams the attempt's id.
     pub id: String,
-    /// What it is.
+    /// Its kind.
     pub kind: HeldKind,
     /// Who owns it.
     pub owner: Owner,
     /// Its size.
     pub tokens: Tokens,
-    /// Milliseconds until the engine itself releases it; absent while a connection keeps it.
+    /// Milliseconds until its lease expires; absent while its connection is open.
     pub expires_ms: Option<u64>,
-    /// For streams: the offset of the next token it will generate, where the engine says so. An
-    /// offset ahead of what the owner received shows that the connection between them is silent.
+    /// For streams: the offset of the next token to be generated, if the engine reports it. An
+    /// offset ahead of the tokens that the owner has received shows that their connection is
+    /// silent.
     #[serde(default)]
     pub offset: Option<u64>,
 }
@@ -167,155 +169,155 @@
 /// `GET /engine/held`, or a part of it: `GET /engine/held?max=N&after=ID`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldPage {
-    /// The life that reports.
+    /// The incarnation of the reporting process.
     pub incarnation: Incarnation,
-    /// All that holds memory, or the part of it that was asked for.
+    /// All entries that hold memory, or the requested part of them.
     pub held: Vec<Held>,
-    /// The id behind which the next part begins; absent at the end of the listing.
+    /// The id after which the next part begins; absent at the end of the listing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
 
-/// `POST /engine/release`.
+/// The body of `POST /engine/release`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// What to release.
+    /// Ids of the entries to release.
     pub ids: Vec<String>,
 }
 
-/// `POST /engine/renew`.
+/// The body of `POST /engine/renew`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Renew {
-    /// Whose leases.
+    /// The owner of the leases.
     pub owner: Owner,
-    /// Which of them; all where none are named.
+    /// Ids of the entries to renew; all of the owner's entries if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ids: Vec<String>,
-    /// How long from now.
+    /// Duration of the lease from now, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// `POST /engine/reserve`; answered with [`Reserved`], or 409 where there is no room.
+/// The body of `POST /engine/reserve`. The response is [`Reserved`], or 409 for lack of memory.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// Names the reservation; repeating it changes nothing.
+    /// Id of the reservation; repeating the call has no effect.
     pub id: String,
     /// Who owns it.
     pub owner: Owner,
     /// Its size.
     pub tokens: Tokens,
-    /// How long from now.
+    /// Duration of the lease from now, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// The answer to [`Reserve`].
+/// The response to [`Reserve`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reserved {
-    /// The life that holds it.
+    /// The engine's incarnation that holds the reservation.
     pub incarnation: Incarnation,
 }
 
-/// One change of an engine's prefix cache.
+/// A change of an engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Sequence number within the engine's life.
+    /// Sequence number within the engine's incarnation.
     pub sequence: u64,
     /// Hash of the block, as in [`policy::RequestSpec::prefix`].
     pub block: u64,
-    /// Stored, or evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
 /// `GET /engine/cache?from=N`. Events may be missing: a jump in `sequence` is a gap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachePage {
-    /// The life that reports.
+    /// The incarnation of the reporting process.
     pub incarnation: Incarnation,
-    /// Ask from here next time.
+    /// Sequence number to read from next.
     pub next: u64,
-    /// The events.
+    /// The events, in the order of their sequence numbers.
     pub events: Vec<CacheEvent>,
 }
 
-/// A KV cache written out by one engine.
+/// A KV cache exported by an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Names it in `release` on the engine that wrote it.
+    /// Its id, as used in `release` on the engine that exported it.
     pub id: String,
-    /// Where it can be read.
+    /// The address it can be read from.
     pub source: std::net::SocketAddr,
-    /// How much of the stream it covers, prompt and output.
+    /// Number of tokens of the stream that it covers, prompt and output.
     pub tokens: Tokens,
-    /// The prompt's block hashes that it covers.
+    /// Hashes of the prompt's blocks that it covers.
     pub prefix: Vec<u64>,
 }
 
-/// `POST /engine/kv/export`.
+/// The body of `POST /engine/kv/export`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExportCall {
-    /// The stream.
+    /// Id of the stream to export.
     pub stream: String,
-    /// Who will own the export.
+    /// The owner of the export.
     pub owner: Owner,
-    /// How long from now.
+    /// Duration of the lease from now, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// `POST /engine/kv/import`.
+/// The body of `POST /engine/kv/import`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ImportCall {
-    /// What to take in.
+    /// The export to import.
     pub export: KvExport,
-    /// Who will own the import until a request uses it.
+    /// The owner of the import until a request uses it.
     pub owner: Owner,
-    /// How long from now.
+    /// Duration of the lease from now, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// What an engine is to serve. `POST /engine/orders`; 409 for an old fencing number at engines
-/// that check it.
+/// What an engine is to serve: the body of `POST /engine/orders`. Engines that check the fencing
+/// number respond to an old one with 409.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The model.
+    /// The model's name.
     pub model: String,
-    /// Its version.
+    /// The model's version.
     pub version: String,
-    /// An adapter on top, if any.
+    /// An adapter for the model, if any.
     #[serde(default)]
     pub adapter: Option<String>,
     /// `mixed`, `prefill` or `decode`.
     pub role: String,
-    /// Number of the decision: the log offset at which it was taken.
+    /// Fencing number: the log offset of the decision.
     pub fencing: u64,
 }
 
-/// `GET /engine/orders`.
+/// The response to `GET /engine/orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderState {
-    /// The life that reports.
+    /// The incarnation of the reporting process.
     pub incarnation: Incarnation,
-    /// What it was last ordered to.
+    /// The last order, if any.
     pub order: Option<Order>,
-    /// Whether it is ready to serve that.
+    /// Whether the engine is ready to serve as ordered.
     pub ready: bool,
 }
 
-/// The `resume` member that an attempt after the first adds to the body: the engine continues
-/// after `text`, whose pieces are already with the caller.
+/// The `resume` member that attempts after the first add to the body: the engine continues after
+/// `text`, which the caller has already received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
     /// Offset of the next token.
     pub from: u64,
-    /// What was generated before it.
+    /// The text that was generated before it.
     pub text: String,
 }
 
-/// One server-sent event of an answer. Its `id:` line is `attempt:offset`.
+/// The `id:` field of a server-sent event of a response: `attempt:offset`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventId {
-    /// The attempt it belongs to.
+    /// The attempt that the event belongs to.
     pub attempt: AttemptId,
-    /// Offset of the first token it carries, counted over all attempts of the request.
+    /// Offset of its first token, counted over all attempts of the request.
     pub offset: u64,
 }
 
@@ -326,13 +328,13 @@
 }
 
 impl FromStr for EventId {
-    type Err = BadName;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let (attempt, offset) = text.rsplit_once(':').ok_or(BadName)?;
-        Ok(EventId { attempt: attempt.parse()?, offset: offset.parse().map_err(|_| BadName)? })
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let (attempt, offset) = text.rsplit_once(':').ok_or(ParseIdError)?;
+        Ok(EventId { attempt: attempt.parse()?, offset: offset.parse().map_err(|_| ParseIdError)? })
     }
 }
 
-/// The end mark of an answer's events; an answer without it isn't whole.
+/// Marks the end of a response's events; a response without it is incomplete.
 pub const DONE: &str = "[DONE]";
--- a/crates/protocols/src/http.rs
+++ b/crates/protocols/src/http.rs
@@ -1,8 +1,8 @@
-//! A small HTTP/1.1 client for calls with short answers.
+//! A small HTTP/1.1 client for calls with short responses.
 //!
-//! Every call opens its own connection. A kept one could have gone silent unnoticed (something
-//! between the two ends has lost track of it), and a call on it would look like one that may have
-//! taken effect although it never arrived.
+//! Every call opens a new connection. A pooled connection may have gone silent without notice, for
+//! example because a middlebox dropped its state. A call on it would never arrive, but would count
+//! as one that may have taken effect.
 
 use std::{fmt, io, net::SocketAddr, time::Duration};
 
@@ -12,34 +12,34 @@
 use serde::{Serialize, de::DeserializeOwned};
 use smol::{Timer, net::TcpStream};
 
-/// The longest answer that is read. Listings of 3,600 endpoints and pages of the log stay below.
-pub const MAX_ANSWER: u64 = 16 << 20;
+/// Maximum size of a response's body. Listings of 3,600 endpoints and pages of the log are smaller.
+pub const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// One call.
+/// An HTTP request with its timeout.
 #[derive(Debug, Clone)]
 pub struct HttpCall<'a> {
-    /// Who is called.
+    /// The server's address.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query, beginning with `/`.
     pub path: &'a str,
-    /// Headers besides those of the transport.
+    /// Headers in addition to those that the client sets itself.
     pub headers: Vec<(&'a str, String)>,
-    /// The body; none where empty.
+    /// The body; none is sent if it is empty.
     pub body: Bytes,
-    /// How long connecting, sending and reading may take together.
+    /// Timeout of connecting, sending and reading together.
     pub timeout: Duration,
 }
 
 impl<'a> HttpCall<'a> {
-    /// A `GET` without headers.
+    /// Creates a `GET` request without further headers.
     pub fn get(address: SocketAddr, path: &'a str, timeout: Duration) -> HttpCall<'a> {
         let (headers, body) = (Vec::new(), Bytes::new());
         HttpCall { address, method: Method::Get, path, headers, body, timeout }
     }
 
-    /// A `POST` of raw bytes.
+    /// Creates a `POST` request with the given body.
     pub fn post(
         address: SocketAddr,
         path: &'a str,
@@ -49,11 +49,11 @@
         HttpCall { address, method: Method::Post, path, headers: Vec::new(), body, timeout }
     }
 
-    /// A `POST` of JSON.
+    /// Creates a `POST` request with `content` as JSON.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Unreadable`] where `content` can't be written as JSON.
+    /// [`HttpError::Unreadable`] if `content` can't be serialised.
     pub fn post_json<T: Serialize>(
         address: SocketAddr,
         path: &'a str,
@@ -64,11 +64,11 @@
         Ok(HttpCall::post(address, path, body.into(), timeout))
     }
 
-    /// Makes the call.
+    /// Sends the request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// See [`HttpError`]; a status of any kind is an answer and not an error.
+    /// [`HttpError`] if there is no complete response. A response of any status isn't an error.
     pub async fn send(self) -> Result<HttpAnswer, HttpError> {
         let timeout = self.timeout;
         let mut sent = false;
@@ -78,7 +78,7 @@
             Err(HttpError::Silent)
         };
         match call.or(limit).await {
-            // Nothing left this process before the connection stood.
+            // No data is sent before the connection is established.
             Err(HttpError::Silent) if !sent => Err(HttpError::NotSent),
             other => other,
         }
@@ -108,30 +108,30 @@
     }
 }
 
-/// An answer, read to its end.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct HttpAnswer {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Its `x-leaving` header.
+    /// Whether the response has an `x-leaving` header.
     pub leaving: bool,
-    /// Its `Retry-After` header, in seconds.
+    /// The `Retry-After` header, if it is given in seconds.
     pub retry_after: Option<Duration>,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl HttpAnswer {
-    /// Whether the status is one of success.
+    /// Whether the status is from 200 to 299.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`HttpError::Unreadable`] where it isn't JSON of this shape.
+    /// [`HttpError::Unreadable`] if it can't be parsed as `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, HttpError> {
         serde_json::from_slice(&self.body).map_err(|_| HttpError::Unreadable)
     }
@@ -145,13 +145,13 @@
             .map(Duration::from_secs);
         let expected = resp.len();
         let mut body = Vec::new();
-        let mut limited = resp.take_body().take(MAX_ANSWER + 1);
+        let mut limited = resp.take_body().take(MAX_ANSWER_BYTES + 1);
         limited.read_to_end(&mut body).await.map_err(|_: io::Error| HttpError::Broken)?;
-        if body.len() as u64 > MAX_ANSWER {
+        if body.len() as u64 > MAX_ANSWER_BYTES {
             return Err(HttpError::TooLong);
         }
-        // A connection that breaks in mid-body ends the reader without an error; only the stated
-        // length shows that the answer isn't whole.
+        // If the connection breaks within the body, the reader ends without an error; only the
+        // stated length shows that the response is incomplete.
         if expected.is_some_and(|expected| expected != body.len()) {
             return Err(HttpError::Broken);
         }
@@ -159,18 +159,18 @@
     }
 }
 
-/// Why there is no answer.
+/// Why there is no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpError {
     /// No connection: nothing was sent.
     NotSent,
     /// The connection broke after something may have been sent.
     Broken,
-    /// No answer in time after something may have been sent.
+    /// The timeout expired after something may have been sent.
     Silent,
-    /// The answer is longer than [`MAX_ANSWER`].
+    /// The response's body is longer than [`MAX_ANSWER_BYTES`].
     TooLong,
-    /// The content can't be read or written.
+    /// The content can't be parsed or serialised.
     Unreadable,
 }
 
--- a/crates/protocols/src/instances/http.rs
+++ b/crates/protocols/src/instances/http.rs
@@ -1,22 +1,21 @@
-//! The list of instances over HTTP.
+//! HTTP client of the list of instances.
 
 use std::{net::SocketAddr, time::Duration};
 
 use super::{InstanceList, ListError, ListPage};
 use crate::http::HttpCall;
 
-/// How long the list may take to answer. It is read again soon anyway, and other witnesses speak
-/// meanwhile.
+/// Timeout of reading the list. It is read periodically, and there are other sources of membership.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The list at one address.
+/// Client of the list of instances.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpInstanceList {
     address: SocketAddr,
 }
 
 impl HttpInstanceList {
-    /// The list at `address`.
+    /// Creates a client of the list at `address`.
     pub fn new(address: SocketAddr) -> Self {
         HttpInstanceList { address }
     }
--- a/crates/protocols/src/instances/mod.rs
+++ b/crates/protocols/src/instances/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's list of live and leaving instances. It lags, so it is one witness among several.
+//! The platform's list of live and leaving instances. It lags behind, so it is only one of several
+//! sources of membership.
 
 pub mod http;
 
@@ -7,7 +8,7 @@
 use policy::{DataCentre, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// What an instance on the list is.
+/// The kind of a listed instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -17,41 +18,41 @@
     Endpoint,
 }
 
-/// Its state according to the list.
+/// The state of an instance according to the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
     /// In service.
     Live,
-    /// About to stop.
+    /// About to stop; takes no new work.
     Leaving,
 }
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Its name: an instance or endpoint id.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub role: Role,
-    /// Its life, where the platform knows it; zero otherwise.
+    /// Its incarnation; zero if the platform doesn't know it.
     pub incarnation: Incarnation,
-    /// Where it listens: for entries, the address for other instances.
+    /// The address it listens on; for entries the one for other instances.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Live or leaving; instances that are gone aren't listed.
+    /// Live or leaving; stopped instances aren't listed.
     pub state: ListedState,
 }
 
-/// `GET /instances`.
+/// The response to `GET /instances`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListPage {
-    /// All lines.
-    pub instances: Vec<Listed>,
+    /// All entries.
+    pub instances: Vec<ListedInstance>,
 }
 
-/// The list can't be had.
+/// The list can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListError;
 
@@ -63,8 +64,8 @@
 
 impl std::error::Error for ListError {}
 
-/// The list.
+/// The platform's list of instances.
 pub trait InstanceList: Send + Sync {
-    /// The list as of some moments ago.
+    /// Reads the list, which may lag behind by some seconds.
     fn list(&self) -> impl Future<Output = Result<ListPage, ListError>> + Send;
 }
--- a/crates/protocols/src/lib.rs
+++ b/crates/protocols/src/lib.rs
@@ -1,6 +1,6 @@
-//! The protocols of the outside world: model engines, plain services, the log service, the weight
-//! store and the list of instances. One trait each and one HTTP adapter each; another wire format
-//! is one new file. `docs/PROTOCOLS.md` describes the messages.
+//! Clients of the external systems: model engines, plain services, the log service, the weight
+//! store and the list of instances. Each has a trait and an HTTP adapter, so that another wire
+//! format can be added as a further adapter. `docs/PROTOCOLS.md` describes the messages.
 
 pub mod body;
 pub mod engine;
--- a/crates/protocols/src/log/http.rs
+++ b/crates/protocols/src/log/http.rs
@@ -8,14 +8,14 @@
 use super::{Log, LogError, Offset, Page};
 use crate::http::{HttpAnswer, HttpCall, HttpError};
 
-/// How long an append may take. The log answers within milliseconds; whoever waits for a claim has
-/// a deadline of seconds, so that a silent connection has to be noticed well within it.
+/// Timeout of an append. The log responds within milliseconds. A request that waits for its claim
+/// has a deadline of seconds, so a silent connection has to be detected well before that.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer than the asked wait a read may take.
-const READ_MARGIN: Duration = Duration::from_secs(1);
+/// How much longer than the requested wait a read may take.
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The log service at one address. Each call takes a fresh connection, so that a connection that
-/// went silent costs one call and not the stream.
+/// Client of the log service. Each call opens a new connection, so that a connection that goes
+/// silent affects only one call.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpLog {
     address: SocketAddr,
@@ -27,7 +27,7 @@
 }
 
 impl HttpLog {
-    /// The log service at `address`.
+    /// Creates a client of the log service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         HttpLog { address }
     }
@@ -51,12 +51,13 @@
     ) -> Result<Page, LogError> {
         let wait_ms = wait.as_millis();
         let path = format!("/streams/{stream}/records?from={from}&max={max}&wait_ms={wait_ms}");
-        let answer = HttpCall::get(self.address, &path, wait + READ_MARGIN).send().await;
+        let answer = HttpCall::get(self.address, &path, wait + READ_TIMEOUT_MARGIN).send().await;
         check(answer)?.json().map_err(|_| LogError::BadAnswer)
     }
 }
 
-/// 503 and 429 promise that nothing was appended; any other failure promises nothing.
+/// Maps failures to errors. Status 503 and 429 guarantee that nothing was appended; other failures
+/// guarantee nothing.
 fn check(answer: Result<HttpAnswer, HttpError>) -> Result<HttpAnswer, LogError> {
     let answer = match answer {
         Ok(answer) => answer,
--- a/crates/protocols/src/log/mod.rs
+++ b/crates/protocols/src/log/mod.rs
@@ -1,5 +1,5 @@
-//! The append-only log service. It takes a few hundred appends a second, keeps records for a
-//! limited time, has outages, and may lose an answer after the append has taken effect.
+//! The append-only log service. It accepts a few hundred appends per second, retains records for a
+//! limited time, has outages, and may lose the response to an append that has taken effect.
 
 pub mod http;
 
@@ -9,14 +9,14 @@
 pub use policy::Offset;
 use serde::{Deserialize, Serialize};
 
-/// One record.
+/// A record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place.
+    /// Its position in the stream.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the log accepted it, in milliseconds of the log's clock.
     pub time_ms: u64,
-    /// Its content.
+    /// Its content; UTF-8 on the wire.
     #[serde(with = "text")]
     pub data: Bytes,
 }
@@ -36,32 +36,32 @@
     }
 }
 
-/// What a read gives: the records from the asked offset, or from the first kept one where that is
-/// later.
+/// The result of a read: the records from the requested offset on, or from the first retained one
+/// if that is later.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The first record still kept.
+    /// Offset of the first retained record.
     pub first: Offset,
-    /// Read from here next time.
+    /// Offset to read from next.
     pub next: Offset,
-    /// One past the last record of the stream.
+    /// Offset after the last record of the stream.
     pub end: Offset,
-    /// The records.
+    /// The records, in the order of their offsets.
     pub records: Vec<Record>,
 }
 
 /// Why a call to the log failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogError {
-    /// Nothing reached the log.
+    /// No connection: nothing was sent.
     NotSent,
     /// The log refused the call (an outage); it had no effect.
     Refused,
-    /// The log takes no more appends for the moment; this one had no effect.
+    /// The log's append rate is exceeded; this append had no effect.
     Busy,
-    /// No answer: an append may have taken effect, or may still do so.
+    /// No response: an append may have taken effect, or may do so later.
     Unknown,
-    /// The answer made no sense; an append may have taken effect.
+    /// The response is invalid; an append may have taken effect.
     BadAnswer,
 }
 
@@ -83,14 +83,14 @@
 
 /// The log service.
 pub trait Log: Send + Sync {
-    /// Appends one record and says where it stands.
+    /// Appends a record and returns its offset.
     fn append(
         &self,
         stream: &str,
         data: Bytes,
     ) -> impl Future<Output = Result<Offset, LogError>> + Send;
 
-    /// Reads from `from` on, at most `max` records, waiting up to `wait` for the first.
+    /// Reads at most `max` records from offset `from` on, waiting up to `wait` for the first.
     fn read(
         &self,
         stream: &str,
--- a/crates/protocols/src/service/http.rs
+++ b/crates/protocols/src/service/http.rs
@@ -1,4 +1,4 @@
-//! Plain services over HTTP.
+//! HTTP client of plain services.
 
 use std::{
     net::SocketAddr,
@@ -11,7 +11,7 @@
 use smol::Timer;
 
 use crate::{
-    body::Parts,
+    body::BodyParts,
     engine::{
         run::connect,
         wire::{LEAVING, Load},
@@ -20,33 +20,34 @@
     service::{Header, Service, ServiceAnswer, ServiceCall, ServiceError},
 };
 
-/// How long a load report may take; see the same bound for engines.
+/// Timeout of a load report; the same as for engines.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest answer that is passed on. It is held whole, because only then it is known to be
-/// whole.
-const MAX_ANSWER: u64 = 16 << 20;
+/// Maximum size of a response's body. It is buffered completely before it is passed on, because
+/// only then is it known to be complete.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Headers of answers that callers get, besides the media type. Others belong to the connection.
-pub const PASSED_BACK: [&str; 6] =
+/// Response headers that are passed on to callers in addition to the media type. Others concern
+/// only the connection.
+pub const FORWARDED_RESPONSE_HEADERS: [&str; 6] =
     ["cache-control", "content-language", "etag", "last-modified", "location", "retry-after"];
 
-/// One server.
+/// Client of one server of a plain service.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpService {
     address: SocketAddr,
 }
 
 impl HttpService {
-    /// The server that listens at `address`.
+    /// Creates a client of the server at `address`.
     pub fn new(address: SocketAddr) -> Self {
         HttpService { address }
     }
 
-    /// Makes a call if `may_send` still allows it once the connection stands, right before the
-    /// first byte; [`ServiceError::NotSent`] if it doesn't. The connection is always a fresh one:
-    /// an idle one may have gone silent, and a call on it would be of unknown outcome although it
-    /// never arrived.
+    /// Makes a call, unless `may_send` returns false. It is checked when the connection is
+    /// established, right before the first byte is sent; the error is then
+    /// [`ServiceError::NotSent`]. The connection is always a new one: a pooled one may have gone
+    /// silent, and the outcome of a call on it would be unknown although it never arrived.
     pub async fn call_if(
         &self,
         call: ServiceCall,
@@ -56,7 +57,7 @@
         let timeout = call.timeout;
         let limit = async {
             Timer::after(timeout).await;
-            // Nothing left this process before the connection stood.
+            // No data is sent before the connection is established.
             Err(match sent.load(Ordering::Relaxed) {
                 true => ServiceError::Silent,
                 false => ServiceError::NotSent,
@@ -103,7 +104,7 @@
     let url = format!("http://{address}{}", call.path);
     let url = Url::parse(&url).map_err(|_| ServiceError::NotSent)?;
     let mut req = Request::new(call.method, url);
-    req.set_body(Parts::body(&[call.body]));
+    req.set_body(BodyParts::body(&[call.body]));
     for header in call.headers {
         req.insert_header(header.name.as_str(), header.value);
     }
@@ -113,15 +114,15 @@
 
 async fn read(mut resp: Response) -> Result<ServiceAnswer, ServiceError> {
     let status = u16::from(resp.status());
-    // An answer without stated length ends where the connection does, so a cut one looks whole;
-    // the HTTP library reads it as empty. Neither may reach a caller as the answer.
+    // A response without a stated length ends with the connection, so a truncated one can't be
+    // detected; the HTTP library reads it as empty. Neither may be passed on to a caller.
     let stated =
         resp.header("content-length").is_some() || resp.header("transfer-encoding").is_some();
     if !stated && !matches!(status, 204 | 304) {
         return Err(ServiceError::BadAnswer);
     }
     let content_type = resp.header("content-type").map(|values| values.last().to_string());
-    let headers = PASSED_BACK.into_iter().filter_map(|name| {
+    let headers = FORWARDED_RESPONSE_HEADERS.into_iter().filter_map(|name| {
         let value = resp.header(name)?.last().to_string();
         Some(Header { name: name.to_owned(), value })
     });
@@ -129,9 +130,9 @@
     let leaving = resp.header(LEAVING).is_some();
     let expected = resp.len();
     let mut body = Vec::new();
-    let mut limited = resp.take_body().take(MAX_ANSWER + 1);
+    let mut limited = resp.take_body().take(MAX_ANSWER_BYTES + 1);
     limited.read_to_end(&mut body).await.map_err(|_| ServiceError::Broken)?;
-    if body.len() as u64 > MAX_ANSWER {
+    if body.len() as u64 > MAX_ANSWER_BYTES {
         return Err(ServiceError::BadAnswer);
     }
     if expected.is_some_and(|expected| expected != body.len()) {
--- a/crates/protocols/src/service/mod.rs
+++ b/crates/protocols/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! Plain services: calls are passed through; load is reported at `GET /service/load` in the shape
-//! of [`crate::engine::wire::Load`].
+//! Plain services: calls are passed through. Servers report their load at `GET /service/load` as
+//! [`crate::engine::wire::Load`].
 
 pub mod http;
 
@@ -10,55 +10,55 @@
 
 use crate::engine::wire::Load;
 
-/// One call to a server of a plain service.
+/// A call to a server of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceCall {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query, beginning with `/`.
     pub path: String,
-    /// Headers that are passed on.
+    /// The caller's headers that are passed on.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Bytes,
-    /// How long the whole call may take.
+    /// Timeout of the complete call.
     pub timeout: Duration,
 }
 
-/// One header.
+/// An HTTP header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// Its name in small letters.
+    /// Its name in lower case.
     pub name: String,
     /// Its value.
     pub value: String,
 }
 
-/// The whole answer of a service.
+/// The complete response of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceAnswer {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
     /// The `content-type`, if any.
     pub content_type: Option<String>,
-    /// Further headers that callers get, see [`http::PASSED_BACK`].
+    /// Further headers that are passed on to callers, see [`http::FORWARDED_RESPONSE_HEADERS`].
     pub headers: Vec<Header>,
-    /// The server asks for no new work.
+    /// Whether the server asks for no new work.
     pub leaving: bool,
     /// The body.
     pub body: Bytes,
 }
 
-/// Why a call gave no answer.
+/// Why a call has no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceError {
     /// No connection: nothing was sent.
     NotSent,
     /// The connection broke after something may have been sent.
     Broken,
-    /// No answer in time after something may have been sent.
+    /// The timeout expired after something may have been sent.
     Silent,
-    /// The answer can't be read or isn't whole.
+    /// The response is invalid or incomplete.
     BadAnswer,
 }
 
@@ -77,11 +77,11 @@
 
 /// One server of a plain service.
 pub trait Service: Send + Sync {
-    /// Its own load report.
+    /// Queries its load report.
     fn load(&self) -> impl Future<Output = Result<Load, ServiceError>> + Send;
 
-    /// Makes a call on a connection of its own: on a kept one that has gone silent, a call would
-    /// look like one that may have run although it never arrived.
+    /// Makes a call over a new connection: a pooled one may have gone silent, and a call on it
+    /// would count as one that may have run although it never arrived.
     fn call(
         &self,
         call: ServiceCall,
--- a/crates/protocols/src/weights/http.rs
+++ b/crates/protocols/src/weights/http.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! HTTP client of the weight store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,12 +7,12 @@
 use super::{WeightError, WeightStore};
 use crate::http::HttpCall;
 
-/// How long the store may take to answer a question about a size.
+/// Timeout of a size query.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// How long to wait where the store says that it is busy but not for how long.
-const BUSY: Duration = Duration::from_secs(1);
+/// Retry delay if the store is busy and its response has no `Retry-After` header.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The weight store at one address.
+/// Client of the weight store.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpWeightStore {
     address: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 impl HttpWeightStore {
-    /// The store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         HttpWeightStore { address }
     }
@@ -37,7 +37,7 @@
         let answer = answer.map_err(|_| WeightError::Unavailable)?;
         match answer.status {
             404 => Err(WeightError::Missing),
-            429 => Err(WeightError::Busy(answer.retry_after.unwrap_or(BUSY))),
+            429 => Err(WeightError::Busy(answer.retry_after.unwrap_or(DEFAULT_RETRY_DELAY))),
             _ if answer.is_success() => {
                 let size: Size = answer.json().map_err(|_| WeightError::Unavailable)?;
                 Ok(size.bytes)
--- a/crates/protocols/src/weights/mod.rs
+++ b/crates/protocols/src/weights/mod.rs
@@ -1,17 +1,18 @@
-//! The weight store. It is rate-limited, so loads are spaced by whoever orders them.
+//! The weight store. It is rate-limited, so whoever orders engines to load weights has to space the
+//! loads.
 
 pub mod http;
 
 use std::{fmt, future::Future, time::Duration};
 
-/// Why weights can't be had now.
+/// Why the weight store couldn't be queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightError {
-    /// Over the store's rate; ask again after this long.
+    /// The store's rate limit is exceeded; retry after this time.
     Busy(Duration),
-    /// No such model or version.
+    /// The store has no such model or version.
     Missing,
-    /// The store can't be reached.
+    /// The store can't be reached, or its response is invalid.
     Unavailable,
 }
 
@@ -29,9 +30,10 @@
 
 impl std::error::Error for WeightError {}
 
-/// The store, as far as this system calls it; engines fetch the weights themselves.
+/// The part of the weight store's interface that this system uses; engines fetch weights
+/// themselves.
 pub trait WeightStore: Send + Sync {
-    /// Size in bytes of a model's version, which also proves that it exists.
+    /// Queries the size of a model version in bytes, which also checks that it exists.
     fn size(
         &self,
         model: &str,
--- a/crates/protocols/tests/http.rs
+++ b/crates/protocols/tests/http.rs
@@ -1,4 +1,4 @@
-//! The client tells a call that was never sent from one that may have taken effect.
+//! The HTTP client distinguishes calls that weren't sent from those that may have taken effect.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +13,8 @@
 
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A server for one connection that reads a little and then answers with these bytes.
+/// Starts a server that accepts one connection, reads from it once and responds with `answer`. With
+/// `hold` it keeps the connection open beyond the client's timeout.
 fn server(answer: &'static [u8], hold: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/protocols/tests/sse.rs
+++ b/crates/protocols/tests/sse.rs
@@ -1,15 +1,15 @@
-//! Server-sent events and the pieces in them, whatever arrives.
+//! Parsing of server-sent events and their content, also with arbitrary input.
 
 #![allow(clippy::unwrap_used)]
 
 use futures_lite::io::BufReader;
 use protocols::engine::{
     piece::Piece,
-    sse::{MAX_LINE, SseError, SseEvent, SseReader},
+    sse::{MAX_LINE_BYTES, SseError, SseEvent, SseReader},
 };
 use quickcheck::quickcheck;
 
-/// All events of `text`, read through a buffer of `step` bytes.
+/// Reads all events of `text` with a buffer of `step` bytes.
 fn events(text: &[u8], step: usize) -> Result<Vec<SseEvent>, SseError> {
     smol::block_on(async {
         let mut reader = SseReader::new(BufReader::with_capacity(step.max(1), text));
@@ -27,8 +27,8 @@
     }
 
     fn any_data_comes_back(data: Vec<String>, step: u8) -> bool {
-        let plain = |c: &char| !matches!(c, '\n' | '\r');
-        let data: Vec<String> = data.iter().map(|d| d.chars().filter(plain).collect()).collect();
+        let is_no_line_end = |c: &char| !matches!(c, '\n' | '\r');
+        let data: Vec<String> = data.iter().map(|d| d.chars().filter(is_no_line_end).collect()).collect();
         let text: String = data.iter().map(|d| format!("id: 7\ndata: {d}\n\n")).collect();
         let read = events(text.as_bytes(), step.into()).unwrap();
         read.len() == data.len()
@@ -60,6 +60,6 @@
 
 #[test]
 fn a_line_without_end_is_refused() {
-    let text = vec![b'a'; MAX_LINE + 1];
+    let text = vec![b'a'; MAX_LINE_BYTES + 1];
     assert_eq!(events(&text, 8_192), Err(SseError::Malformed));
 }
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -9,7 +9,7 @@
 };
 
 use http_types::{Request, StatusCode};
-use protocols::instances::{ListPage, Listed};
+use protocols::instances::{ListPage, ListedInstance};
 
 use crate::http::{Handler, Host, Refused, Reply, json, lock};
 
@@ -29,12 +29,12 @@
     lag: Duration,
     down: bool,
     /// The list as it was when it stopped following.
-    frozen: Option<Vec<Listed>>,
+    frozen: Option<Vec<ListedInstance>>,
 }
 
 struct Published {
     at: Instant,
-    instances: Vec<Listed>,
+    instances: Vec<ListedInstance>,
 }
 
 impl ListService {
@@ -52,7 +52,7 @@
     }
 
     /// Adds an instance or replaces the one of the same name.
-    pub fn put(&self, listed: Listed) {
+    pub fn put(&self, listed: ListedInstance) {
         self.change(|list| {
             list.retain(|known| known.name != listed.name);
             list.push(listed);
@@ -80,7 +80,7 @@
         self.host.close();
     }
 
-    fn change(&self, change: impl FnOnce(&mut Vec<Listed>)) {
+    fn change(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
         let mut state = lock(&self.shared.0);
         let mut instances = state.versions.back().map_or_else(Vec::new, |v| v.instances.clone());
         change(&mut instances);
@@ -105,7 +105,7 @@
 
 impl State {
     /// The newest version that is old enough to be shown.
-    fn shown(&mut self, now: Instant) -> Vec<Listed> {
+    fn shown(&mut self, now: Instant) -> Vec<ListedInstance> {
         while self.versions.get(1).is_some_and(|next| next.at + self.lag <= now) {
             self.versions.pop_front();
         }
--- a/crates/standin/src/scenario/run/site.rs
+++ b/crates/standin/src/scenario/run/site.rs
@@ -16,7 +16,7 @@
 use policy::{DataCentre, Incarnation, TokenRate, Tokens};
 use protocols::{
     http::HttpCall,
-    instances::{Listed, ListedState, Role},
+    instances::{ListedInstance, ListedState, Role},
 };
 use rustix::process::Signal;
 use serde::Deserialize;
@@ -347,7 +347,7 @@
     fn list_instance(&self, instance: &Instance, state: ListedState) -> Result<(), RunError> {
         let data_centre: DataCentre =
             instance.data_centre.parse().map_err(|_| RunError::BadName)?;
-        self.list.put(Listed {
+        self.list.put(ListedInstance {
             name: instance.name.clone(),
             role: Role::Entry,
             incarnation: Incarnation::default(),
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -6,7 +6,7 @@
 
 use protocols::{
     http::{HttpAnswer, HttpCall, HttpError},
-    instances::{ListPage, Listed, ListedState, Role},
+    instances::{ListPage, ListedInstance, ListedState, Role},
     log::Page,
 };
 use standin::{
@@ -134,7 +134,7 @@
 
     the_list_lags {
         let list = ListService::start(Duration::from_millis(50)).unwrap();
-        list.put(Listed {
+        list.put(ListedInstance {
             name: "entry-1".to_owned(),
             role: Role::Entry,
             incarnation: policy::Incarnation(1),
