--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -85,13 +85,13 @@
     match reason {
         RefusalReason::TooLate => (
             StatusCode::ServiceUnavailable,
-            "the first token is predicted to miss its deadline, so the request was not run",
+            "the first token can't be expected in time, so the request was not run",
         ),
         RefusalReason::OverLimit => {
             (StatusCode::TooManyRequests, "the workspace is over its configured limit")
         }
         RefusalReason::OverShare => {
-            (StatusCode::TooManyRequests, "the workspace's share of the queue is full")
+            (StatusCode::TooManyRequests, "the workspace's share of the waiting room is full")
         }
         RefusalReason::TooLarge => (
             StatusCode::PayloadTooLarge,
@@ -102,12 +102,12 @@
         }
         RefusalReason::Quarantined => (
             StatusCode::UnprocessableEntity,
-            "endpoints crashed on this request before, so it isn't run again",
+            "endpoints died of this request before, so it isn't run again",
         ),
         RefusalReason::Stopping => (StatusCode::ServiceUnavailable, "this instance is stopping"),
         RefusalReason::LogUnavailable => (
             StatusCode::ServiceUnavailable,
-            "the call isn't idempotent and can't be recorded now, so it was not run",
+            "the call may not be repeated and can't be recorded now, so it was not run",
         ),
     }
 }
@@ -130,37 +130,35 @@
     let (unavailable, bad) = (StatusCode::ServiceUnavailable, StatusCode::BadGateway);
     match cause {
         FailCause::Deadline => {
-            (StatusCode::GatewayTimeout, "deadline", "the request missed its deadline")
+            (StatusCode::GatewayTimeout, "deadline", "the request didn't end by its deadline")
         }
         FailCause::TooLate => (
             unavailable,
             "too_late",
-            "according to newer measurements the first token would arrive too late",
+            "by the speeds measured meanwhile the first token would come too late",
         ),
         FailCause::NotSent => (unavailable, "not_sent", "no endpoint could be reached"),
-        FailCause::Rejected => (unavailable, "rejected", "the endpoints accepted no work"),
+        FailCause::Rejected => (unavailable, "rejected", "the endpoints took no work"),
         FailCause::Broken => (bad, "broken", "the connection to the endpoint broke"),
-        FailCause::Silent => (bad, "silent", "the endpoint stopped responding"),
+        FailCause::Silent => (bad, "silent", "the endpoint fell silent"),
         FailCause::EndpointError => (bad, "endpoint_error", "the endpoint failed"),
-        FailCause::BadAnswer => (
-            bad,
-            "bad_answer",
-            "the endpoint's answer was incomplete or belonged to another request",
-        ),
-        FailCause::EndpointDied => (bad, "endpoint_died", "the endpoint's process died"),
+        FailCause::BadAnswer => {
+            (bad, "bad_answer", "the endpoint's answer was not whole or not to this request")
+        }
+        FailCause::EndpointDied => (bad, "endpoint_died", "the endpoint died"),
         FailCause::Quarantined => (
             StatusCode::UnprocessableEntity,
             "quarantined",
-            "endpoints crashed on this request, so it isn't run again",
+            "endpoints died of this request, so it isn't run again",
         ),
         FailCause::Shed => (
             StatusCode::TooManyRequests,
             "shed",
-            "the request was dropped from the queue, because others had waited for their share",
+            "the request was given up while it waited, because others had waited for their share",
         ),
         FailCause::RetryBudget => {
             (unavailable, "retry_budget", "too many requests are being retried")
         }
-        FailCause::NoEndpoint => (unavailable, "no_endpoint", "no endpoint remains to be tried"),
+        FailCause::NoEndpoint => (unavailable, "no_endpoint", "no endpoint is left"),
     }
 }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -140,7 +140,7 @@
     let received = &admitted.request.received;
     let Some(text) = &received.headers.idempotency_key else {
         return Err(CallError::malformed(
-            "header `Idempotency-Key` is missing; this call isn't idempotent and requires one",
+            "header `Idempotency-Key` is missing; this call may not be repeated and needs one",
         ));
     };
     let group = received.route.rules.group.clone();
@@ -159,7 +159,7 @@
         ),
         ClaimOutcome::NotRun => CallError {
             code: "not_run",
-            message: "the call was cancelled before it was sent, and was not run".to_owned(),
+            message: "the call was given up before it was sent, and was not run".to_owned(),
             retry_after: Some(Duration::from_secs(1)),
             ..log_unavailable()
         },
@@ -174,15 +174,14 @@
         ClaimOutcome::KeyTooOld => CallError {
             status: StatusCode::UnprocessableEntity,
             code: "key_too_old",
-            message:
-                "the Idempotency-Key is older than the retained history; the call was not run \
+            message: "the Idempotency-Key is older than what is remembered; the call was not run \
                       now, and may have run before"
-                    .to_owned(),
+                .to_owned(),
             ran: RunStatus::Unknown,
             retry_after: None,
         },
         ClaimOutcome::KeyFromTheFuture => CallError::malformed(
-            "the Idempotency-Key contains a time in the future; check the clock",
+            "the Idempotency-Key says that it was made in the future; check the clock",
         ),
     })
 }
@@ -193,7 +192,7 @@
             status: StatusCode::Conflict,
             code: "answer_not_kept",
             message: format!(
-                "the call ran and was answered with status {}; the answer was too large to store",
+                "the call ran and was answered with status {}; the answer was too large to be kept",
                 answer.status
             ),
             ran: RunStatus::Yes,
@@ -212,7 +211,7 @@
     CallError {
         status: StatusCode::GatewayTimeout,
         code: "outcome_unknown",
-        message: "it is unknown whether the call ran; it isn't run again".to_owned(),
+        message: "whether the call ran can't be told; it isn't run again".to_owned(),
         ran: RunStatus::Unknown,
         retry_after: Some(UNKNOWN_OUTCOME_RETRY_AFTER),
     }
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -119,9 +119,7 @@
     }
     let encoding = text_header(req, "transfer-encoding");
     if encoding.is_some_and(|encoding| !encoding.eq_ignore_ascii_case("chunked")) {
-        return Err(CallError::malformed(
-            "header `transfer-encoding`: only `chunked` is supported",
-        ));
+        return Err(CallError::malformed("header `transfer-encoding`: only `chunked` is served"));
     }
     Ok(())
 }
@@ -184,7 +182,7 @@
 }
 
 fn method_not_allowed(method: Method, path: &str) -> CallError {
-    let message = format!("method `{method}` isn't allowed at `{path}`");
+    let message = format!("`{method}` isn't served at `{path}`");
     CallError::caller(StatusCode::MethodNotAllowed, "method_not_allowed", message)
 }
 
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -163,7 +163,7 @@
     CallError {
         status: StatusCode::ServiceUnavailable,
         code: "busy",
-        message: "too many large requests are being received".to_owned(),
+        message: "too many large requests are coming in at once".to_owned(),
         ran: RunStatus::No,
         retry_after: Some(Duration::from_secs(2)),
     }
@@ -172,7 +172,7 @@
 async fn read_body(body: Body, max: usize) -> Result<Bytes, CallError> {
     let timeout = async {
         Timer::after(BODY_TIMEOUT).await;
-        let message = "the body was not received in time";
+        let message = "the body didn't come in time";
         Err(CallError::caller(StatusCode::RequestTimeout, "body_timeout", message))
     };
     let bytes = read_all(body, max).or(timeout).await?;
@@ -237,7 +237,7 @@
 }
 
 fn unknown_service(target: &ServiceTarget) -> CallError {
-    let message = format!("path: no plain service is named `{}`", target.group);
+    let message = format!("path: no plain service is called `{}`", target.group);
     CallError::caller(StatusCode::NotFound, "unknown_service", message)
 }
 
--- a/crates/daemon/src/filter/scan.rs
+++ b/crates/daemon/src/filter/scan.rs
@@ -35,19 +35,19 @@
 /// A message that names the member, or line and column of the syntax error.
 pub fn scan(body: &[u8], prompt_member: PromptMember) -> Result<ScannedBody, String> {
     let members: Members<'_> =
-        serde_json::from_slice(body).map_err(|e| format!("invalid request body: {e}"))?;
-    let missing = |name| format!("invalid request body: member `{name}` is missing");
+        serde_json::from_slice(body).map_err(|e| format!("the body can't be read: {e}"))?;
+    let missing = |name| format!("the body can't be read: member `{name}` is missing");
     let mut hasher = PromptHasher::new();
     match prompt_member {
         PromptMember::Prompt => {
             let prompt = members.prompt.ok_or_else(|| missing("prompt"))?;
             text::hash_string(prompt.get(), &mut hasher)
-                .map_err(|e| format!("invalid request body: member `prompt`: {e}"))?;
+                .map_err(|e| format!("the body can't be read: member `prompt`: {e}"))?;
         }
         PromptMember::Messages => {
             let messages = members.messages.ok_or_else(|| missing("messages"))?;
             text::hash_messages(messages.get(), &mut hasher)
-                .map_err(|e| format!("invalid request body: member `messages`: {e}"))?;
+                .map_err(|e| format!("the body can't be read: member `messages`: {e}"))?;
         }
     }
     Ok(ScannedBody {
@@ -168,7 +168,7 @@
     read_once(&mut count, "n", map)?;
     match count {
         None | Some(1u64) => Ok(()),
-        Some(_) => Err(A::Error::custom("member `n`: only 1 answer per request is supported")),
+        Some(_) => Err(A::Error::custom("member `n`: only 1 answer a request is served")),
     }
 }
 
--- a/crates/daemon/src/filter/text.rs
+++ b/crates/daemon/src/filter/text.rs
@@ -27,7 +27,7 @@
 /// Hashes the character that an escape stands for and returns the text after the escape. `rest`
 /// starts behind the backslash.
 fn hash_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
-    let truncated = || "an escape sequence is truncated".to_owned();
+    let truncated = || "an escape breaks off".to_owned();
     let unescaped = match rest.as_bytes().first().ok_or_else(truncated)? {
         b'u' => return hash_unicode_escape(rest, hasher),
         b'b' => 8,
@@ -45,7 +45,7 @@
 /// as the replacement character.
 fn hash_unicode_escape<'a>(rest: &'a str, hasher: &mut PromptHasher) -> Result<&'a str, String> {
     let unit = |text: &str| text.get(1..5).and_then(|hex| u16::from_str_radix(hex, 16).ok());
-    let first = unit(rest).ok_or("an escape `\\u` isn't followed by four hexadecimal digits")?;
+    let first = unit(rest).ok_or("an escape isn't four hexadecimal digits")?;
     let mut remaining = &rest[5..];
     let second = remaining.strip_prefix('\\').filter(|text| text.starts_with('u')).and_then(unit);
     let mut c = char::decode_utf16([first]).next().and_then(Result::ok);
--- a/crates/policy/src/config/load.rs
+++ b/crates/policy/src/config/load.rs
@@ -163,7 +163,7 @@
             let message = "expected the SHA-256 of a key: 64 digits from 0-9 and a-f";
             findings.push(location, &path, message);
         } else if names.count_key_uses(key) > 1 {
-            let message = "this key is given twice, so that its workspace would be ambiguous";
+            let message = "this key is given twice, so that its caller couldn't be told";
             findings.push(location, &path, message);
         }
     }
--- a/crates/policy/src/config/tree.rs
+++ b/crates/policy/src/config/tree.rs
@@ -274,7 +274,7 @@
             let mut node = self.convert(property.value, &path);
             node.location = self.lines.location(offset);
             if members.contains_key(&name) {
-                let message = "this member appears twice in one file";
+                let message = "this member stands twice in one file";
                 self.findings.push(Some(&node.location), &path, message);
                 continue;
             }
@@ -287,7 +287,7 @@
         match serde_json::Number::from_str(text) {
             Ok(number) => Value::Number(number),
             Err(_) => {
-                self.findings.push(Some(location), path, format!("{text} isn't a JSON number"));
+                self.findings.push(Some(location), path, format!("{text} is no JSON number"));
                 Value::Null
             }
         }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -30,7 +30,7 @@
             }
             IdError::BadCharacter(c) => write!(
                 f,
-                "the identifier contains {c:?}; letters, digits and `.`, `_`, `-`, `:`, `/` are allowed"
+                "the identifier holds {c:?}; letters, digits and `.`, `_`, `-`, `:`, `/` are allowed"
             ),
         }
     }
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -85,7 +85,7 @@
 
 found! {
     unknown_member: r#"{"endpoints": {"e1": {"grup": "x"}}}"# => "endpoints.e1.grup", "unknown member";
-    member_given_twice: r#"{"ledger": {"streams": 1, "streams": 2}}"# => "ledger.streams", "appears twice";
+    member_given_twice: r#"{"ledger": {"streams": 1, "streams": 2}}"# => "ledger.streams", "stands twice";
     comment: "{} // no" => "", "Comments are not allowed";
     trailing_comma: r#"{"ledger": {"streams": 1,}}"# => "", "Trailing commas";
     single_quotes: "{'ledger': {}}" => "", "double quotes";
