--- a/crates/daemon/examples/publish_time.rs
+++ b/crates/daemon/examples/publish_time.rs
@@ -83,13 +83,13 @@
     Instance::start(settings, None).ok()
 }
 
-fn publish(admin: SocketAddr, base: Version, number: u64) -> Option<Version> {
-    let key = format!("{number:064x}");
+fn publish(admin: SocketAddr, base: Version, mark: u64) -> Option<Version> {
+    let key = format!("{mark:064x}");
     let text = format!(
         r#"{{"data_centres":{{"a":{{"region":"r"}}}},"workspaces":{{"w":{{"key_sha256":["{key}"]}}}}}}"#
     );
     let files = vec![SourceFile { name: "a.json".to_owned(), text }];
-    let (id, by) = (format!("change-{number}"), "bench".to_owned());
+    let (id, by) = (format!("change-{mark}"), "bench".to_owned());
     let req = PublishRequest { id, base, by, files };
     let call = HttpCall::post_json(admin, "/admin/publish", &req, TIMEOUT).ok()?;
     match block_on(call.send()).ok()?.json().ok()? {
