--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -142,9 +142,9 @@
             let is_known = self.kinds.iter().any(|kind| kind.name == burst.kind);
             check(is_known, format!("bursts[{i}].kind: there is no kind \"{}\"", burst.kind));
         }
-        for (i, death) in self.deaths.iter().enumerate() {
-            let is_known = death.engine < self.engines;
-            check(is_known, format!("deaths[{i}].engine: there is no engine {}", death.engine));
+        for (i, failure) in self.deaths.iter().enumerate() {
+            let is_known = failure.engine < self.engines;
+            check(is_known, format!("deaths[{i}].engine: there is no engine {}", failure.engine));
         }
         for (i, kind) in self.kinds.iter().enumerate() {
             check(
--- a/crates/policy/src/config/mod.rs
+++ b/crates/policy/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration as the daemon uses it: deployments, data centres, workspaces, endpoints.
 //!
 //! Operators write a folder of small JSON files, which are merged in the order of their names;
-//! `docs/CONFIG.md` is the reference. A [`Config`] returned by [`load`] has passed every check.
+//! `docs/CONFIG.md` is the reference. A [`Config`] returned by [`load()`] has passed every check.
 
 mod deployments;
 pub mod fields;
