--- a/crates/daemon/src/budget.rs
+++ b/crates/daemon/src/budget.rs
@@ -1,51 +1,53 @@
-//! A bound on the bytes of bodies that an instance holds at once.
+//! Limits the total size of the request bodies that an instance buffers.
 //!
-//! The failure: many large uploads come together, each within its own limit, and the process runs
-//! out of memory, which cuts every caller and not only the ones who caused it. A request that
-//! would pass the bound is refused before its body is read.
+//! Guards against many concurrent large uploads, each within its own limit, that exhaust the memory
+//! of the process and so cut off all callers, not only those that caused it. A request that would
+//! exceed the limit is refused before its body is read.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// The most bytes of bodies held at once: two hundred prompts of a million tokens. More than that
-/// many can't meet their deadlines on a fleet of today's size anyway.
-pub const BODY_BYTES: usize = 1 << 30;
+/// Maximum total size of buffered bodies: two hundred prompts of a million tokens. A fleet of
+/// today's size couldn't serve more than that within their deadlines anyway.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 30;
 
-/// Counts what is held.
+/// Counts the bytes of all permits.
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
-    held: Arc<AtomicUsize>,
+pub struct BodyBudget {
+    used_bytes: Arc<AtomicUsize>,
 }
 
-/// Bytes taken from a budget; dropping it gives them back.
+/// Permission to buffer a number of bytes. Dropping it returns them to the budget.
 #[derive(Debug)]
-pub struct Share {
-    budget: Budget,
+pub struct BodyPermit {
+    budget: BodyBudget,
     bytes: usize,
 }
 
-impl Budget {
-    /// Takes `bytes`, or none where that would pass [`BODY_BYTES`].
-    pub fn take(&self, bytes: usize) -> Option<Share> {
-        let grown = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= BODY_BYTES);
-        self.held.fetch_update(Ordering::AcqRel, Ordering::Acquire, grown).ok()?;
-        Some(Share { budget: self.clone(), bytes })
+impl BodyBudget {
+    /// Acquires `bytes`, unless the total would exceed [`MAX_BUFFERED_BODY_BYTES`].
+    pub fn try_acquire(&self, bytes: usize) -> Option<BodyPermit> {
+        let increased = |used_bytes: usize| {
+            used_bytes.checked_add(bytes).filter(|sum| *sum <= MAX_BUFFERED_BODY_BYTES)
+        };
+        self.used_bytes.fetch_update(Ordering::AcqRel, Ordering::Acquire, increased).ok()?;
+        Some(BodyPermit { budget: self.clone(), bytes })
     }
 }
 
-impl Share {
-    /// Gives back what is above `bytes`.
-    pub fn shrink(&mut self, bytes: usize) {
-        let over = self.bytes.saturating_sub(bytes);
-        self.budget.held.fetch_sub(over, Ordering::AcqRel);
-        self.bytes -= over;
+impl BodyPermit {
+    /// Reduces the permit to `bytes` and returns the rest to the budget.
+    pub fn shrink_to(&mut self, bytes: usize) {
+        let excess = self.bytes.saturating_sub(bytes);
+        self.budget.used_bytes.fetch_sub(excess, Ordering::AcqRel);
+        self.bytes -= excess;
     }
 }
 
-impl Drop for Share {
+impl Drop for BodyPermit {
     fn drop(&mut self) {
-        self.shrink(0);
+        self.shrink_to(0);
     }
 }
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -1,4 +1,4 @@
-//! One deployment's scheduler under its own lock, driven from sockets and a timer.
+//! One deployment's scheduler behind its own lock, driven by requests, events and a timer.
 
 use std::{
     sync::{Arc, Mutex, Weak},
@@ -19,40 +19,41 @@
 
 use crate::{clock::Clock, endpoint::lock};
 
-/// Decisions that may wait for one request's driver. A request has one attempt under way, and
-/// each needs a start, a cancel and perhaps the end; more than this is a fault of the scheduler.
-const DECISIONS: usize = 16;
+/// Maximum number of decisions queued for one request's driver. A request has one attempt in
+/// flight, and each needs a start, a cancellation and perhaps the end; more than this is a bug of
+/// the scheduler.
+const MAX_QUEUED_DECISIONS: usize = 16;
 
-/// The longest pause between two polls of the scheduler, so that a wake-up it forgot to ask for
-/// costs a caller at most this.
-const MAX_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum interval between two polls of the scheduler. It bounds the delay of a caller if the
+/// scheduler fails to request a wake-up.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One deployment's scheduler and the requests it decides about.
+/// One deployment's scheduler and the channels to the drivers of its requests.
 #[derive(Debug)]
 pub struct DeploymentState<S> {
-    /// Its name.
+    /// The deployment's name in the configuration.
     pub name: Deployment,
     clock: Clock,
     inner: Mutex<Inner<S>>,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_tx: Sender<()>,
+    wake_rx: Receiver<()>,
 }
 
 #[derive(Debug)]
 struct Inner<S> {
     scheduler: S,
-    calls: IndexMap<RequestId, Sender<Decision>>,
+    decision_txs: IndexMap<RequestId, Sender<Decision>>,
 }
 
 impl<S: Scheduler + 'static> DeploymentState<S> {
-    /// A deployment decided by `scheduler`.
+    /// A deployment whose requests `scheduler` decides about.
     pub fn new(name: Deployment, scheduler: S, clock: Clock) -> Arc<Self> {
-        let (wake, woken) = bounded(1);
-        let inner = Mutex::new(Inner { scheduler, calls: IndexMap::new() });
-        Arc::new(DeploymentState { name, clock, inner, wake, woken })
+        let (wake_tx, wake_rx) = bounded(1);
+        let inner = Mutex::new(Inner { scheduler, decision_txs: IndexMap::new() });
+        Arc::new(DeploymentState { name, clock, inner, wake_tx, wake_rx })
     }
 
-    /// Takes over new rules.
+    /// Applies a new configuration.
     pub fn configure(
         &self,
         rules: &DeploymentRules,
@@ -62,15 +63,15 @@
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
         inner.scheduler.configure(rules, workspaces, endpoints, now);
-        inner.decide(now);
-        self.wake.try_send(()).ok();
+        inner.poll_and_deliver(now);
+        self.wake_tx.try_send(()).ok();
     }
 
-    /// Offers a request. Where it is admitted, decisions about it arrive on the channel.
+    /// Offers a request to the scheduler. If it is admitted, its decisions arrive on the channel.
     ///
     /// # Errors
     ///
-    /// The scheduler's refusal.
+    /// Returns the scheduler's refusal.
     pub fn offer(&self, spec: Arc<RequestSpec>) -> Result<Receiver<Decision>, Refusal> {
         let now = self.clock.now();
         let id = spec.id;
@@ -78,83 +79,83 @@
         if let Admission::Refused(refusal) = inner.scheduler.offer(spec, now) {
             return Err(refusal);
         }
-        let (tx, rx) = bounded(DECISIONS);
-        inner.calls.insert(id, tx);
-        inner.decide(now);
-        // The timer has to look at the new request's wake-up.
-        self.wake.try_send(()).ok();
+        let (tx, rx) = bounded(MAX_QUEUED_DECISIONS);
+        inner.decision_txs.insert(id, tx);
+        inner.poll_and_deliver(now);
+        // The timer has to take the new request's wake-up into account.
+        self.wake_tx.try_send(()).ok();
         Ok(rx)
     }
 
-    /// Tells the scheduler what happened.
+    /// Reports an event to the scheduler.
     pub fn observe(&self, event: Event) {
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
         if let Event::Ended { request, .. } = &event {
-            inner.calls.swap_remove(request);
+            inner.decision_txs.swap_remove(request);
         }
         inner.scheduler.observe(event, now);
-        inner.decide(now);
-        self.wake.try_send(()).ok();
+        inner.poll_and_deliver(now);
+        self.wake_tx.try_send(()).ok();
     }
 
-    /// This instance's part of the load.
+    /// Summary of the load that this instance causes.
     pub fn digest(&self) -> LoadDigest {
         lock(&self.inner).scheduler.digest(self.clock.now())
     }
 
-    /// Requests that the scheduler has admitted and that haven't ended.
-    pub fn under_way(&self) -> usize {
-        lock(&self.inner).calls.len()
+    /// Number of requests that have been admitted and haven't ended.
+    pub fn in_flight_requests(&self) -> usize {
+        lock(&self.inner).decision_txs.len()
     }
 
-    /// Polls the scheduler whenever it asks for it, until the deployment is dropped.
+    /// Polls the scheduler at the times it requests, until the deployment is dropped.
     pub async fn run(this: Weak<Self>) {
         loop {
             let Some(state) = this.upgrade() else { return };
-            let pause = state.poll();
-            let woken = state.woken.clone();
+            let delay = state.poll();
+            let wake_rx = state.wake_rx.clone();
             drop(state);
             let timer = async {
-                Timer::after(pause).await;
+                Timer::after(delay).await;
             };
-            let wake = async {
-                woken.recv().await.ok();
+            let wake_up = async {
+                wake_rx.recv().await.ok();
             };
-            timer.or(wake).await;
+            timer.or(wake_up).await;
         }
     }
 
     fn poll(&self) -> Duration {
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
-        inner.decide(now);
+        inner.poll_and_deliver(now);
         let wakeup = inner.scheduler.next_wakeup(now).unwrap_or(Time::MAX);
-        // At least a millisecond, so that a wake-up in the past can't keep a thread spinning.
-        wakeup.since(now).clamp(Duration::from_millis(1), MAX_PAUSE)
+        // At least a millisecond, so that a wake-up in the past can't cause a busy loop.
+        wakeup.since(now).clamp(Duration::from_millis(1), MAX_POLL_INTERVAL)
     }
 }
 
 impl<S: Scheduler> Inner<S> {
-    fn decide(&mut self, now: Time) {
+    fn poll_and_deliver(&mut self, now: Time) {
         for decision in self.scheduler.poll(now) {
-            self.pass_on(decision);
+            self.deliver(decision);
         }
     }
 
-    fn pass_on(&mut self, decision: Decision) {
+    fn deliver(&mut self, decision: Decision) {
         let request = match &decision {
             Decision::Start(start) => start.request,
             Decision::Fail { request, .. } | Decision::Cancel { request, .. } => *request,
         };
-        let last = matches!(decision, Decision::Fail { .. });
-        if let Some(tx) = self.calls.get(&request)
+        let is_last = matches!(decision, Decision::Fail { .. });
+        if let Some(tx) = self.decision_txs.get(&request)
             && tx.try_send(decision).is_err()
         {
             log::warn!(request = request.0; "decision_lost");
         }
-        if last {
-            self.calls.swap_remove(&request);
+        if is_last {
+            self.decision_txs.swap_remove(&request);
         }
     }
 }
--- a/crates/daemon/src/filter/admission.rs
+++ b/crates/daemon/src/filter/admission.rs
@@ -1,4 +1,4 @@
-//! Offers the request to the deployment's scheduler, which admits it or refuses it at once.
+//! Admission control: the deployment's scheduler admits or refuses each request immediately.
 
 use std::sync::Arc;
 
@@ -8,77 +8,77 @@
 use crate::{
     active::AnyDeployment,
     error::CallError,
-    filter::{Answer, Claim, Handler, Timed, Work},
+    filter::{Answer, CallDetails, Handler, RequestWithDeadline, SharedClaim},
 };
 
-/// An admitted request.
+/// A request that the scheduler has admitted.
 #[derive(Debug)]
-pub struct Admitted {
-    /// The request.
-    pub timed: Timed,
-    /// What the scheduler knows of it.
+pub struct AdmittedRequest {
+    /// The request with its deadline.
+    pub request: RequestWithDeadline,
+    /// The description of the request that the scheduler was given.
     pub spec: Arc<RequestSpec>,
-    /// Its place with the scheduler.
-    pub ticket: Ticket,
-    /// The right to run it, where it may not be repeated.
-    pub claim: Option<Claim>,
+    /// Reports the end of the request to the scheduler.
+    pub guard: AdmissionGuard,
+    /// The ledger's claim, for calls that run at most once; set by the at-most-once filter.
+    pub claim: Option<SharedClaim>,
 }
 
-/// An admitted request's place with the scheduler. Dropping it without [`Ticket::end`] says that
-/// the caller hung up, so that no request can stay admitted for ever.
+/// Reports the end of an admitted request to the scheduler. Dropping it without
+/// [`AdmissionGuard::end`] reports a cancellation, so that no request stays admitted forever.
 #[derive(Debug)]
-pub struct Ticket {
-    /// The deployment.
+pub struct AdmissionGuard {
+    /// The deployment that admitted the request.
     pub deployment: Arc<AnyDeployment>,
-    /// What the scheduler decides about the request.
+    /// The scheduler's decisions about the request, in order.
     pub decisions: Receiver<Decision>,
     spec: Arc<RequestSpec>,
     ended: bool,
 }
 
-impl Ticket {
-    /// Tells the scheduler how the request ended.
+impl AdmissionGuard {
+    /// Reports the request's outcome.
     pub fn end(mut self, outcome: Outcome) {
-        self.tell(outcome);
+        self.report_end(outcome);
     }
 
-    fn tell(&mut self, outcome: Outcome) {
+    fn report_end(&mut self, outcome: Outcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.deployment.observe(Event::Ended { request: self.spec.id, outcome });
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.tell(Outcome::Cancelled);
+        self.report_end(Outcome::Cancelled);
     }
 }
 
-/// Offers requests to their schedulers.
+/// The filter that offers requests to their deployments' schedulers.
 pub struct Admission<N> {
     next: N,
 }
 
 impl<N> Admission<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(next: N) -> Self {
         Admission { next }
     }
 }
 
-impl<N: Handler<Admitted>> Handler<Timed> for Admission<N> {
-    async fn handle(&self, timed: Timed) -> Result<Answer, CallError> {
-        let spec = Arc::new(spec(&timed));
-        let deployment = timed.received.route.deployment.clone();
+impl<N: Handler<AdmittedRequest>> Handler<RequestWithDeadline> for Admission<N> {
+    async fn handle(&self, request: RequestWithDeadline) -> Result<Answer, CallError> {
+        let spec = Arc::new(request_spec(&request));
+        let deployment = request.received.route.deployment.clone();
         let decisions =
-            deployment.offer(spec.clone()).inspect_err(|refusal| note(&spec, refusal))?;
-        let ticket = Ticket { deployment, decisions, spec: spec.clone(), ended: false };
-        self.next.handle(Admitted { timed, spec, ticket, claim: None }).await
+            deployment.offer(spec.clone()).inspect_err(|refusal| log_refusal(&spec, refusal))?;
+        let guard = AdmissionGuard { deployment, decisions, spec: spec.clone(), ended: false };
+        self.next.handle(AdmittedRequest { request, spec, guard, claim: None }).await
     }
 }
 
-fn note(spec: &RequestSpec, refusal: &Refusal) {
+fn log_refusal(spec: &RequestSpec, refusal: &Refusal) {
     let (request, reason) = (spec.id.0, refusal.reason.as_str());
     let Some(forecast) = &refusal.forecast else {
         log::info!(request, reason, prompt = spec.prompt.0; "refused");
@@ -103,8 +103,8 @@
     );
 }
 
-fn spec(timed: &Timed) -> RequestSpec {
-    let received = &timed.received;
+fn request_spec(request: &RequestWithDeadline) -> RequestSpec {
+    let received = &request.received;
     let common = RequestSpec {
         id: received.record.id,
         workspace: received.workspace.clone(),
@@ -112,19 +112,22 @@
         prompt: RequestSpec::SERVICE_CALL_TOKENS,
         max_output: policy::Tokens::ZERO,
         arrived: received.record.arrived,
-        deadline: timed.deadline,
+        deadline: request.deadline,
         first_token_by: None,
         prefix: Vec::new(),
         fingerprint: received.fingerprint,
         repeatable: true,
     };
-    match &received.work {
-        Work::Service(work) => RequestSpec { repeatable: work.repeatable(), ..common },
-        Work::Model(work) => RequestSpec {
-            kind: CallKind::Model(work.model.clone()),
-            prompt: work.scan.prompt.tokens,
-            max_output: work.scan.max_output.unwrap_or(received.route.rules.limits.default_output),
-            prefix: work.scan.prompt.blocks.clone(),
+    match &received.details {
+        CallDetails::Service(details) => RequestSpec { repeatable: details.repeatable(), ..common },
+        CallDetails::Model(details) => RequestSpec {
+            kind: CallKind::Model(details.model.clone()),
+            prompt: details.scan.prompt.tokens,
+            max_output: details
+                .scan
+                .max_output
+                .unwrap_or(received.route.rules.limits.default_output),
+            prefix: details.scan.prompt.block_hashes.clone(),
             ..common
         },
     }
--- a/crates/daemon/src/filter/at_most_once.rs
+++ b/crates/daemon/src/filter/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once. `docs/decisions/ledger.md` says how.
+//! Runs calls that aren't idempotent at most once; `docs/decisions/ledger.md` describes how.
 
 use std::{panic::AssertUnwindSafe, sync::Arc, time::Duration};
 
@@ -6,79 +6,79 @@
 use http_types::StatusCode;
 use policy::{
     Outcome, Refusal, RefusalReason, RunStatus,
-    ledger::{Answer as KeptAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
+    ledger::{Answer as StoredAnswer, CallKey, MAX_ANSWER_BODY_BYTES},
 };
 use protocols::log::http::HttpLog;
 use smol::channel::bounded;
 
 use crate::{
     error::CallError,
-    filter::{Admitted, Answer, Handler, Whole, Work},
+    filter::{AdmittedRequest, Answer, CallDetails, CompleteAnswer, Handler},
     ledger::{ClaimOutcome, ClaimRequest, RunClaim},
     shared::Shared,
 };
 
-/// When to come back after the log was down. Its outages last minutes, but clerks try again soon.
-const COME_BACK: Duration = Duration::from_secs(5);
-/// When to ask again for an outcome that isn't known yet.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// `Retry-After` while the log is unavailable. Its outages last minutes, but people retry sooner.
+const LOG_OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// `Retry-After` while the outcome of an earlier call with the same key is unknown.
+const UNKNOWN_OUTCOME_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A claim that is shared between this filter and the one that sends.
-pub type Claim = Arc<RunClaim<HttpLog>>;
+/// A claim that this filter shares with the dispatch filter, which sends the call.
+pub type SharedClaim = Arc<RunClaim<HttpLog>>;
 
-/// Guards calls that may not be repeated.
+/// The filter that claims a call's key in the ledger before the call is dispatched.
 pub struct AtMostOnce<N> {
     shared: Arc<Shared>,
     next: Arc<N>,
 }
 
 impl<N> AtMostOnce<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         AtMostOnce { shared, next: Arc::new(next) }
     }
 }
 
-impl<N: Handler<Admitted> + 'static> Handler<Admitted> for AtMostOnce<N> {
-    async fn handle(&self, admitted: Admitted) -> Result<Answer, CallError> {
-        let Work::Service(work) = &admitted.timed.received.work else {
+impl<N: Handler<AdmittedRequest> + 'static> Handler<AdmittedRequest> for AtMostOnce<N> {
+    async fn handle(&self, admitted: AdmittedRequest) -> Result<Answer, CallError> {
+        let CallDetails::Service(details) = &admitted.request.received.details else {
             return self.next.handle(admitted).await;
         };
-        if work.repeatable() {
+        if details.repeatable() {
             return self.next.handle(admitted).await;
         }
         let key = call_key(&admitted)?;
         let Some(ledgers) = self.shared.ledgers() else {
-            admitted.ticket.end(Outcome::Cancelled);
-            return Err(log_down());
+            admitted.guard.end(Outcome::Cancelled);
+            return Err(log_unavailable());
         };
         let req = ClaimRequest {
             key: key.clone(),
-            fingerprint: admitted.timed.received.fingerprint,
-            deduplicates: work.rules.as_ref().is_some_and(|rules| rules.deduplicates),
-            deadline: admitted.timed.deadline,
+            fingerprint: admitted.request.received.fingerprint,
+            deduplicates: details.rules.as_ref().is_some_and(|rules| rules.deduplicates),
+            deadline: admitted.request.deadline,
         };
         let outcome = ledgers.ledger_for(&key).claim(req).await;
-        let deployment = &admitted.ticket.deployment.name;
-        self.shared.metrics.once_call(deployment, outcome.name());
+        let deployment = &admitted.guard.deployment.name;
+        self.shared.metrics.record_at_most_once_call(deployment, outcome.name());
         match outcome {
-            ClaimOutcome::Run(claim) => self.run(admitted, claim).await,
+            ClaimOutcome::Run(claim) => self.run_detached(admitted, claim).await,
             other => {
-                admitted.ticket.end(Outcome::Answered);
-                without_run(other)
+                admitted.guard.end(Outcome::Answered);
+                outcome_without_run(other)
             }
         }
     }
 }
 
-impl<N: Handler<Admitted> + 'static> AtMostOnce<N> {
-    /// Runs the call beside the connection.
+impl<N: Handler<AdmittedRequest> + 'static> AtMostOnce<N> {
+    /// Runs the call in a task that outlives the connection.
     ///
-    /// Guards against a caller that hangs up while its call runs and sends it again: the call goes
-    /// on, and the answer is kept for the second time.
-    async fn run(
+    /// Guards against a caller that hangs up while its call runs and then sends it again: the call
+    /// completes, and the stored answer is returned to the repeated call.
+    async fn run_detached(
         &self,
-        mut admitted: Admitted,
+        mut admitted: AdmittedRequest,
         claim: RunClaim<HttpLog>,
     ) -> Result<Answer, CallError> {
         let claim = Arc::new(claim);
@@ -87,27 +87,30 @@
         let next = self.next.clone();
         self.shared.spawn(async move {
             let result = AssertUnwindSafe(next.handle(admitted)).catch_unwind().await;
-            // Where it panicked, dropping the claim marks the outcome.
+            // After a panic, dropping the claim records the outcome.
             let Ok(result) = result else { return };
-            tx.send(settle(claim, result)).await.ok();
+            tx.send(settle_claim(claim, result)).await.ok();
         });
-        rx.recv().await.unwrap_or_else(|_| Err(unknown()))
+        rx.recv().await.unwrap_or_else(|_| Err(outcome_unknown()))
     }
 }
 
-/// Tells the ledger how a call ended, and the caller what the ledger makes true.
-fn settle(claim: Claim, result: Result<Answer, CallError>) -> Result<Answer, CallError> {
-    // The sending filter has dropped its share by now.
-    let claim = Arc::into_inner(claim).ok_or_else(unknown)?;
+/// Records the outcome of a call in the ledger and derives the caller's result from it.
+fn settle_claim(
+    claim: SharedClaim,
+    result: Result<Answer, CallError>,
+) -> Result<Answer, CallError> {
+    // The dispatch filter has dropped its reference by now.
+    let claim = Arc::into_inner(claim).ok_or_else(outcome_unknown)?;
     match result {
-        // Such an answer is no proof that nothing ran, and none that it did.
-        Ok(Answer::Whole(whole)) if whole.status == 429 || whole.status >= 500 => {
+        // Such a status proves neither that the call ran nor that it didn't.
+        Ok(Answer::Complete(answer)) if answer.status == 429 || answer.status >= 500 => {
             claim.mark_unknown();
-            Ok(Answer::Whole(whole))
+            Ok(Answer::Complete(answer))
         }
-        Ok(Answer::Whole(whole)) => {
-            claim.complete(kept(&whole));
-            Ok(Answer::Whole(whole))
+        Ok(Answer::Complete(answer)) => {
+            claim.complete(stored_answer(&answer));
+            Ok(Answer::Complete(answer))
         }
         Ok(stream) => {
             claim.mark_unknown();
@@ -124,18 +127,18 @@
     }
 }
 
-fn kept(whole: &Whole) -> KeptAnswer {
-    let body = std::str::from_utf8(&whole.body).ok();
-    KeptAnswer {
-        status: whole.status,
-        content_type: whole.content_type.clone(),
+fn stored_answer(answer: &CompleteAnswer) -> StoredAnswer {
+    let body = std::str::from_utf8(&answer.body).ok();
+    StoredAnswer {
+        status: answer.status,
+        content_type: answer.content_type.clone(),
         body: body.filter(|body| body.len() <= MAX_ANSWER_BODY_BYTES).map(str::to_owned),
     }
 }
 
-fn call_key(admitted: &Admitted) -> Result<CallKey, CallError> {
-    let received = &admitted.timed.received;
-    let Some(text) = &received.head.idempotency_key else {
+fn call_key(admitted: &AdmittedRequest) -> Result<CallKey, CallError> {
+    let received = &admitted.request.received;
+    let Some(text) = &received.headers.idempotency_key else {
         return Err(CallError::malformed(
             "header `Idempotency-Key` is missing; this call may not be repeated and needs one",
         ));
@@ -145,10 +148,10 @@
         .map_err(|e| CallError::malformed(e.to_string()))
 }
 
-fn without_run(outcome: ClaimOutcome<HttpLog>) -> Result<Answer, CallError> {
+fn outcome_without_run(outcome: ClaimOutcome<HttpLog>) -> Result<Answer, CallError> {
     Err(match outcome {
-        ClaimOutcome::Answer(answer) => return first_answer(answer),
-        ClaimOutcome::Run(_) | ClaimOutcome::Unknown => unknown(),
+        ClaimOutcome::Answer(answer) => return replayed_answer(answer),
+        ClaimOutcome::Run(_) | ClaimOutcome::Unknown => outcome_unknown(),
         ClaimOutcome::BodyDiffers => CallError::caller(
             StatusCode::UnprocessableEntity,
             "key_reused",
@@ -158,15 +161,15 @@
             code: "not_run",
             message: "the call was given up before it was sent, and was not run".to_owned(),
             retry_after: Some(Duration::from_secs(1)),
-            ..log_down()
+            ..log_unavailable()
         },
-        ClaimOutcome::LogDown | ClaimOutcome::Full => log_down(),
+        ClaimOutcome::LogDown | ClaimOutcome::Full => log_unavailable(),
         ClaimOutcome::Behind => CallError {
             message: "the call was not run now, and whether one with its key ran before can't be \
                       looked up"
                 .to_owned(),
             ran: RunStatus::Unknown,
-            ..log_down()
+            ..log_unavailable()
         },
         ClaimOutcome::KeyTooOld => CallError {
             status: StatusCode::UnprocessableEntity,
@@ -183,7 +186,7 @@
     })
 }
 
-fn first_answer(answer: KeptAnswer) -> Result<Answer, CallError> {
+fn replayed_answer(answer: StoredAnswer) -> Result<Answer, CallError> {
     let Some(body) = answer.body else {
         return Err(CallError {
             status: StatusCode::Conflict,
@@ -196,7 +199,7 @@
             retry_after: None,
         });
     };
-    Ok(Answer::Whole(Whole {
+    Ok(Answer::Complete(CompleteAnswer {
         status: answer.status,
         content_type: answer.content_type,
         headers: Vec::new(),
@@ -204,16 +207,16 @@
     }))
 }
 
-fn unknown() -> CallError {
+fn outcome_unknown() -> CallError {
     CallError {
         status: StatusCode::GatewayTimeout,
         code: "outcome_unknown",
         message: "whether the call ran can't be told; it isn't run again".to_owned(),
         ran: RunStatus::Unknown,
-        retry_after: Some(ASK_AGAIN),
+        retry_after: Some(UNKNOWN_OUTCOME_RETRY_AFTER),
     }
 }
 
-fn log_down() -> CallError {
-    Refusal::new(RefusalReason::LogUnavailable, COME_BACK).into()
+fn log_unavailable() -> CallError {
+    Refusal::new(RefusalReason::LogUnavailable, LOG_OUTAGE_RETRY_AFTER).into()
 }
--- a/crates/daemon/src/filter/deadline.rs
+++ b/crates/daemon/src/filter/deadline.rs
@@ -1,4 +1,4 @@
-//! When a request has to have ended.
+//! Sets the deadline of a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,56 +6,59 @@
 
 use crate::{
     error::CallError,
-    filter::{Answer, Handler, Received, Work},
-    server::connection::WRITE_GRACE,
+    filter::{Answer, CallDetails, Handler, ReceivedRequest},
+    server::connection::WRITE_GRACE_PERIOD,
     shared::Shared,
 };
 
-/// A request with its deadline.
+/// A received request together with its deadline.
 #[derive(Debug)]
-pub struct Timed {
-    /// The request.
-    pub received: Received,
-    /// When it has to have ended.
+pub struct RequestWithDeadline {
+    /// The request with its body.
+    pub received: ReceivedRequest,
+    /// When the last byte of the answer is due.
     pub deadline: Time,
 }
 
-/// Sets the deadline: what the caller asks for, else what the route or the deployment says.
+/// The filter that sets the deadline: the caller's `x-deadline-ms`, else the timeout of the route,
+/// else the deployment's default, up to the deployment's maximum.
 pub struct Deadline<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Deadline<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Deadline { shared, next }
     }
 }
 
-impl<N: Handler<Timed>> Handler<Received> for Deadline<N> {
-    async fn handle(&self, received: Received) -> Result<Answer, CallError> {
-        let asked = received.head.deadline.or_else(|| route_timeout(&received.work));
-        let span = received.route.rules.limits.deadline(asked);
-        let deadline = received.record.arrived + span;
+impl<N: Handler<RequestWithDeadline>> Handler<ReceivedRequest> for Deadline<N> {
+    async fn handle(&self, received: ReceivedRequest) -> Result<Answer, CallError> {
+        let requested = received.headers.deadline.or_else(|| route_timeout(&received.details));
+        let time_allowed = received.route.rules.limits.deadline(requested);
+        let deadline = received.record.arrived + time_allowed;
         if deadline <= self.shared.clock.now() {
-            return Err(expired(RunStatus::No));
+            return Err(deadline_error(RunStatus::No));
         }
-        received.conn.cut_at(deadline + WRITE_GRACE);
-        self.next.handle(Timed { received, deadline }).await
+        received.conn.set_cut_time(deadline + WRITE_GRACE_PERIOD);
+        self.next.handle(RequestWithDeadline { received, deadline }).await
     }
 }
 
-/// What a caller hears whose request didn't end in time. It may come back at once: how soon asking
-/// again would succeed, only the scheduler can tell.
-pub(super) fn expired(ran: RunStatus) -> CallError {
+/// The error for a request that missed its deadline. `Retry-After` is the minimum, because only the
+/// scheduler could predict when a retry would succeed.
+pub(super) fn deadline_error(ran: RunStatus) -> CallError {
     let retry_after = Duration::from_secs(1);
     Failure { cause: FailCause::Deadline, ran, retry_after }.into()
 }
 
-fn route_timeout(work: &Work) -> Option<Duration> {
-    match work {
-        Work::Model(_) => None,
-        Work::Service(work) => work.rules.as_ref()?.timeout_ms.map(Duration::from_millis),
+fn route_timeout(details: &CallDetails) -> Option<Duration> {
+    match details {
+        CallDetails::Model(_) => None,
+        CallDetails::Service(details) => {
+            details.rules.as_ref()?.timeout_ms.map(Duration::from_millis)
+        }
     }
 }
--- a/crates/daemon/src/filter/dispatch/assemble.rs
+++ b/crates/daemon/src/filter/dispatch/assemble.rs
@@ -1,4 +1,4 @@
-//! The whole answer for callers who didn't ask for events.
+//! Assembles the JSON answer for callers that didn't ask for a stream.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -9,20 +9,20 @@
 };
 use serde::Serialize;
 
-use crate::filter::{ModelWork, Whole, parse::CHAT};
+use crate::filter::{CompleteAnswer, ModelCallDetails, parse::CHAT_PATH};
 
-/// What was generated so far, over all attempts.
+/// The output generated so far, over all attempts.
 #[derive(Debug, Default)]
-pub(super) struct Output {
-    /// The text.
+pub(super) struct GeneratedOutput {
+    /// The concatenated text of all tokens.
     pub(super) text: String,
-    /// Offset of the next token.
+    /// Offset of the next token, which is the number of tokens received.
     pub(super) offset: u64,
-    /// Where the last token's text begins.
-    pub(super) last: usize,
-    /// Why generation ended, once it has.
+    /// Byte offset in `text` at which the last token's text starts.
+    pub(super) last_token_start: usize,
+    /// The engine's reason for the end of generation, such as `length`, once received.
     pub(super) finish_reason: Option<String>,
-    /// The engine's counts, once known.
+    /// The engine's token counts, once received.
     pub(super) usage: Option<Usage>,
 }
 
@@ -59,33 +59,34 @@
     total_tokens: u64,
 }
 
-impl Output {
-    /// Adds a piece.
+impl GeneratedOutput {
+    /// Appends one token.
     pub(super) fn push(&mut self, piece: Piece) {
         self.offset += 1;
-        self.last = self.text.len();
+        self.last_token_start = self.text.len();
         self.text.push_str(&piece.text);
         self.usage = piece.usage.or(self.usage);
         self.finish_reason = piece.finish_reason.or(self.finish_reason.take());
     }
 
-    /// Where a further attempt goes on; none where nothing has come yet. Where every token has
-    /// come and only the end mark is missing, the last token is asked for again, because an
-    /// engine that has nothing left to generate may refuse.
+    /// The position at which a further attempt resumes; `None` to start from the beginning. Where
+    /// all tokens have been received and only the end mark is missing, the last token is requested
+    /// again, because an engine that has nothing left to generate may refuse the request.
     pub(super) fn resume(&self) -> Option<Resume> {
         match (self.offset, &self.finish_reason) {
             (0, _) => None,
             (1, Some(_)) => None,
-            (offset, Some(_)) => {
-                Some(Resume { from: offset - 1, text: self.text[..self.last].to_owned() })
-            }
+            (offset, Some(_)) => Some(Resume {
+                from: offset - 1,
+                text: self.text[..self.last_token_start].to_owned(),
+            }),
             (offset, None) => Some(Resume { from: offset, text: self.text.clone() }),
         }
     }
 
-    /// The answer as one JSON document.
-    pub(super) fn assemble(&self, id: &str, work: &ModelWork) -> Whole {
-        let chat = work.path == CHAT;
+    /// The answer as one JSON document, in the format of the API that was called.
+    pub(super) fn assemble(&self, id: &str, details: &ModelCallDetails) -> CompleteAnswer {
+        let chat = details.path == CHAT_PATH;
         let text = self.text.as_str();
         let message = chat.then_some(Message { role: "assistant", content: text });
         let choice = Choice {
@@ -95,12 +96,12 @@
             finish_reason: self.finish_reason.as_deref(),
         };
         let prompt_tokens =
-            self.usage.map_or(work.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
+            self.usage.map_or(details.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
         let completion = Completion {
             id,
             object: if chat { "chat.completion" } else { "text_completion" },
             created: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs(),
-            model: work.model.as_str(),
+            model: details.model.as_str(),
             choices: [choice],
             usage: Counts {
                 prompt_tokens,
@@ -108,8 +109,13 @@
                 total_tokens: prompt_tokens + self.offset,
             },
         };
-        // Plain strings and numbers can always be written.
+        // Serializing plain strings and numbers can't fail.
         let body = serde_json::to_vec(&completion).unwrap_or_default();
-        Whole { status: 200, content_type: None, headers: Vec::new(), body: Bytes::from(body) }
+        CompleteAnswer {
+            status: 200,
+            content_type: None,
+            headers: Vec::new(),
+            body: Bytes::from(body),
+        }
     }
 }
--- a/crates/daemon/src/filter/dispatch/driver.rs
+++ b/crates/daemon/src/filter/dispatch/driver.rs
@@ -1,4 +1,4 @@
-//! Follows one completion from its admission to its end.
+//! Drives one completion from its admission to its end.
 
 use std::sync::Arc;
 
@@ -8,118 +8,131 @@
 use protocols::engine::run::FinalAnswer;
 use smol::channel::Sender;
 
-use super::assemble::Output;
+use super::assemble::GeneratedOutput;
 use crate::{
     error::CallError,
-    filter::{Admitted, ModelWork, Ticket, Timed, deadline::expired, relay::Reply},
+    filter::{
+        AdmissionGuard, AdmittedRequest, ModelCallDetails, RequestWithDeadline,
+        deadline::deadline_error, relay::RelayMessage,
+    },
     shared::Shared,
 };
 
-/// Follows one completion.
+/// Carries out the scheduler's decisions about one completion.
 pub(super) struct Driver {
     pub(super) shared: Arc<Shared>,
-    pub(super) timed: Timed,
-    pub(super) ticket: Ticket,
-    pub(super) work: ModelWork,
-    pub(super) replies: Sender<Reply>,
-    pub(super) output: Output,
-    /// Runs sent to engines.
+    pub(super) request: RequestWithDeadline,
+    pub(super) guard: AdmissionGuard,
+    pub(super) details: ModelCallDetails,
+    pub(super) messages: Sender<RelayMessage>,
+    pub(super) output: GeneratedOutput,
+    /// Number of runs sent to engines; an attempt has several if its connection is replaced.
     pub(super) runs: u32,
 }
 
-/// How a completion ended.
+/// The result of a completion.
 #[derive(Debug)]
-pub(super) enum End {
-    /// The answer is whole.
+pub(super) enum RequestEnd {
+    /// The complete answer was generated.
     Finished,
-    /// The engine gave an answer that another would give too.
+    /// An engine refused the request in a way that other engines would repeat, such as a 400.
     Answered(FinalAnswer),
-    /// The scheduler gave it up.
+    /// The scheduler ended the request.
     Failed(Failure),
     /// The deadline has passed.
     Expired,
-    /// The caller is gone.
+    /// The caller closed the connection.
     HungUp,
 }
 
-/// What became of one attempt.
+/// The result of one attempt.
 #[derive(Debug)]
 pub(super) enum AttemptEnd {
-    /// It ended the request.
-    Request(End),
-    /// It failed.
+    /// The attempt ended the request.
+    Request(RequestEnd),
+    /// The attempt failed, and the scheduler decides whether to retry.
     Failed(FailCause),
 }
 
-enum Step {
+enum DriverEvent {
     Attempt(AttemptEnd),
     Decision(Decision),
 }
 
 impl Driver {
-    /// A driver that passes the answer on by `replies`.
+    /// A driver that relays the answer through `messages`.
     pub(super) fn new(
         shared: Arc<Shared>,
-        admitted: Admitted,
-        work: ModelWork,
-        replies: Sender<Reply>,
+        admitted: AdmittedRequest,
+        details: ModelCallDetails,
+        messages: Sender<RelayMessage>,
     ) -> Self {
-        let Admitted { timed, ticket, .. } = admitted;
-        Driver { shared, timed, ticket, work, replies, output: Output::default(), runs: 0 }
+        let AdmittedRequest { request, guard, .. } = admitted;
+        Driver {
+            shared,
+            request,
+            guard,
+            details,
+            messages,
+            output: GeneratedOutput::default(),
+            runs: 0,
+        }
     }
 
-    /// Follows the request to its end. The deadline and the caller's hang-up end it from outside,
-    /// whatever engine and scheduler do or fail to do.
+    /// Runs the request to its end. The deadline and the caller's hang-up end it independently of
+    /// engine and scheduler, even if these hang.
     pub(super) async fn run(mut self) {
-        let (clock, deadline) = (self.shared.clock, self.timed.deadline);
-        let (conn, replies) = (self.timed.received.conn.clone(), self.replies.clone());
-        let late = async {
+        let (clock, deadline) = (self.shared.clock, self.request.deadline);
+        let (conn, messages) = (self.request.received.conn.clone(), self.messages.clone());
+        let deadline_passed = async {
             clock.sleep_until(deadline).await;
-            End::Expired
+            RequestEnd::Expired
         };
         let hung_up = async {
-            conn.hung_up().or(replies.closed()).await;
-            End::HungUp
+            conn.wait_for_hang_up().or(messages.closed()).await;
+            RequestEnd::HungUp
         };
-        let end = self.follow().or(hung_up).or(late).await;
+        let end = self.follow_decisions().or(hung_up).or(deadline_passed).await;
         self.finish(end).await;
     }
 
-    async fn follow(&mut self) -> End {
-        let decisions = self.ticket.decisions.clone();
+    async fn follow_decisions(&mut self) -> RequestEnd {
+        let decisions = self.guard.decisions.clone();
         let mut next = None;
         loop {
             let decision = match next.take() {
                 Some(decision) => decision,
                 None => match decisions.recv().await {
                     Ok(decision) => decision,
-                    // The scheduler has forgotten the request, which only its own fault explains.
-                    Err(_) => return End::Failed(forgotten()),
+                    // The scheduler dropped the request without a decision, which is a bug in it.
+                    Err(_) => return RequestEnd::Failed(scheduler_lost_request()),
                 },
             };
             let start = match decision {
                 Decision::Start(start) => start,
-                Decision::Fail { failure, .. } => return End::Failed(failure),
+                Decision::Fail { failure, .. } => return RequestEnd::Failed(failure),
                 Decision::Cancel { .. } => continue,
             };
-            let attempt = async { Step::Attempt(self.attempt(&start).await) };
+            let attempt = async { DriverEvent::Attempt(self.attempt(&start).await) };
             let decided = async {
                 match decisions.recv().await {
-                    Ok(decision) => Step::Decision(decision),
+                    Ok(decision) => DriverEvent::Decision(decision),
                     Err(_) => std::future::pending().await,
                 }
             };
             match attempt.or(decided).await {
-                Step::Attempt(AttemptEnd::Request(end)) => return end,
-                Step::Attempt(AttemptEnd::Failed(cause)) => self.attempt_failed(&start, cause),
-                Step::Decision(decision) => next = Some(decision),
+                DriverEvent::Attempt(AttemptEnd::Request(end)) => return end,
+                DriverEvent::Attempt(AttemptEnd::Failed(cause)) => {
+                    self.report_attempt_failure(&start, cause)
+                }
+                DriverEvent::Decision(decision) => next = Some(decision),
             }
         }
     }
 
-    fn attempt_failed(&self, start: &Start, cause: FailCause) {
-        self.shared.metrics.attempt_failed(&self.ticket.deployment.name, cause);
-        self.timed.received.record.note(|facts| facts.last_failure = Some(cause));
+    fn report_attempt_failure(&self, start: &Start, cause: FailCause) {
+        self.shared.metrics.record_failed_attempt(&self.guard.deployment.name, cause);
+        self.request.received.record.update(|summary| summary.last_failure = Some(cause));
         log::info!(
             request = start.request.0,
             attempt = start.attempt,
@@ -128,7 +141,7 @@
             passed_on = self.output.offset;
             "attempt_failed"
         );
-        self.ticket.deployment.observe(Event::AttemptFailed {
+        self.guard.deployment.observe(Event::AttemptFailed {
             request: start.request,
             attempt: start.attempt,
             cause,
@@ -136,74 +149,86 @@
         });
     }
 
-    /// Tells the scheduler, the record and the caller, in this order: the scheduler may give the
-    /// place away while a slow caller still takes the last bytes.
-    async fn finish(self, end: End) {
-        let Driver { shared, timed, ticket, work, replies, output, runs } = self;
-        let record = &timed.received.record;
+    /// Reports the end to the scheduler, the record and the caller, in this order, so that the
+    /// scheduler can reuse the capacity while a slow caller still receives the last bytes.
+    async fn finish(self, end: RequestEnd) {
+        let Driver { shared, request, guard, details, messages, output, runs } = self;
+        let record = &request.received.record;
         let ran = match (runs, output.offset) {
             (0, _) => RunStatus::No,
             (_, 0) => RunStatus::Unknown,
             _ => RunStatus::Yes,
         };
-        let (outcome, reply) = match end {
-            End::Finished => {
+        let (outcome, message) = match end {
+            RequestEnd::Finished => {
                 let mut id = String::new();
-                record.note(|facts| {
-                    (facts.outcome, facts.ran) = ("finished", RunStatus::Yes);
-                    id.clone_from(&facts.request_id);
+                record.update(|summary| {
+                    (summary.outcome, summary.ran) = ("finished", RunStatus::Yes);
+                    id.clone_from(&summary.request_id);
                 });
                 let prompt =
-                    output.usage.map_or(work.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
+                    output.usage.map_or(details.scan.prompt.tokens.0, |usage| usage.prompt_tokens);
                 let outcome =
                     Outcome::Finished { prompt: Tokens(prompt), output: Tokens(output.offset) };
-                let reply = match work.scan.stream {
-                    true => Reply::Done,
-                    false => Reply::Whole(output.assemble(&id, &work)),
+                let message = match details.scan.stream {
+                    true => RelayMessage::Done,
+                    false => RelayMessage::Complete(output.assemble(&id, &details)),
                 };
-                (outcome, reply)
+                (outcome, message)
+            }
+            RequestEnd::Answered(answer) => {
+                (Outcome::Answered, RelayMessage::Failed(refused_by_engine(&answer)))
             }
-            End::Answered(answer) => (Outcome::Answered, Reply::Failed(refused(&answer))),
-            End::Failed(failure) => (Outcome::Cancelled, Reply::Failed(failure.into())),
-            End::Expired => (Outcome::Expired, Reply::Failed(expired(ran))),
-            End::HungUp => {
-                record.note(|facts| (facts.outcome, facts.ran) = ("hung_up", ran));
-                return ticket.end(Outcome::Cancelled);
+            RequestEnd::Failed(failure) => {
+                (Outcome::Cancelled, RelayMessage::Failed(failure.into()))
+            }
+            RequestEnd::Expired => (Outcome::Expired, RelayMessage::Failed(deadline_error(ran))),
+            RequestEnd::HungUp => {
+                record.update(|summary| (summary.outcome, summary.ran) = ("hung_up", ran));
+                return guard.end(Outcome::Cancelled);
             }
         };
-        ticket.end(outcome);
-        if let Reply::Failed(e) = &reply {
-            record.note(|facts| (facts.outcome, facts.ran) = (e.code, e.ran));
+        guard.end(outcome);
+        if let RelayMessage::Failed(e) = &message {
+            record.update(|summary| (summary.outcome, summary.ran) = (e.code, e.ran));
         }
-        pass_on(&shared, &timed, &replies, reply).await;
+        send_last_message(&shared, &request, &messages, message).await;
     }
 }
 
-/// Passes the last reply on: at once where there is room, else before the deadline. A caller that
-/// still hasn't made room then is cut, which it can't take for the end of a whole answer.
-async fn pass_on(shared: &Shared, timed: &Timed, replies: &Sender<Reply>, reply: Reply) {
-    let Err(smol::channel::TrySendError::Full(reply)) = replies.try_send(reply) else { return };
+/// Sends the last message, waiting until the deadline while the queue is full. A caller that hasn't
+/// read enough by then is disconnected, which it can't mistake for the end of a complete answer.
+async fn send_last_message(
+    shared: &Shared,
+    request: &RequestWithDeadline,
+    messages: &Sender<RelayMessage>,
+    message: RelayMessage,
+) {
+    let Err(smol::channel::TrySendError::Full(message)) = messages.try_send(message) else {
+        return;
+    };
     let send = async {
-        // A caller that is gone needs no reply.
-        replies.send(reply).await.ok();
+        // Sending fails only if the caller has hung up.
+        messages.send(message).await.ok();
     };
-    send.or(shared.clock.sleep_until(timed.deadline)).await;
+    send.or(shared.clock.sleep_until(request.deadline)).await;
 }
 
-fn forgotten() -> Failure {
+fn scheduler_lost_request() -> Failure {
     let retry_after = std::time::Duration::from_secs(1);
     Failure { cause: FailCause::NoEndpoint, ran: RunStatus::Unknown, retry_after }
 }
 
-/// The most of an engine's own words that an error repeats.
-const WORDS: usize = 1_000;
+/// Maximum number of characters of an engine's error message that are quoted to the caller.
+const MAX_ENGINE_MESSAGE_CHARS: usize = 1_000;
 
-fn refused(answer: &FinalAnswer) -> CallError {
-    let words: String = String::from_utf8_lossy(&answer.body).chars().take(WORDS).collect();
+fn refused_by_engine(answer: &FinalAnswer) -> CallError {
+    let engine_message: String =
+        String::from_utf8_lossy(&answer.body).chars().take(MAX_ENGINE_MESSAGE_CHARS).collect();
     CallError {
         status: StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway),
         code: "refused_by_engine",
-        message: format!("the engine refused the request: {words}"),
+        message: format!("the engine refused the request: {engine_message}"),
         ran: RunStatus::Unknown,
         retry_after: None,
     }
--- a/crates/daemon/src/filter/parse.rs
+++ b/crates/daemon/src/filter/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a request: what it asks for, and the headers that govern it.
+//! Parses the head of a request: its target and the headers that the daemon evaluates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,43 +8,43 @@
 
 use crate::{
     error::CallError,
-    filter::{Answer, Handler, Inbound},
+    filter::{Answer, Handler, InboundRequest},
     record::CallRecord,
     server::{connection::Connection, respond::REQUEST_ID, router},
     shared::{Shared, Stage},
 };
 
-/// The longest accepted `Idempotency-Key`, `traceparent` and `x-request-id`. They are kept, logged
-/// and passed on.
-const MAX_TEXT: usize = 256;
+/// Maximum length of `Idempotency-Key`, `traceparent` and `x-request-id`. Their values are stored,
+/// logged and forwarded.
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
-/// When to come back after meeting an instance that is stopping or has no configuration yet. The
-/// balancer has others, so this need not outlast the stop.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `Retry-After` of an instance that is stopping or has no configuration yet. The load balancer
+/// sends the retry to another instance, so the delay need not outlast the stop.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Headers that are passed on to plain services.
-const PASSED_ON: [&str; 6] =
+/// Request headers that are forwarded to plain services.
+const FORWARDED_HEADERS: [&str; 6] =
     ["accept", "accept-language", "content-type", "idempotency-key", "traceparent", "tracestate"];
 
-/// A request whose head was read.
+/// A request whose head has been parsed.
 #[derive(Debug)]
-pub struct Parsed {
-    /// What it asks for.
-    pub target: Target,
-    /// The headers that govern it.
-    pub head: Head,
-    /// Its body, unread.
+pub struct ParsedRequest {
+    /// The completion or service that it calls.
+    pub target: RequestTarget,
+    /// The headers that the daemon evaluates.
+    pub headers: RequestHeaders,
+    /// The body as an unread stream.
     pub body: Body,
-    /// Its connection.
+    /// The caller's connection.
     pub conn: Arc<Connection>,
-    /// Its record.
+    /// Collects the data for the request's log entry and metrics.
     pub record: Arc<CallRecord>,
 }
 
-/// What a request asks for.
+/// The completion or service that a request calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Target {
-    /// A completion at this path.
+pub enum RequestTarget {
+    /// A completion, with the path of its API.
     Model(&'static str),
     /// A call to a plain service.
     Service(ServiceTarget),
@@ -53,65 +53,66 @@
 /// A call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceTarget {
-    /// The endpoint group.
+    /// The endpoint group, from the path's second segment.
     pub group: EndpointGroup,
-    /// The method.
+    /// The HTTP method; only those that `parse_service_target` allows.
     pub method: Method,
-    /// The path within the service, without query.
+    /// The path below `/services/<group>`, without the query.
     pub path: String,
-    /// The query, if any.
+    /// The query string without `?`.
     pub query: Option<String>,
-    /// Headers to be passed on.
+    /// The headers to forward.
     pub headers: Vec<Header>,
 }
 
-/// The headers that govern a request.
+/// The headers that the daemon evaluates.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Head {
-    /// The key of `Authorization: Bearer`.
+pub struct RequestHeaders {
+    /// The key from `Authorization: Bearer`.
     pub bearer: Option<String>,
-    /// `x-deadline-ms`.
+    /// `x-deadline-ms`: the time allowed from the arrival of the head.
     pub deadline: Option<Duration>,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key`, 1 to 256 bytes.
     pub idempotency_key: Option<String>,
-    /// `traceparent`.
+    /// `traceparent`, forwarded to engines unchanged.
     pub traceparent: Option<String>,
 }
 
-/// The path for chat.
-pub(super) const CHAT: &str = "/v1/chat/completions";
-/// The path for plain completions.
-pub(super) const COMPLETIONS: &str = "/v1/completions";
+/// The path of the chat completions API.
+pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
+/// The path of the text completions API.
+pub(super) const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// Reads the head.
+/// The filter that parses the head.
 pub struct Parse<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Parse<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Parse { shared, next }
     }
 }
 
-impl<N: Handler<Parsed>> Handler<Inbound> for Parse<N> {
-    async fn handle(&self, mut inbound: Inbound) -> Result<Answer, CallError> {
+impl<N: Handler<ParsedRequest>> Handler<InboundRequest> for Parse<N> {
+    async fn handle(&self, mut inbound: InboundRequest) -> Result<Answer, CallError> {
         check_framing(&inbound.req)?;
-        check_stage(&self.shared)?;
-        let target = target(&inbound.req)?;
-        let head = head(&inbound.req)?;
+        check_accepts_requests(&self.shared)?;
+        let target = parse_target(&inbound.req)?;
+        let headers = request_headers(&inbound.req)?;
         let body = inbound.req.take_body();
         let (conn, record) = (inbound.conn, inbound.record);
-        self.next.handle(Parsed { target, head, body, conn, record }).await
+        self.next.handle(ParsedRequest { target, headers, body, conn, record }).await
     }
 }
 
-/// Refuses heads whose body could end in two places.
+/// Refuses requests with ambiguous body framing.
 ///
-/// The failure: this daemon and a proxy in front of it disagree where a body ends, and what one
-/// takes for body the other takes for the next caller's request. The answer closes the connection.
+/// Guards against request smuggling: this daemon and a proxy in front of it disagree where a body
+/// ends, and one of them parses a part of the body as the next caller's request. The error answer
+/// closes the connection.
 fn check_framing(req: &Request) -> Result<(), CallError> {
     if req.header("content-length").is_some_and(|values| values.iter().count() > 1) {
         return Err(CallError::malformed("header `content-length` stands twice"));
@@ -123,9 +124,9 @@
     Ok(())
 }
 
-fn check_stage(shared: &Shared) -> Result<(), CallError> {
+fn check_accepts_requests(shared: &Shared) -> Result<(), CallError> {
     if shared.stage() == Stage::Refusing {
-        let refusal = Refusal::new(RefusalReason::Stopping, COME_BACK);
+        let refusal = Refusal::new(RefusalReason::Stopping, RETRY_AFTER);
         return Err(refusal.into());
     }
     if shared.active().version == Version(0) {
@@ -134,40 +135,40 @@
             code: "not_ready",
             message: "this instance has no configuration yet".to_owned(),
             ran: RunStatus::No,
-            retry_after: Some(COME_BACK),
+            retry_after: Some(RETRY_AFTER),
         });
     }
     Ok(())
 }
 
-fn target(req: &Request) -> Result<Target, CallError> {
+fn parse_target(req: &Request) -> Result<RequestTarget, CallError> {
     let path = req.url().path();
     if let Some(rest) = path.strip_prefix("/services/") {
-        return service_target(req, rest).map(Target::Service);
+        return parse_service_target(req, rest).map(RequestTarget::Service);
     }
     let path = match path {
-        CHAT => CHAT,
-        COMPLETIONS => COMPLETIONS,
-        _ => return Err(router::not_found(path)),
+        CHAT_PATH => CHAT_PATH,
+        COMPLETIONS_PATH => COMPLETIONS_PATH,
+        _ => return Err(router::not_found_error(path)),
     };
     match req.method() {
-        Method::Post => Ok(Target::Model(path)),
-        method => Err(bad_method(method, path)),
+        Method::Post => Ok(RequestTarget::Model(path)),
+        method => Err(method_not_allowed(method, path)),
     }
 }
 
-fn service_target(req: &Request, rest: &str) -> Result<ServiceTarget, CallError> {
+fn parse_service_target(req: &Request, rest: &str) -> Result<ServiceTarget, CallError> {
     let (group, path) = rest.split_once('/').unwrap_or((rest, ""));
     let group = group
         .parse()
         .map_err(|e| CallError::malformed(format!("path, after `/services/`: {e}")))?;
     let method = req.method();
-    // Others, such as HEAD, have answers without a body of the stated length.
-    let passed = [Method::Get, Method::Post, Method::Put, Method::Patch, Method::Delete];
-    if !passed.contains(&method) {
-        return Err(bad_method(method, req.url().path()));
+    // Answers to other methods, such as HEAD, may lack the body that `content-length` announces.
+    let allowed = [Method::Get, Method::Post, Method::Put, Method::Patch, Method::Delete];
+    if !allowed.contains(&method) {
+        return Err(method_not_allowed(method, req.url().path()));
     }
-    let headers = PASSED_ON.into_iter().filter_map(|name| {
+    let headers = FORWARDED_HEADERS.into_iter().filter_map(|name| {
         let value = text_header(req, name)?;
         Some(Header { name: name.to_owned(), value: value.to_owned() })
     });
@@ -180,21 +181,21 @@
     })
 }
 
-fn bad_method(method: Method, path: &str) -> CallError {
+fn method_not_allowed(method: Method, path: &str) -> CallError {
     let message = format!("`{method}` isn't served at `{path}`");
     CallError::caller(StatusCode::MethodNotAllowed, "method_not_allowed", message)
 }
 
-fn head(req: &Request) -> Result<Head, CallError> {
-    Ok(Head {
+fn request_headers(req: &Request) -> Result<RequestHeaders, CallError> {
+    Ok(RequestHeaders {
         bearer: super::workspace::bearer(req),
-        deadline: deadline(req)?,
+        deadline: parse_deadline(req)?,
         idempotency_key: bounded_header(req, "idempotency-key")?,
         traceparent: bounded_header(req, "traceparent")?,
     })
 }
 
-fn deadline(req: &Request) -> Result<Option<Duration>, CallError> {
+fn parse_deadline(req: &Request) -> Result<Option<Duration>, CallError> {
     let Some(text) = text_header(req, "x-deadline-ms") else { return Ok(None) };
     let millis: u64 = text.parse().ok().filter(|millis| *millis > 0).ok_or_else(|| {
         let text: String = text.chars().take(32).collect();
@@ -208,18 +209,21 @@
 
 fn bounded_header(req: &Request, name: &'static str) -> Result<Option<String>, CallError> {
     let Some(text) = text_header(req, name) else { return Ok(None) };
-    if text.is_empty() || text.len() > MAX_TEXT {
-        let message =
-            format!("header `{name}`: expected 1 to {MAX_TEXT} bytes, found {}", text.len());
+    if text.is_empty() || text.len() > MAX_HEADER_VALUE_BYTES {
+        let message = format!(
+            "header `{name}`: expected 1 to {MAX_HEADER_VALUE_BYTES} bytes, found {}",
+            text.len()
+        );
         return Err(CallError::malformed(message));
     }
     Ok(Some(text.to_owned()))
 }
 
-/// The caller's own id for the request, where it gives a usable one.
+/// The caller's `x-request-id`, if it is printable ASCII within the length limit.
 pub(crate) fn request_id(req: &Request) -> Option<String> {
     let text = text_header(req, REQUEST_ID)?;
-    let usable = (1..=MAX_TEXT).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+    let usable = (1..=MAX_HEADER_VALUE_BYTES).contains(&text.len())
+        && text.bytes().all(|b| b.is_ascii_graphic());
     usable.then(|| text.to_owned())
 }
 
--- a/crates/daemon/src/filter/receive.rs
+++ b/crates/daemon/src/filter/receive.rs
@@ -1,4 +1,4 @@
-//! Reads the body within its limits and finds out what the request needs.
+//! Reads the body within its limits and looks up the deployment that serves the request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,141 +10,146 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::{
-    active::{Active, Route},
-    budget::Share,
+    active::{ActiveConfig, Route},
+    budget::BodyPermit,
     error::CallError,
     filter::{
-        Answer, Handler, Head, Parsed, Target,
-        parse::{CHAT, ServiceTarget},
-        scan::{PromptMember, Scan, scan},
-        workspace::Identified,
+        Answer, Handler, ParsedRequest, RequestHeaders, RequestTarget,
+        parse::{CHAT_PATH, ServiceTarget},
+        scan::{PromptMember, ScannedBody, scan},
+        workspace::IdentifiedRequest,
     },
     record::CallRecord,
     server::connection::Connection,
     shared::Shared,
 };
 
-/// How long a body may take to come in. A million tokens over a slow office line take seconds;
-/// one that takes longer than this is a broken or hostile upload.
+/// Timeout for receiving a body. A million tokens over a slow office line take seconds; an upload
+/// that takes longer than this is broken or hostile.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How much is read before others get their turn on the thread.
-const READ_STEP: usize = 256 << 10;
+/// Bytes read before the task yields its thread to others.
+const READ_CHUNK_BYTES: usize = 256 << 10;
 
-/// Bodies above this are scanned on a thread of their own: at about a gigabyte a second, this
-/// much holds up the other requests of a thread by a tenth of a millisecond.
-const SCAN_INLINE: usize = 64 << 10;
+/// Larger bodies are scanned on the blocking thread pool. At about a gigabyte per second, a body of
+/// this size delays the other requests of a thread by a tenth of a millisecond.
+const MAX_INLINE_SCAN_BYTES: usize = 64 << 10;
 
-/// A request that came in whole.
+/// A request whose body has been received.
 #[derive(Debug)]
-pub struct Received {
-    /// What it needs.
-    pub work: Work,
-    /// Its deployment.
+pub struct ReceivedRequest {
+    /// The completion or service call, parsed.
+    pub details: CallDetails,
+    /// The deployment that serves it.
     pub route: Route,
-    /// Whose it is.
+    /// The workspace that its key belongs to.
     pub workspace: Workspace,
-    /// The headers that govern it.
-    pub head: Head,
-    /// Its body as it came.
+    /// The headers that the daemon evaluates.
+    pub headers: RequestHeaders,
+    /// The body, unchanged.
     pub body: Bytes,
-    /// Its part of the bytes that may be held at once.
-    pub share: Share,
+    /// The body's share of the instance's memory budget for bodies.
+    pub body_permit: BodyPermit,
     /// Hash of the prompt, or of path and body for a plain service.
     pub fingerprint: Fingerprint,
-    /// The configuration it began with.
-    pub active: Arc<Active>,
-    /// Its connection.
+    /// The configuration in force when the request was identified.
+    pub active: Arc<ActiveConfig>,
+    /// The caller's connection.
     pub conn: Arc<Connection>,
-    /// Its record.
+    /// Collects the data for the request's log entry and metrics.
     pub record: Arc<CallRecord>,
 }
 
-/// What a request needs.
+/// The parsed call, by kind.
 #[derive(Debug, Clone)]
-pub enum Work {
-    /// A completion.
-    Model(ModelWork),
+pub enum CallDetails {
+    /// A completion by a model.
+    Model(ModelCallDetails),
     /// A call to a plain service.
-    Service(ServiceWork),
+    Service(ServiceCallDetails),
 }
 
-/// A completion.
+/// A completion by a model.
 #[derive(Debug, Clone)]
-pub struct ModelWork {
-    /// Its path.
+pub struct ModelCallDetails {
+    /// The path of its API, which the engine serves under the same name.
     pub path: &'static str,
-    /// The model.
+    /// The model that the body names.
     pub model: Model,
-    /// What else the body says.
-    pub scan: Scan,
+    /// The other members of the body that the daemon evaluates.
+    pub scan: ScannedBody,
 }
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
-pub struct ServiceWork {
-    /// What is called.
+pub struct ServiceCallDetails {
+    /// Group, method, path and headers of the call.
     pub target: ServiceTarget,
-    /// The rules of its route, if any.
+    /// The configured rules of its route; `None` where no route matches the path.
     pub rules: Option<RouteRules>,
 }
 
-impl ServiceWork {
-    /// Whether the call is idempotent.
+impl ServiceCallDetails {
+    /// Whether the call is idempotent. Calls without a configured route are.
     pub fn repeatable(&self) -> bool {
         self.rules.as_ref().is_none_or(|rules| rules.repeatable)
     }
 }
 
-/// Reads the body.
+/// The filter that reads the body.
 pub struct Receive<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Receive<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Receive { shared, next }
     }
 }
 
-impl<N: Handler<Received>> Handler<Identified> for Receive<N> {
-    async fn handle(&self, identified: Identified) -> Result<Answer, CallError> {
-        let Identified { parsed, workspace, active } = identified;
-        let Parsed { target, head, body, conn, record } = parsed;
+impl<N: Handler<ReceivedRequest>> Handler<IdentifiedRequest> for Receive<N> {
+    async fn handle(&self, identified: IdentifiedRequest) -> Result<Answer, CallError> {
+        let IdentifiedRequest { parsed, workspace, active } = identified;
+        let ParsedRequest { target, headers, body, conn, record } = parsed;
         let max = self.shared.settings.max_body;
         check_size(&body, max)?;
-        let mut share = self.shared.bodies.take(body.len().unwrap_or(max)).ok_or_else(full)?;
-        let body = read(body, max).await?;
-        share.shrink(body.len());
-        let (work, route, fingerprint) = match target {
-            Target::Model(path) => {
+        let mut body_permit = self
+            .shared
+            .body_budget
+            .try_acquire(body.len().unwrap_or(max))
+            .ok_or_else(body_budget_exhausted)?;
+        let body = read_body(body, max).await?;
+        body_permit.shrink_to(body.len());
+        let (details, route, fingerprint) = match target {
+            RequestTarget::Model(path) => {
                 let scan = scan_body(path, body.clone()).await?;
-                let model = model(&scan)?;
-                let route = active.model_route(&model).cloned().ok_or_else(|| unknown(&model))?;
+                let model = parse_model(&scan)?;
+                let route =
+                    active.model_route(&model).cloned().ok_or_else(|| unknown_model(&model))?;
                 let fingerprint = scan.prompt.fingerprint;
-                (Work::Model(ModelWork { path, model, scan }), route, fingerprint)
+                (CallDetails::Model(ModelCallDetails { path, model, scan }), route, fingerprint)
             }
-            Target::Service(target) => {
+            RequestTarget::Service(target) => {
                 let route = active.service_route(&target.group).cloned();
-                let route = route.ok_or_else(|| unknown_group(&target))?;
+                let route = route.ok_or_else(|| unknown_service(&target))?;
                 let rules = route.rules.route(&target.path).cloned();
                 let fingerprint = fingerprint(&target.path, &body);
-                (Work::Service(ServiceWork { target, rules }), route, fingerprint)
+                (CallDetails::Service(ServiceCallDetails { target, rules }), route, fingerprint)
             }
         };
-        record.note(|facts| {
-            facts.deployment = Some(route.deployment.name.clone());
-            facts.prompt = prompt(&work);
+        record.update(|summary| {
+            summary.deployment = Some(route.deployment.name.clone());
+            summary.prompt = prompt_tokens(&details);
         });
-        let received = Received {
-            work,
+        let received = ReceivedRequest {
+            details,
             route,
             workspace,
-            head,
+            headers,
             body,
-            share,
+            body_permit,
             fingerprint,
             active,
             conn,
@@ -154,7 +159,7 @@
     }
 }
 
-fn full() -> CallError {
+fn body_budget_exhausted() -> CallError {
     CallError {
         status: StatusCode::ServiceUnavailable,
         code: "busy",
@@ -164,13 +169,13 @@
     }
 }
 
-async fn read(body: Body, max: usize) -> Result<Bytes, CallError> {
-    let limit = async {
+async fn read_body(body: Body, max: usize) -> Result<Bytes, CallError> {
+    let timeout = async {
         Timer::after(BODY_TIMEOUT).await;
         let message = "the body didn't come in time";
         Err(CallError::caller(StatusCode::RequestTimeout, "body_timeout", message))
     };
-    let bytes = read_all(body, max).or(limit).await?;
+    let bytes = read_all(body, max).or(timeout).await?;
     if bytes.len() > max {
         return Err(too_large(max));
     }
@@ -189,17 +194,17 @@
     CallError::caller(StatusCode::PayloadTooLarge, "body_too_large", message)
 }
 
-/// Reads at most one byte more than `max`.
+/// Reads at most `max + 1` bytes, so that the caller can detect a body that is too large.
 async fn read_all(body: Body, max: usize) -> Result<Bytes, CallError> {
-    let broken = |_| CallError::malformed("the body broke off or isn't framed as the head says");
+    let malformed = |_| CallError::malformed("the body broke off or isn't framed as the head says");
     let expected = body.len();
     let mut bytes = Vec::with_capacity(expected.unwrap_or(0).min(max));
     let mut body = body.take(max as u64 + 1);
     loop {
         let before = bytes.len();
-        let mut step = (&mut body).take(READ_STEP as u64);
-        step.read_to_end(&mut bytes).await.map_err(broken)?;
-        if bytes.len() - before < READ_STEP {
+        let mut step = (&mut body).take(READ_CHUNK_BYTES as u64);
+        step.read_to_end(&mut bytes).await.map_err(malformed)?;
+        if bytes.len() - before < READ_CHUNK_BYTES {
             break;
         }
         yield_now().await;
@@ -210,11 +215,11 @@
     Ok(bytes.into())
 }
 
-async fn scan_body(path: &'static str, body: Bytes) -> Result<Scan, CallError> {
-    let member = if path == CHAT { PromptMember::Messages } else { PromptMember::Prompt };
-    let inline = body.len() <= SCAN_INLINE;
-    let work = move || scan(&body, member);
-    let scanned = if inline { work() } else { smol::unblock(work).await };
+async fn scan_body(path: &'static str, body: Bytes) -> Result<ScannedBody, CallError> {
+    let member = if path == CHAT_PATH { PromptMember::Messages } else { PromptMember::Prompt };
+    let inline = body.len() <= MAX_INLINE_SCAN_BYTES;
+    let scan_task = move || scan(&body, member);
+    let scanned = if inline { scan_task() } else { smol::unblock(scan_task).await };
     scanned.map_err(CallError::malformed)
 }
 
@@ -222,23 +227,23 @@
     Fingerprint(xxh3_128(body) ^ xxh3_128(path.as_bytes()))
 }
 
-fn model(scan: &Scan) -> Result<Model, CallError> {
+fn parse_model(scan: &ScannedBody) -> Result<Model, CallError> {
     Model::new(&scan.model).map_err(|e| CallError::malformed(format!("member `model`: {e}")))
 }
 
-fn unknown(model: &Model) -> CallError {
+fn unknown_model(model: &Model) -> CallError {
     let message = format!("member `model`: no deployment serves `{model}`");
     CallError::caller(StatusCode::NotFound, "unknown_model", message)
 }
 
-fn unknown_group(target: &ServiceTarget) -> CallError {
+fn unknown_service(target: &ServiceTarget) -> CallError {
     let message = format!("path: no plain service is called `{}`", target.group);
     CallError::caller(StatusCode::NotFound, "unknown_service", message)
 }
 
-fn prompt(work: &Work) -> Tokens {
-    match work {
-        Work::Model(work) => work.scan.prompt.tokens,
-        Work::Service(_) => Tokens::ZERO,
+fn prompt_tokens(details: &CallDetails) -> Tokens {
+    match details {
+        CallDetails::Model(details) => details.scan.prompt.tokens,
+        CallDetails::Service(_) => Tokens::ZERO,
     }
 }
--- a/crates/daemon/src/filter/relay.rs
+++ b/crates/daemon/src/filter/relay.rs
@@ -1,7 +1,8 @@
-//! Passes an answer on to the caller, event by event or whole.
+//! Relays an answer to the caller, as events or as one document.
 //!
-//! The channel between the driver and the caller's connection is short, so that a slow caller
-//! slows only its own stream: the driver stops reading, and then the engine stops sending.
+//! The channel between the driver and the caller's connection is bounded, so that back-pressure
+//! from a slow caller slows only its own stream: the driver stops reading, and the engine stops
+//! sending.
 
 use std::{
     io,
@@ -15,62 +16,66 @@
 use protocols::engine::wire::DONE;
 use smol::channel::Receiver;
 
-use crate::{error::CallError, filter::Whole, record::CallRecord};
+use crate::{error::CallError, filter::CompleteAnswer, record::CallRecord};
 
-/// Events that may wait for a slow caller. About a second of a fast model.
-pub const WAITING_EVENTS: usize = 64;
+/// Maximum number of events queued for a slow caller: about a second of a fast model's output.
+pub const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What a driver passes on.
+/// A message from a request's driver to the caller's connection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
-    /// The content of one event.
+pub enum RelayMessage {
+    /// The data of one server-sent event.
     Event(Bytes),
-    /// Every event was passed on.
+    /// All events have been sent.
     Done,
-    /// The whole answer.
-    Whole(Whole),
-    /// There won't be a whole answer.
+    /// The complete answer, for callers that didn't ask for a stream.
+    Complete(CompleteAnswer),
+    /// The request failed; no complete answer follows.
     Failed(CallError),
 }
 
-/// A body of server-sent events. It ends well only after [`Reply::Done`] or [`Reply::Failed`];
-/// where the driver is gone without either, reading fails and the connection is cut, so that an
-/// answer that isn't whole never looks whole.
+/// A body of server-sent events. It ends normally only after [`RelayMessage::Done`] or
+/// [`RelayMessage::Failed`]. Where the driver ends without either, reading fails and the connection
+/// is cut, so that a truncated answer never looks complete.
 #[derive(Debug)]
 pub struct EventBody {
-    replies: Pin<Box<Receiver<Reply>>>,
+    messages: Pin<Box<Receiver<RelayMessage>>>,
     frame: Bytes,
     ended: bool,
-    // Keeps a stopping instance from closing before the last byte is read.
+    // Keeps a stopping instance from exiting before the last byte is read.
     _record: Arc<CallRecord>,
 }
 
 impl EventBody {
-    /// A body that begins with `first` and goes on with `replies`.
-    pub fn new(first: &Reply, replies: Receiver<Reply>, record: Arc<CallRecord>) -> Self {
+    /// A body that starts with `first`, followed by `messages`.
+    pub fn new(
+        first: &RelayMessage,
+        messages: Receiver<RelayMessage>,
+        record: Arc<CallRecord>,
+    ) -> Self {
         let mut body = EventBody {
-            replies: Box::pin(replies),
+            messages: Box::pin(messages),
             frame: Bytes::new(),
             ended: false,
             _record: record,
         };
-        body.take(first);
+        body.set_frame(first);
         body
     }
 
-    fn take(&mut self, reply: &Reply) {
-        self.frame = match reply {
-            Reply::Event(data) => frame(None, data),
-            Reply::Done => frame(None, DONE.as_bytes()),
-            Reply::Failed(e) => frame(Some("error"), &e.to_json()),
-            Reply::Whole(whole) => frame(None, &whole.body),
+    fn set_frame(&mut self, message: &RelayMessage) {
+        self.frame = match message {
+            RelayMessage::Event(data) => encode_event(None, data),
+            RelayMessage::Done => encode_event(None, DONE.as_bytes()),
+            RelayMessage::Failed(e) => encode_event(Some("error"), &e.to_json()),
+            RelayMessage::Complete(answer) => encode_event(None, &answer.body),
         };
-        self.ended = !matches!(reply, Reply::Event(_));
+        self.ended = !matches!(message, RelayMessage::Event(_));
     }
 }
 
-/// One server-sent event.
-pub fn frame(event: Option<&str>, data: &[u8]) -> Bytes {
+/// Encodes one server-sent event. Each line of `data` gets a `data:` field of its own.
+pub fn encode_event(event: Option<&str>, data: &[u8]) -> Bytes {
     let mut buf = BytesMut::with_capacity(data.len() + 32);
     if let Some(event) = event {
         buf.put_slice(b"event: ");
@@ -90,8 +95,8 @@
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         while this.frame.is_empty() && !this.ended {
-            match ready!(this.replies.as_mut().poll_next(cx)) {
-                Some(reply) => this.take(&reply),
+            match ready!(this.messages.as_mut().poll_next(cx)) {
+                Some(message) => this.set_frame(&message),
                 None => return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
             }
         }
--- a/crates/daemon/src/filter/workspace.rs
+++ b/crates/daemon/src/filter/workspace.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by its bearer key.
+//! Identifies the workspace of a request by its bearer key.
 
 use std::sync::Arc;
 
@@ -6,47 +6,47 @@
 use policy::Workspace;
 
 use crate::{
-    active::Active,
+    active::ActiveConfig,
     error::CallError,
-    filter::{Answer, Handler, Parsed, parse::text_header},
+    filter::{Answer, Handler, ParsedRequest, parse::text_header},
     shared::Shared,
 };
 
-/// A request whose workspace is known. This comes before the body is read, so that nobody without
-/// a key can make an instance hold megabytes.
+/// A request whose workspace has been identified. This precedes reading the body, so that callers
+/// without a valid key can't make an instance buffer megabytes.
 #[derive(Debug)]
-pub struct Identified {
-    /// The request.
-    pub parsed: Parsed,
-    /// Whose it is.
+pub struct IdentifiedRequest {
+    /// The request, with its body unread.
+    pub parsed: ParsedRequest,
+    /// The workspace that its key belongs to.
     pub workspace: Workspace,
-    /// The configuration it began with.
-    pub active: Arc<Active>,
+    /// The configuration in force when the request was identified.
+    pub active: Arc<ActiveConfig>,
 }
 
-/// Finds the workspace.
+/// The filter that identifies the workspace.
 pub struct Identify<N> {
     shared: Arc<Shared>,
     next: N,
 }
 
 impl<N> Identify<N> {
-    /// Passes on to `next`.
+    /// Creates the filter in front of `next`.
     pub fn new(shared: Arc<Shared>, next: N) -> Self {
         Identify { shared, next }
     }
 }
 
-impl<N: Handler<Identified>> Handler<Parsed> for Identify<N> {
-    async fn handle(&self, parsed: Parsed) -> Result<Answer, CallError> {
+impl<N: Handler<IdentifiedRequest>> Handler<ParsedRequest> for Identify<N> {
+    async fn handle(&self, parsed: ParsedRequest) -> Result<Answer, CallError> {
         let active = self.shared.active();
-        let workspace = identify(&active, parsed.head.bearer.as_deref())?;
-        parsed.record.note(|facts| facts.workspace = Some(workspace.clone()));
-        self.next.handle(Identified { parsed, workspace, active }).await
+        let workspace = identify(&active, parsed.headers.bearer.as_deref())?;
+        parsed.record.update(|summary| summary.workspace = Some(workspace.clone()));
+        self.next.handle(IdentifiedRequest { parsed, workspace, active }).await
     }
 }
 
-/// The key of `Authorization: Bearer`, if any.
+/// The key from `Authorization: Bearer`; `None` for other schemes.
 pub fn bearer(req: &Request) -> Option<String> {
     let (scheme, key) = text_header(req, "authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim().to_owned())
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// 401 for a missing or unknown key.
-pub fn identify(active: &Active, key: Option<&str>) -> Result<Workspace, CallError> {
+pub fn identify(active: &ActiveConfig, key: Option<&str>) -> Result<Workspace, CallError> {
     let unauthorized =
         |message| CallError::caller(StatusCode::Unauthorized, "unauthorized", message);
     let key = key.ok_or_else(|| {
--- a/crates/daemon/src/peer/count.rs
+++ b/crates/daemon/src/peer/count.rs
@@ -1,4 +1,4 @@
-//! Counts what a mesh sends and receives.
+//! Traffic counters of a mesh.
 
 use std::{
     io,
@@ -14,52 +14,52 @@
 
 use crate::peer::Traffic;
 
-/// The counters of one mesh.
+/// Counters shared by all links of a mesh.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    sent: AtomicU64,
-    received: AtomicU64,
-    pub(super) links_made: AtomicU64,
-    pub(super) links_silent: AtomicU64,
+    sent_bytes: AtomicU64,
+    received_bytes: AtomicU64,
+    pub(super) links_established: AtomicU64,
+    pub(super) links_timed_out: AtomicU64,
 }
 
 impl Counters {
     pub(super) fn read(&self) -> Traffic {
         Traffic {
-            sent: self.sent.load(Relaxed),
-            received: self.received.load(Relaxed),
-            links_made: self.links_made.load(Relaxed),
-            links_silent: self.links_silent.load(Relaxed),
+            sent_bytes: self.sent_bytes.load(Relaxed),
+            received_bytes: self.received_bytes.load(Relaxed),
+            links_established: self.links_established.load(Relaxed),
+            links_timed_out: self.links_timed_out.load(Relaxed),
         }
     }
 }
 
-/// A stream whose bytes are counted.
-pub(super) struct Counted<S> {
+/// Wraps a stream and counts the bytes read and written.
+pub(super) struct CountedStream<S> {
     pub(super) stream: S,
     pub(super) counters: Arc<Counters>,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.counters.received.fetch_add(len as u64, Relaxed);
+        self.counters.received_bytes.fetch_add(len as u64, Relaxed);
         Poll::Ready(Ok(len))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.counters.sent.fetch_add(len as u64, Relaxed);
+        self.counters.sent_bytes.fetch_add(len as u64, Relaxed);
         Poll::Ready(Ok(len))
     }
 
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be sent over one link, bounded.
+//! The bounded send queue of a link.
 
 use std::{
     collections::VecDeque,
@@ -13,30 +13,30 @@
 use policy::{Deployment, LoadDigest, digest};
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::peer::compact::PartOfLoad;
+use crate::peer::compact::LoadPart;
 
-/// The most packets that wait for one peer. Two seconds of a burst of quarantine and endpoint
-/// news; a peer that is farther behind gets a new link, which begins with the whole state.
-const MAX_WAITING: usize = 256;
+/// Packets that may wait for one peer: two seconds of a burst of quarantine and endpoint updates. A
+/// peer that is further behind gets a new link, which starts with the complete state.
+const MAX_QUEUED_PACKETS: usize = 256;
 
-/// The most bytes that wait for one peer: a few configurations.
-const MAX_BYTES: usize = 16 << 20;
+/// Bytes that may wait for one peer: a few configurations.
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// The peer doesn't take what is sent: the link has to be closed and made anew. Dropping single
-/// packets instead would leave the two ends with different views for good.
+/// The peer reads too slowly, so the link has to be closed and dialled again. Dropping single
+/// packets instead would leave the two ends with permanently different views.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Overflow;
 
-/// What the writer of a link gets to send.
-pub(super) enum Item {
+/// An entry for the writer of a link to send.
+pub(super) enum OutboxItem {
     /// An encoded packet.
     Packet(Bytes),
-    /// A part of the load, to be encoded with the link's names.
-    Load(Box<PartOfLoad>),
+    /// A part of a load digest, to be encoded with the names interned on the link.
+    Load(Box<LoadPart>),
 }
 
-/// The queue of one link. Load digests that wait are merged into one for each deployment, so that
-/// a slow link sends the newest load instead of a history of it.
+/// The send queue of a link. Load digests that wait are merged into one per deployment, so that a
+/// slow link sends the newest load rather than its history.
 pub(super) struct Outbox {
     pending: Mutex<Pending>,
     closing: AtomicBool,
@@ -61,7 +61,9 @@
     /// Queues an encoded packet.
     pub(super) fn push(&self, packet: Bytes) -> Result<(), Overflow> {
         let mut pending = self.lock();
-        if pending.packets.len() >= MAX_WAITING || pending.bytes + packet.len() > MAX_BYTES {
+        if pending.packets.len() >= MAX_QUEUED_PACKETS
+            || pending.bytes + packet.len() > MAX_QUEUED_BYTES
+        {
             return Err(Overflow);
         }
         pending.bytes += packet.len();
@@ -70,18 +72,18 @@
         Ok(())
     }
 
-    /// Takes the packets that still wait for a link which this one replaces. Its load isn't taken:
-    /// a new link begins with the whole.
-    pub(super) fn take_over(&self, old: &Outbox) {
-        let mut old = old.lock();
+    /// Moves the packets that still wait on a replaced link to this one. Its load digests are
+    /// dropped, because a new link starts with the complete digest.
+    pub(super) fn take_packets_of(&self, replaced: &Outbox) {
+        let mut replaced = replaced.lock();
         let mut pending = self.lock();
-        pending.bytes += std::mem::take(&mut old.bytes);
-        pending.packets.append(&mut old.packets);
-        old.loads.clear();
+        pending.bytes += std::mem::take(&mut replaced.bytes);
+        pending.packets.append(&mut replaced.packets);
+        replaced.loads.clear();
         self.wake();
     }
 
-    /// Queues a part of the load, on top of one that still waits.
+    /// Queues a part of a load digest, merged into one that still waits.
     pub(super) fn push_load(&self, deployment: &Deployment, part: &LoadDigest) {
         let mut pending = self.lock();
         match pending.loads.get_mut(deployment) {
@@ -93,38 +95,39 @@
         self.wake();
     }
 
-    /// Lets the writer end once all is sent.
+    /// Ends the writer once everything has been sent.
     pub(super) fn finish(&self) {
         self.closing.store(true, Ordering::Release);
         self.wake();
     }
 
-    /// What to send next; none once all is sent and the link is to end.
-    pub(super) async fn next(&self) -> Option<Item> {
+    /// Waits for the next entry to send; `None` once everything has been sent and the link is
+    /// closing.
+    pub(super) async fn next(&self) -> Option<OutboxItem> {
         loop {
-            if let Some(item) = self.take() {
+            if let Some(item) = self.try_next() {
                 return Some(item);
             }
             if self.closing.load(Ordering::Acquire) {
                 return None;
             }
-            // The sender lives as long as `self`, so this can't fail.
+            // The sender is owned by `self`, so this can't fail.
             self.wake_rx.recv().await.ok();
         }
     }
 
-    fn take(&self) -> Option<Item> {
+    fn try_next(&self) -> Option<OutboxItem> {
         let mut pending = self.lock();
         if let Some(packet) = pending.packets.pop_front() {
             pending.bytes -= packet.len();
-            return Some(Item::Packet(packet));
+            return Some(OutboxItem::Packet(packet));
         }
         let (deployment, part) = pending.loads.pop()?;
-        Some(Item::Load(Box::new(PartOfLoad { deployment, part })))
+        Some(OutboxItem::Load(Box::new(LoadPart { deployment, part })))
     }
 
     fn wake(&self) {
-        // A full channel means that the writer is woken already.
+        // A full channel means that the writer has been woken already.
         self.wake_tx.try_send(()).ok();
     }
 
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -1,7 +1,7 @@
-//! Tells in the log when an instance becomes ready, and what it waits for until then.
+//! Logs when an instance becomes ready, and what it waits for until then.
 //!
-//! Guards against a start that fails without a reason: an instance that isn't ready in time looks
-//! the same whether it hears nothing of the log, of its peers or of an endpoint.
+//! Guards against starts that fail without a visible reason: an instance that isn't ready in time
+//! looks the same whether the log, its peers or an endpoint doesn't answer.
 
 use std::{
     sync::Weak,
@@ -10,30 +10,32 @@
 
 use smol::Timer;
 
-use crate::shared::{Shared, Unready};
+use crate::shared::{Shared, UnreadyReason};
 
-/// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+/// Interval between two readiness checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When it is told first what the instance waits for; then each time after twice as long.
-const FIRST_TOLD: Duration = Duration::from_secs(1);
+/// Time after the start of the first `not_ready` warning; it doubles with each further one.
+const FIRST_WARNING_AFTER: Duration = Duration::from_secs(1);
 
-/// Watches a start to its end.
+/// Runs until the instance is ready or stops.
 pub(crate) async fn watch(shared: Weak<Shared>) {
     let started = Instant::now();
-    let mut told_at = FIRST_TOLD;
+    let mut next_warning_after = FIRST_WARNING_AFTER;
     loop {
-        let Some(unready) = shared.upgrade().map(|shared| shared.unready()) else { return };
+        let Some(unready_reason) = shared.upgrade().map(|shared| shared.unready_reason()) else {
+            return;
+        };
         let since_ms = started.elapsed().as_millis() as u64;
-        match unready {
+        match unready_reason {
             None => return log::info!(since_ms; "ready"),
-            Some(Unready::Stopping) => return,
-            Some(why) if started.elapsed() >= told_at => {
-                log::warn!(since_ms, cause:% = why; "not_ready");
-                told_at *= 2;
+            Some(UnreadyReason::Stopping) => return,
+            Some(reason) if started.elapsed() >= next_warning_after => {
+                log::warn!(since_ms, cause:% = reason; "not_ready");
+                next_warning_after *= 2;
             }
             Some(_) => {}
         }
-        Timer::after(LOOK_PERIOD).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -1,4 +1,4 @@
-//! One request's entry in the log and the metrics, written when the last part of it has ended.
+//! A request's log entry and metrics, written when the last task that works on it has ended.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,61 +6,61 @@
 
 use crate::{clock::Clock, endpoint::lock, metrics::Metrics};
 
-/// What is known of a request by now.
+/// The data of a request's log entry, filled in as the request proceeds.
 #[derive(Debug, Clone)]
-pub struct Facts {
-    /// The request's id as the caller sees it.
+pub struct RequestSummary {
+    /// The value of `x-request-id`, the caller's or a generated one.
     pub request_id: String,
-    /// Whose it is, once known.
+    /// The caller's workspace, once identified.
     pub workspace: Option<Workspace>,
-    /// Where it belongs, once known.
+    /// The deployment that serves the request, once known.
     pub deployment: Option<Deployment>,
-    /// Its estimated prompt, or the engine's count once that is known.
+    /// The prompt's estimated length; zero for plain services.
     pub prompt: Tokens,
-    /// Tokens passed on.
+    /// Number of tokens received from engines, each counted once.
     pub output: Tokens,
-    /// Attempts begun.
+    /// Number of runs started on endpoints.
     pub attempts: u32,
-    /// Where the last attempt ran.
+    /// The endpoint of the last attempt.
     pub endpoint: Option<EndpointId>,
-    /// Why the last failed attempt failed.
+    /// The cause of the last failed attempt.
     pub last_failure: Option<FailCause>,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first_token: Option<Time>,
-    /// HTTP status of the answer; zero where the caller hung up before there was one.
+    /// HTTP status of the answer; zero if the caller hung up before there was one.
     pub status: u16,
-    /// `finished`, or the error's code.
+    /// `finished`, another end such as `hung_up`, or the code of the error.
     pub outcome: &'static str,
-    /// Whether it was run.
+    /// Whether the request ran on an endpoint.
     pub ran: RunStatus,
 }
 
-/// Follows one request. It is shared by all that work on the request; the last of them to let go
-/// of it writes the entry.
+/// Collects the data of one request. All tasks that work on the request share the record; dropping
+/// the last reference writes the log entry and the metrics.
 #[derive(Debug)]
 pub struct CallRecord {
-    /// The request's number in this instance's life.
+    /// The request's number, unique within this incarnation of the instance.
     pub id: RequestId,
-    /// When its head had come in.
+    /// When the head had been received.
     pub arrived: Time,
     clock: Clock,
     metrics: Arc<Metrics>,
-    facts: Mutex<Facts>,
-    _open: Arc<()>,
+    summary: Mutex<RequestSummary>,
+    _in_flight_token: Arc<()>,
 }
 
 impl CallRecord {
-    /// The record of a request that came in just now. It holds `open` for as long as the request
-    /// is under way.
+    /// The record of a request that has just arrived. It keeps `in_flight_token` until the request
+    /// has ended, so that the instance can count its requests in flight.
     pub fn new(
         id: RequestId,
         request_id: String,
         clock: Clock,
         metrics: Arc<Metrics>,
-        open: Arc<()>,
+        in_flight_token: Arc<()>,
     ) -> Self {
-        metrics.under_way.add(1, &[]);
-        let facts = Facts {
+        metrics.requests_in_flight.add(1, &[]);
+        let summary = RequestSummary {
             request_id,
             workspace: None,
             deployment: None,
@@ -75,38 +75,45 @@
             ran: RunStatus::No,
         };
         let arrived = clock.now();
-        CallRecord { id, arrived, clock, metrics, facts: Mutex::new(facts), _open: open }
+        CallRecord {
+            id,
+            arrived,
+            clock,
+            metrics,
+            summary: Mutex::new(summary),
+            _in_flight_token: in_flight_token,
+        }
     }
 
-    /// The request's id as the caller sees it.
+    /// The value of `x-request-id`.
     pub fn request_id(&self) -> String {
-        lock(&self.facts).request_id.clone()
+        lock(&self.summary).request_id.clone()
     }
 
-    /// Adds to what is known.
-    pub fn note(&self, change: impl FnOnce(&mut Facts)) {
-        change(&mut lock(&self.facts));
+    /// Updates the data under the record's lock.
+    pub fn update(&self, change: impl FnOnce(&mut RequestSummary)) {
+        change(&mut lock(&self.summary));
     }
 }
 
 impl Drop for CallRecord {
     fn drop(&mut self) {
-        let facts = lock(&self.facts).clone();
+        let summary = lock(&self.summary).clone();
         let total = self.clock.now().since(self.arrived);
-        let first = facts.first_token.map(|time| time.since(self.arrived));
-        self.metrics.under_way.add(-1, &[]);
-        self.metrics.request_ended(&facts, first, total);
+        let first = summary.first_token.map(|time| time.since(self.arrived));
+        self.metrics.requests_in_flight.add(-1, &[]);
+        self.metrics.record_request(&summary, first, total);
         log::info!(
-            id = facts.request_id.as_str(),
-            workspace = facts.workspace.as_ref().map_or("-", Workspace::as_str),
-            deployment = facts.deployment.as_ref().map_or("-", Deployment::as_str),
-            status = facts.status,
-            outcome = facts.outcome,
-            ran:? = facts.ran,
-            prompt = facts.prompt.0,
-            output = facts.output.0,
-            attempts = facts.attempts,
-            endpoint = facts.endpoint.as_ref().map_or("-", EndpointId::as_str),
+            id = summary.request_id.as_str(),
+            workspace = summary.workspace.as_ref().map_or("-", Workspace::as_str),
+            deployment = summary.deployment.as_ref().map_or("-", Deployment::as_str),
+            status = summary.status,
+            outcome = summary.outcome,
+            ran:? = summary.ran,
+            prompt = summary.prompt.0,
+            output = summary.output.0,
+            attempts = summary.attempts,
+            endpoint = summary.endpoint.as_ref().map_or("-", EndpointId::as_str),
             first_token_ms = first.map_or(-1.0, |first| first.as_secs_f64() * 1000.0),
             total_ms = total.as_secs_f64() * 1000.0;
             "request"
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated, over a log that fails in every way it may.
+//! Guards against calls that run twice or get a false outcome while the log fails in each way it
+//! can.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,20 +18,25 @@
 use standin::{AppendFault, LogConfig, LogService, Outage};
 
 const STREAM: &str = "ledger-0";
-const PATIENCE: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One instance's ledger on a thread of its own, which ends with it.
-struct Node {
+/// The ledger of one instance, run by its own thread until this value is dropped.
+struct TestInstance {
     ledger: Ledger<HttpLog>,
     clock: Clock,
     _stop: smol::channel::Sender<()>,
 }
 
-fn node(log: &LogService, name: &str, life: u64) -> Node {
-    node_with(log, name, life, Duration::from_secs(3_600))
+fn start_instance(log: &LogService, name: &str, incarnation: u64) -> TestInstance {
+    start_instance_with(log, name, incarnation, Duration::from_secs(3_600))
 }
 
-fn node_with(log: &LogService, name: &str, life: u64, log_retention: Duration) -> Node {
+fn start_instance_with(
+    log: &LogService,
+    name: &str,
+    incarnation: u64,
+    log_retention: Duration,
+) -> TestInstance {
     let clock = Clock::start();
     let cfg = LedgerConfig {
         stream: STREAM.to_owned(),
@@ -38,7 +44,7 @@
         log_retention,
     };
     let instance = InstanceId::new(name).unwrap();
-    let writer = Writer { instance, incarnation: Incarnation(life) };
+    let writer = Writer { instance, incarnation: Incarnation(incarnation) };
     let ledger = Ledger::new(HttpLog::new(log.address()), cfg, writer, clock);
     let (stop, stopped) = bounded::<()>(1);
     let running = ledger.clone();
@@ -47,10 +53,10 @@
             stopped.recv().await.ok();
         }));
     });
-    Node { ledger, clock, _stop: stop }
+    TestInstance { ledger, clock, _stop: stop }
 }
 
-impl Node {
+impl TestInstance {
     fn claim_for(&self, key: &str, body: u128, wait: Duration) -> ClaimOutcome<HttpLog> {
         let workspace = Workspace::new("desk").unwrap();
         let group = EndpointGroup::new("register").unwrap();
@@ -63,18 +69,18 @@
     }
 
     fn claim(&self, key: &str) -> ClaimOutcome<HttpLog> {
-        self.claim_for(key, 1, PATIENCE)
+        self.claim_for(key, 1, CALL_TIMEOUT)
     }
 
     fn wait_ready(&self) {
-        until(|| self.ledger.is_ready());
+        wait_until(|| self.ledger.is_ready());
     }
 }
 
-fn until(mut done: impl FnMut() -> bool) {
-    let end = std::time::Instant::now() + PATIENCE;
+fn wait_until(mut done: impl FnMut() -> bool) {
+    let end = std::time::Instant::now() + CALL_TIMEOUT;
     while !done() {
-        assert!(std::time::Instant::now() < end, "it never came");
+        assert!(std::time::Instant::now() < end, "the condition was not met in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -83,14 +89,14 @@
     Answer { status: 201, content_type: None, body: Some(text.to_owned()) }
 }
 
-fn won(outcome: ClaimOutcome<HttpLog>) -> RunClaim<HttpLog> {
+fn expect_run(outcome: ClaimOutcome<HttpLog>) -> RunClaim<HttpLog> {
     match outcome {
         ClaimOutcome::Run(claim) => claim,
-        other => panic!("expected the right to run, got {}", name(&other)),
+        other => panic!("expected the right to run, got {}", describe(&other)),
     }
 }
 
-fn name(outcome: &ClaimOutcome<HttpLog>) -> String {
+fn describe(outcome: &ClaimOutcome<HttpLog>) -> String {
     match outcome {
         ClaimOutcome::Run(_) => "run".to_owned(),
         ClaimOutcome::Answer(answer) => format!("answer {}", answer.body.as_deref().unwrap_or("")),
@@ -105,39 +111,39 @@
     }
 }
 
-fn run(node: &Node, key: &str, text: &str) {
-    let claim = won(node.claim(key));
+fn run(instance: &TestInstance, key: &str, text: &str) {
+    let claim = expect_run(instance.claim(key));
     assert!(claim.try_begin_sending());
     claim.complete(answer(text));
 }
 
-/// A clerk's answer is lost, the clerk sends again, and the balancer picks another instance.
+/// An answer is lost, and the caller's retry reaches another instance.
 #[test]
 fn a_call_sent_again_gets_the_first_answer_from_any_instance() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
     run(&a, "k", "entered");
-    assert_eq!(name(&a.claim("k")), "answer entered");
-    assert_eq!(name(&b.claim("k")), "answer entered");
-    assert_eq!(name(&b.claim_for("k", 2, PATIENCE)), "body differs");
+    assert_eq!(describe(&a.claim("k")), "answer entered");
+    assert_eq!(describe(&b.claim("k")), "answer entered");
+    assert_eq!(describe(&b.claim_for("k", 2, CALL_TIMEOUT)), "body differs");
 }
 
-/// Two instances get the same call at once, twenty times over. One of them runs it, and the other
+/// Two instances receive the same call concurrently, twenty times. One runs it, and the other
 /// caller waits for its answer.
 #[test]
 fn of_two_instances_one_runs_the_call() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let nodes = Arc::new([node(&log, "a", 1), node(&log, "b", 1)]);
+    let instances = Arc::new([start_instance(&log, "a", 1), start_instance(&log, "b", 1)]);
     for round in 0..20 {
         let tasks = [0, 1].map(|i| {
-            let nodes = nodes.clone();
-            thread::spawn(move || match nodes[i].claim(&format!("k{round}")) {
+            let instances = instances.clone();
+            thread::spawn(move || match instances[i].claim(&format!("k{round}")) {
                 ClaimOutcome::Run(claim) => {
                     assert!(claim.try_begin_sending());
                     claim.complete(answer("x"));
                     "run".to_owned()
                 }
-                other => name(&other),
+                other => describe(&other),
             })
         });
         let mut outcomes = tasks.map(|task| task.join().unwrap());
@@ -146,19 +152,20 @@
     }
 }
 
-/// The log takes the claim and its answer is lost; the claim is appended again.
+/// The append of a claim fails in the given way; the claim is appended again and the call runs
+/// once.
 macro_rules! append_faults {
     ($($case:ident: $fault:expr;)*) => {$(
         #[test]
         fn $case() {
             let log = LogService::start(LogConfig::default()).unwrap();
-            let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
+            let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
             a.wait_ready();
             log.plan_fault(STREAM, $fault);
             run(&a, "k", "x");
-            assert_eq!(name(&b.claim("k")), "answer x");
+            assert_eq!(describe(&b.claim("k")), "answer x");
             run(&a, "k2", "y");
-            assert_eq!(name(&b.claim("k2")), "answer y");
+            assert_eq!(describe(&b.claim("k2")), "answer y");
         }
     )*};
 }
@@ -170,87 +177,87 @@
     an_append_that_is_refused_once: AppendFault::Refuse;
 }
 
-/// The instance that runs a call dies, and comes back under its old name. Nobody can tell whether
-/// the call ran, and it isn't run again.
+/// The instance that runs a call crashes and restarts under the same name. Whether the call ran
+/// can't be determined, so it isn't run again.
 #[test]
 fn a_call_whose_claimant_died_stays_unknown() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    let claim = won(a.claim("k"));
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    let claim = expect_run(a.claim("k"));
     assert!(claim.try_begin_sending());
     std::mem::forget(claim);
     drop(a);
-    let a = node(&log, "a", 2);
-    for node in [&a, &b] {
+    let a = start_instance(&log, "a", 2);
+    for instance in [&a, &b] {
         let wait = Duration::from_millis(300);
-        assert_eq!(name(&node.claim_for("k", 1, wait)), "unknown");
+        assert_eq!(describe(&instance.claim_for("k", 1, wait)), "unknown");
     }
 }
 
-/// A caller hangs up before anything was sent, and sends again: the call may run, once.
+/// A caller disconnects before anything was sent, and retries: the call may run, once.
 #[test]
 fn a_call_given_up_before_it_was_sent_may_run_later() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    assert_eq!(won(a.claim("k")).abandon(), RunStatus::No);
-    until(|| match b.claim_for("k", 1, PATIENCE) {
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    assert_eq!(expect_run(a.claim("k")).abandon(), RunStatus::No);
+    wait_until(|| match b.claim_for("k", 1, CALL_TIMEOUT) {
         ClaimOutcome::Run(claim) => {
             assert!(claim.try_begin_sending());
             claim.complete(answer("x"));
             true
         }
-        // It had come before the first caller's "not run" stood in the log.
+        // The call arrived before the first caller's "not run" was in the log.
         ClaimOutcome::NotRun => false,
-        other => panic!("{}", name(&other)),
+        other => panic!("{}", describe(&other)),
     });
-    assert_eq!(name(&a.claim("k")), "answer x");
+    assert_eq!(describe(&a.claim("k")), "answer x");
 }
 
-/// Two callers send one registration at once; the one that runs it gives up before it has sent
-/// anything and says so. The other one, which had waited, must not run it now.
+/// Two callers send one registration concurrently. The claimant is abandoned before it has sent
+/// anything, and its caller is told "not run". The call that waited for it must not run any more.
 #[test]
 fn a_call_that_waited_hears_not_run_as_well() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let (a, b) = (node(&log, "a", 1), node(&log, "b", 1));
-    let claim = won(a.claim("k"));
-    // The second one knows of the first before it comes.
-    until(|| b.ledger.key_count() == 1);
+    let (a, b) = (start_instance(&log, "a", 1), start_instance(&log, "b", 1));
+    let claim = expect_run(a.claim("k"));
+    // The second instance has read the first claim before its call arrives.
+    wait_until(|| b.ledger.key_count() == 1);
     let b = Arc::new(b);
     let second = b.clone();
-    let waiting = thread::spawn(move || name(&second.claim("k")));
-    until(|| b.ledger.waiting_calls() == 1);
+    let waiting = thread::spawn(move || describe(&second.claim("k")));
+    wait_until(|| b.ledger.waiting_calls() == 1);
     assert_eq!(claim.abandon(), RunStatus::No);
     assert_eq!(waiting.join().unwrap(), "not run");
     run(&b, "k", "x");
 }
 
-/// The holder of a claim is paused past its caller's deadline and wakes up.
+/// The holder of a claim is paused until after its caller's deadline and resumes.
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let a = node(&log, "a", 1);
+    let a = start_instance(&log, "a", 1);
     a.wait_ready();
-    let claim = won(a.claim_for("k", 1, Duration::from_millis(500)));
+    let claim = expect_run(a.claim_for("k", 1, Duration::from_millis(500)));
     thread::sleep(Duration::from_millis(600));
     assert!(!claim.try_begin_sending());
 }
 
-/// The log is down: calls are refused at once and truthfully, answers already known are given, and
-/// calls run again once it is back.
+/// While the log is down, calls are refused immediately with a true outcome, and known answers are
+/// returned. Calls run again once it is back.
 #[test]
 fn a_log_outage_refuses_calls_at_once() {
     let log = LogService::start(LogConfig::default()).unwrap();
-    let a = node(&log, "a", 1);
+    let a = start_instance(&log, "a", 1);
     run(&a, "before", "x");
     for outage in [Outage::Refuses, Outage::Silent] {
         log.set_outage(outage);
-        let first = name(&a.claim("during"));
-        // An append that stays silent may have taken effect.
+        let first = describe(&a.claim("during"));
+        // An append without a reply may have taken effect.
         let expected = if outage == Outage::Refuses { "log down" } else { "unknown" };
         assert_eq!(first, expected);
-        until(|| !a.ledger.is_ready());
-        assert_eq!(name(&a.claim("during too")), "log down");
-        assert_eq!(name(&a.claim("before")), "answer x");
+        wait_until(|| !a.ledger.is_ready());
+        assert_eq!(describe(&a.claim("during too")), "log down");
+        assert_eq!(describe(&a.claim("before")), "answer x");
         log.set_outage(Outage::Up);
         a.wait_ready();
     }
@@ -258,28 +265,28 @@
     run(&a, "during", "z");
 }
 
-/// An instance that starts while the log is down knows nothing of earlier calls, and says so.
+/// An instance that starts while the log is down doesn't know earlier calls and must report that.
 #[test]
 fn an_instance_that_has_read_nothing_never_says_not_run() {
     let log = LogService::start(LogConfig::default()).unwrap();
     log.set_outage(Outage::Refuses);
-    let a = node(&log, "a", 1);
-    assert_eq!(name(&a.claim("k")), "behind");
+    let a = start_instance(&log, "a", 1);
+    assert_eq!(describe(&a.claim("k")), "behind");
 }
 
-/// The log drops all but a few records, a checkpoint among them. An instance that starts now still
-/// gives the first answer.
+/// The log drops all but its latest records, which include a checkpoint. An instance that starts
+/// now still returns the first answer.
 #[test]
 fn a_trimmed_log_loses_no_answer() {
     let cfg = LogConfig { keep: 60, ..LogConfig::default() };
     let log = LogService::start(cfg).unwrap();
-    let a = node_with(&log, "a", 1, Duration::from_millis(400));
+    let a = start_instance_with(&log, "a", 1, Duration::from_millis(400));
     run(&a, "first", "x");
     for i in 0..120 {
         run(&a, &format!("k{i}"), "y");
     }
-    let b = node(&log, "b", 1);
-    assert_eq!(name(&b.claim("first")), "answer x");
+    let b = start_instance(&log, "b", 1);
+    assert_eq!(describe(&b.claim("first")), "answer x");
     run(&b, "k", "z");
-    assert_eq!(name(&a.claim("k")), "answer z");
+    assert_eq!(describe(&a.claim("k")), "answer z");
 }
--- a/crates/daemon/tests/parsers.rs
+++ b/crates/daemon/tests/parsers.rs
@@ -1,14 +1,14 @@
-//! The parsers of what callers send, whatever they send.
+//! Property tests of the parsers for callers' input.
 
 use daemon::{
     filter::scan::{PromptMember, scan},
-    server::stream::HeadGuard,
+    server::stream::HeadValidator,
 };
 use policy::{Tokens, prompt::PromptHasher};
 use quickcheck::quickcheck;
 
-/// What hashing the decoded text gives.
-fn digest(texts: &[String]) -> policy::prompt::PromptDigest {
+/// The digest of the decoded texts, hashed directly.
+fn digest(texts: &[String]) -> policy::prompt::HashedPrompt {
     let mut hasher = PromptHasher::new();
     texts.iter().for_each(|text| hasher.update(text.as_bytes()));
     hasher.finish()
@@ -48,21 +48,21 @@
 
     fn a_head_passes_if_it_is_ascii(head: Vec<u8>, step: u8) -> bool {
         let head: Vec<u8> = head.into_iter().filter(|byte| *byte != b'\r').collect();
-        let mut guard = HeadGuard::default();
-        guard.arm();
-        let passed = head.chunks(usize::from(step).max(1)).all(|bytes| guard.check(bytes));
+        let mut validator = HeadValidator::default();
+        validator.reset();
+        let passed = head.chunks(usize::from(step).max(1)).all(|bytes| validator.check(bytes));
         passed == head.iter().all(|byte| byte.is_ascii() && *byte != 0)
     }
 
     fn a_body_behind_a_head_passes(body: Vec<u8>, step: u8) -> bool {
-        let mut guard = HeadGuard::default();
-        guard.arm();
+        let mut validator = HeadValidator::default();
+        validator.reset();
         let all = [b"POST / HTTP/1.1\r\nhost: h\r\n\r\n", &body[..]].concat();
-        all.chunks(usize::from(step).max(1)).all(|bytes| guard.check(bytes))
+        all.chunks(usize::from(step).max(1)).all(|bytes| validator.check(bytes))
     }
 }
 
-/// The character as JSON may write it in plain ASCII.
+/// The character as an ASCII-only JSON encoder writes it.
 fn escaped(c: char) -> String {
     if c.is_ascii() {
         return c.to_string();
--- a/crates/policy/src/routes/keys.rs
+++ b/crates/policy/src/routes/keys.rs
@@ -1,22 +1,22 @@
-//! Whose key is whose.
+//! API keys and the workspaces they belong to.
 
 use indexmap::IndexMap;
 
 use crate::Workspace;
 
-/// What a key stands for.
+/// The workspace and priority that an API key grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owner {
-    /// The workspace that holds it.
+pub struct KeyOwner {
+    /// The workspace that the key belongs to.
     pub workspace: Workspace,
-    /// The workspace's rank, which goes before the route's.
+    /// Priority of the workspace, which takes precedence over the route's; zero is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// All keys of one version of the configuration.
+/// The API keys of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KeyTable {
-    owners: IndexMap<String, Owner>,
+    owners: IndexMap<String, KeyOwner>,
     required: bool,
 }
 
@@ -26,18 +26,18 @@
         KeyTable { owners: IndexMap::new(), required: true }
     }
 
-    /// Whether requests need a key.
+    /// Whether requests to routes that aren't public need a key.
     pub fn is_required(&self) -> bool {
         self.required
     }
 
-    /// Adds a key.
-    pub fn insert(&mut self, key: String, owner: Owner) {
+    /// Adds a key, or replaces its owner.
+    pub fn insert(&mut self, key: String, owner: KeyOwner) {
         self.owners.insert(key, owner);
     }
 
-    /// Whose key this is.
-    pub fn owner(&self, key: &str) -> Option<&Owner> {
+    /// The owner of `key`, or `None` if the key is unknown.
+    pub fn owner(&self, key: &str) -> Option<&KeyOwner> {
         self.owners.get(key)
     }
 }
--- a/crates/policy/tests/ledger_model/world.rs
+++ b/crates/policy/tests/ledger_model/world.rs
@@ -1,5 +1,5 @@
-//! The world of the search: a log that loses answers and lets appends surface late, two instances
-//! that crash and restart, an endpoint, and callers that send one key again.
+//! Transitions of the search: a log that loses replies and applies appends late, two instances that
+//! crash and restart, an endpoint, and callers that repeat one key.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -14,40 +14,41 @@
 
 use crate::state::{Call, InFlight, Instance, Node, State, writer};
 
-/// How calls are kept from running twice.
+/// The protocol that prevents a call from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Protocol {
-    /// As the daemon does it.
+    /// The daemon's protocol.
     Claim,
-    /// A claim lapses after a time. (The fold's rule for endpoints that deduplicate, used on one
-    /// that doesn't.)
+    /// A claim expires after a time. (This uses the fold's rule for endpoints that deduplicate on
+    /// one that doesn't.)
     Lease,
-    /// Look whether it ran, run it, note it.
+    /// Check whether the call ran, then run it and record it.
     CheckThenRun,
-    /// As the daemon does it, but a call given up before its claim is read back hears "not run".
-    HastyRefusal,
+    /// The daemon's protocol, but a call that is abandoned before its claim is read back is
+    /// reported as "not run".
+    EarlyNotRun,
 }
 
-/// How much may happen in one history. Larger numbers give the same verdict in more time: the
-/// search grows about twentyfold with each mishap and each call.
+/// Limits on one history. Larger limits give the same result in more time: each fault and each call
+/// multiplies the states by about twenty.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limits {
-    /// Calls under the one key.
+    /// Number of calls with the same key.
     pub(crate) calls: u8,
-    /// Crashes, lost answers, late appends and dropped records together.
-    pub(crate) mishaps: u8,
+    /// Number of crashes, lost replies, late appends and log truncations together.
+    pub(crate) faults: u8,
 }
 
 const MAX_CRASHES: u8 = 1;
-const MAX_TRIMS: u8 = 1;
+const MAX_LOG_TRUNCATIONS: u8 = 1;
 
 const DEADLINE: Time = Time::from_millis(1_000);
-const IN_TIME: Time = Time::from_millis(500);
+const BEFORE_DEADLINE: Time = Time::from_millis(500);
 
 type FoldCache = HashMap<(Vec<u16>, u8), Option<Rc<Ledger>>>;
 
-/// Keeps the contents of records, entries and answers, and folds, once, however many states share
-/// them: states hold their numbers, which keeps millions of them small.
+/// Interns records, entries, answers and folds, so that states store only small indices and
+/// millions of them fit into memory.
 pub(crate) struct World {
     protocol: Protocol,
     limits: Limits,
@@ -60,9 +61,9 @@
 
 impl World {
     pub(crate) fn new(protocol: Protocol, limits: Limits) -> Self {
-        let workspace = Workspace::new("desk").expect("a name");
-        let key = CallKey::new(workspace, EndpointGroup::new("register").expect("a name"), "k")
-            .expect("a key");
+        let workspace = Workspace::new("desk").expect("valid name");
+        let key = CallKey::new(workspace, EndpointGroup::new("register").expect("valid name"), "k")
+            .expect("valid key");
         World {
             protocol,
             limits,
@@ -79,51 +80,51 @@
         if node.state.violation.is_some() {
             return out;
         }
-        self.steps_of_the_log(node, &mut out);
-        self.steps_of_the_endpoint(node, &mut out);
+        self.log_steps(node, &mut out);
+        self.endpoint_steps(node, &mut out);
         for i in 0..2 {
-            self.steps_of_calls(node, i, &mut out);
-            self.steps_of_appends(node, i, &mut out);
-            self.steps_of_reading(node, i, &mut out);
+            self.call_steps(node, i, &mut out);
+            self.append_steps(node, i, &mut out);
+            self.read_steps(node, i, &mut out);
         }
         out
     }
 
-    fn steps_of_the_log(&self, node: &Node, out: &mut Vec<Node>) {
+    fn log_steps(&self, node: &Node, out: &mut Vec<Node>) {
         let state = &node.state;
-        for at in 0..state.late.len() {
+        for at in 0..state.late_appends.len() {
             push(out, state, 0, "a late append takes effect", |state| {
-                let record = state.late.remove(at);
+                let record = state.late_appends.remove(at);
                 state.log.push(record);
             });
         }
-        if state.mishaps() < self.limits.mishaps
-            && state.trims < MAX_TRIMS
+        if state.faults() < self.limits.faults
+            && state.log_truncations < MAX_LOG_TRUNCATIONS
             && usize::from(state.first) < state.log.len()
         {
             push(out, state, 0, "the log drops all records but the last", |state| {
-                state.trims += 1;
+                state.log_truncations += 1;
                 state.first = state.log.len() as u8 - 1;
             });
         }
     }
 
-    fn steps_of_the_endpoint(&self, node: &Node, out: &mut Vec<Node>) {
-        for at in 0..node.state.wire.len() {
+    fn endpoint_steps(&self, node: &Node, out: &mut Vec<Node>) {
+        for at in 0..node.state.sent_calls.len() {
             push(out, &node.state, 0, "the endpoint runs the call", |state| {
-                state.wire.remove(at);
-                state.runs += 1;
-                if state.runs > 1 {
+                state.sent_calls.remove(at);
+                state.run_count += 1;
+                if state.run_count > 1 {
                     state.violation = Some("the call ran twice");
                 }
             });
         }
     }
 
-    fn steps_of_calls(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn call_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
         let Some(call) = &state.instances[i].call else {
-            // The instances are alike, so the first call may as well come to the first one.
+            // The instances are symmetric, so the first call always arrives at the first one.
             if state.calls < self.limits.calls && (state.calls > 0 || i == 0) {
                 push(out, state, i, "a call arrives", |state| self.arrive(state, i));
             }
@@ -131,32 +132,32 @@
         };
         match call.claimant.state() {
             ClaimantState::Waiting | ClaimantState::Won => {
-                push(out, state, i, "the call is given up", |state| self.give_up(state, i));
+                push(out, state, i, "the call is abandoned", |state| self.abandon(state, i));
                 if call.claimant.state() == ClaimantState::Won {
                     push(out, state, i, "the call is sent", |state| self.send(state, i));
                 }
             }
             ClaimantState::Sending => {
-                // Of a lease only a holder that pauses is of interest here.
+                // With a lease, only holders that pause are examined.
                 if self.protocol != Protocol::Lease {
                     push(out, state, i, "the outcome stays unknown", |state| {
                         self.finish(state, i, None);
                     });
                 }
-                if state.runs > 0 {
-                    push(out, state, i, "the answer comes", |state| {
-                        let body = Some(format!("answer {}", state.runs));
+                if state.run_count > 0 {
+                    push(out, state, i, "the answer arrives", |state| {
+                        let body = Some(format!("answer {}", state.run_count));
                         let answer = Answer { status: 200, content_type: None, body };
                         self.finish(state, i, Some(answer));
                     });
                 }
             }
-            // The caller has heard its answer.
+            // The caller has its answer.
             ClaimantState::Lost | ClaimantState::Abandoned => {}
         }
     }
 
-    fn steps_of_appends(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn append_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
         let instance = &state.instances[i];
         let new = instance.in_flight.is_none() && !instance.queue.is_empty();
@@ -166,8 +167,8 @@
                 state.log.push(record);
             });
         }
-        if (new || instance.unanswered) && state.mishaps() < self.limits.mishaps {
-            push(out, state, i, "appends, and the answer is lost", |state| {
+        if (new || instance.unanswered) && state.faults() < self.limits.faults {
+            push(out, state, i, "appends, and the reply is lost", |state| {
                 let record = self.batch(state, i);
                 state.log.push(record);
                 state.faulty_appends += 1;
@@ -175,32 +176,32 @@
             });
             push(out, state, i, "appends, and the append hangs", |state| {
                 let record = self.batch(state, i);
-                state.late.push(record);
+                state.late_appends.push(record);
                 state.faulty_appends += 1;
                 state.instances[i].unanswered = true;
             });
         }
-        if state.mishaps() < self.limits.mishaps
-            && state.trims < MAX_TRIMS
+        if state.faults() < self.limits.faults
+            && state.log_truncations < MAX_LOG_TRUNCATIONS
             && let Some(record) = self.checkpoint(state, i)
         {
             let step = "appends a checkpoint, and the log drops what it covers";
             push(out, state, i, step, |state| {
-                state.trims += 1;
-                state.first = state.instances[i].upto;
+                state.log_truncations += 1;
+                state.first = state.instances[i].read_end;
                 state.log.push(record);
             });
         }
         let busy = instance.call.is_some() || new || instance.in_flight.is_some();
-        if busy && state.mishaps() < self.limits.mishaps && state.crashes < MAX_CRASHES {
+        if busy && state.faults() < self.limits.faults && state.crashes < MAX_CRASHES {
             push(out, state, i, "crashes and restarts", |state| {
                 state.crashes += 1;
                 let instance = &mut state.instances[i];
-                let (from, incarnation) = (state.first, instance.incarnation + 1);
+                let (read_start, incarnation) = (state.first, instance.incarnation + 1);
                 *instance = Instance {
                     incarnation,
-                    from,
-                    upto: from,
+                    read_start,
+                    read_end: read_start,
                     sequence: 1,
                     queue: Vec::new(),
                     in_flight: None,
@@ -211,18 +212,18 @@
         }
     }
 
-    fn steps_of_reading(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
+    fn read_steps(&self, node: &Node, i: usize, out: &mut Vec<Node>) {
         let state = &node.state;
-        if usize::from(state.instances[i].upto) == state.log.len() {
+        if usize::from(state.instances[i].read_end) == state.log.len() {
             return;
         }
         push(out, state, i, "reads to the end", |state| {
             let (first, end) = (state.first, state.log.len() as u8);
             let instance = &mut state.instances[i];
-            if first > instance.upto {
-                instance.from = first;
+            if first > instance.read_end {
+                instance.read_start = first;
             }
-            instance.upto = end;
+            instance.read_end = end;
             self.observe(state, i);
         });
     }
@@ -248,9 +249,11 @@
         let Some(key_state) = ledger.key_state(&self.key) else { return };
         let Phase::Done(answer) = &key_state.phase else { return };
         let answer = intern(&mut self.answers.borrow_mut(), answer.clone());
-        match state.stored {
-            Some(stored) if stored != answer => state.violation = Some("a stored answer changed"),
-            _ => state.stored = Some(answer),
+        match state.stored_answer {
+            Some(stored_answer) if stored_answer != answer => {
+                state.violation = Some("a stored answer changed")
+            }
+            _ => state.stored_answer = Some(answer),
         }
     }
 
@@ -260,10 +263,10 @@
         let deduplicates = self.protocol == Protocol::Lease;
         let attempt = match ledger.key_state(&self.key) {
             None => Some(1),
-            // Enough time has passed for a lease to lapse: the holder may be paused for any time.
+            // Any lease may have expired, because the holder may be paused for any time.
             Some(key_state) => key_state.next_attempt(deduplicates, u64::MAX),
         };
-        // Otherwise the caller hears the answer, or "unknown".
+        // Otherwise the caller gets the stored answer or "unknown".
         let Some(attempt) = attempt else { return };
         let number = state.calls;
         let instance = &mut state.instances[i];
@@ -271,21 +274,21 @@
         let claimant = Claimant::new(DEADLINE, deduplicates);
         instance.call = Some(Call { number, attempt, id: None, claimant });
         if self.protocol == Protocol::CheckThenRun {
-            state.wire.push(number);
+            state.sent_calls.push(number);
             instance.call = None;
         }
     }
 
-    fn give_up(&self, state: &mut State, i: usize) {
+    fn abandon(&self, state: &mut State, i: usize) {
         let arrived = state.calls;
-        let sends = state.sends;
+        let send_count = state.send_count;
         let Some(call) = &mut state.instances[i].call else { return };
-        let given_up = call.claimant.abandon(IN_TIME);
+        let outcome = call.claimant.abandon(BEFORE_DEADLINE);
         let id = call.id;
-        let hasty = self.protocol == Protocol::HastyRefusal;
-        // Of a lease only the double run is of interest here.
-        let hears_not_run =
-            (given_up == AbandonOutcome::NotRun || hasty) && self.protocol != Protocol::Lease;
+        let early_not_run = self.protocol == Protocol::EarlyNotRun;
+        // With a lease, only duplicate runs are examined.
+        let is_told_not_run = (outcome == AbandonOutcome::NotRun || early_not_run)
+            && self.protocol != Protocol::Lease;
         let instance = &mut state.instances[i];
         instance.call = None;
         match id {
@@ -295,24 +298,24 @@
             }
             None => instance.queue.retain(|entry| !self.is_claim(*entry)),
         }
-        if hears_not_run {
-            state.not_run_heard_by = arrived;
-            if sends > 0 {
-                state.violation = Some("a caller heard \"not run\" after the call was sent");
+        if is_told_not_run {
+            state.calls_before_not_run = arrived;
+            if send_count > 0 {
+                state.violation = Some("a caller was told \"not run\" after the call was sent");
             }
         }
     }
 
     fn send(&self, state: &mut State, i: usize) {
-        let heard = state.not_run_heard_by;
+        let calls_before_not_run = state.calls_before_not_run;
         let Some(call) = &mut state.instances[i].call else { return };
-        assert!(call.claimant.try_begin_sending(IN_TIME));
+        assert!(call.claimant.try_begin_sending(BEFORE_DEADLINE));
         let number = call.number;
-        state.sends += 1;
-        state.wire.push(number);
-        // Only a call that came after it may run once a caller has heard "not run".
-        if number <= heard {
-            state.violation = Some("a call was sent although a later caller heard \"not run\"");
+        state.send_count += 1;
+        state.sent_calls.push(number);
+        // Once a caller has been told "not run", only calls that arrived later may run.
+        if number <= calls_before_not_run {
+            state.violation = Some("a call was sent although a later caller was told \"not run\"");
         }
     }
 
@@ -326,7 +329,7 @@
         }));
     }
 
-    /// The batch under way, or a new one from what waits.
+    /// The batch in flight, or a new one made of the queued entries.
     fn batch(&self, state: &mut State, i: usize) -> u16 {
         let writer = writer(state, i);
         let instance = &mut state.instances[i];
@@ -345,7 +348,8 @@
         }
         let known = self.entries.borrow();
         let entries = queue.iter().map(|entry| known[usize::from(*entry)].clone()).collect();
-        let data = encode::<Ledger>(&Batch { writer, sequence, entries }).expect("JSON");
+        let data =
+            encode::<Ledger>(&Batch { writer, sequence, entries }).expect("serialises to JSON");
         let record = self.record(data);
         instance.in_flight = Some(InFlight { sequence, record });
         record
@@ -382,8 +386,9 @@
 
     fn ledger(&self, state: &State, i: usize) -> Option<Rc<Ledger>> {
         let instance = &state.instances[i];
-        let read = state.log[usize::from(instance.from)..usize::from(instance.upto)].to_vec();
-        let key = (read, instance.from);
+        let read =
+            state.log[usize::from(instance.read_start)..usize::from(instance.read_end)].to_vec();
+        let key = (read, instance.read_start);
         if let Some(fold) = self.folds.borrow().get(&key) {
             return fold.clone();
         }
@@ -396,17 +401,17 @@
         let instance = &state.instances[i];
         let mut replay = Replay::new(RetentionWindow(Duration::from_secs(86_400)));
         let records = self.records.borrow();
-        let read = (instance.from..instance.upto).map(|at| LogRecord {
+        let read = (instance.read_start..instance.read_end).map(|at| LogRecord {
             offset: Offset(at.into()),
             time_ms: u64::from(at) * 10_000,
             data: &records[usize::from(state.log[usize::from(at)])],
         });
-        replay.apply_page(Offset(instance.from.into()), read);
+        replay.apply_page(Offset(instance.read_start.into()), read);
         replay
     }
 }
 
-/// The number of `value` among all that were met.
+/// Index of `value` among the interned values, which it is added to if it is new.
 fn intern<T: PartialEq>(known: &mut Vec<T>, value: T) -> u16 {
     let at = known.iter().position(|known| *known == value).unwrap_or_else(|| {
         known.push(value);
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,4 +1,5 @@
-//! Readers of one stream agree, whatever the log has dropped and however often it repeats itself.
+//! Guards against readers of one stream that disagree, although the log drops old records and
+//! repeats others.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +20,7 @@
 
 const WINDOW: Duration = Duration::from_secs(1_000);
 
-/// A log in memory.
+/// An in-memory log of records and their times.
 #[derive(Default)]
 struct Log {
     records: Vec<(u64, Vec<u8>)>,
@@ -30,7 +31,7 @@
         self.records.push((time_ms, data));
     }
 
-    /// Lets a reader read all that is kept from `first` on.
+    /// Feeds a reader with all records from position `first` on.
     fn feed<F: Fold>(&self, replay: &mut Replay<F>, first: usize) -> Vec<F::Change> {
         let kept = self.records.iter().enumerate().skip(first);
         let records = kept.map(|(offset, (time_ms, data))| LogRecord {
@@ -67,7 +68,7 @@
     Replay::new(RetentionWindow(WINDOW))
 }
 
-fn holder(replay: &Replay<Ledger>, text: &str) -> Option<String> {
+fn claim_holder(replay: &Replay<Ledger>, text: &str) -> Option<String> {
     let key_state = replay.state()?.key_state(&key(text))?;
     Some(key_state.writer.instance.to_string())
 }
@@ -78,11 +79,11 @@
     log.append(1, batch("b", 1, vec![claim("k", 1)]));
     log.append(2, batch("a", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
-/// An append hangs, its writer gives the call up under the next number, and then the append
-/// surfaces. It must not claim the call for a writer that will never run it.
+/// An append hangs, its writer abandons the call in its next batch, and then the append takes
+/// effect. It must not claim the call for a writer that won't run it.
 #[test]
 fn a_batch_that_surfaces_late_is_void() {
     let (mut log, mut replay) = (Log::default(), ledger());
@@ -90,7 +91,7 @@
     log.append(2, batch("a", 1, vec![claim("k", 1)]));
     log.append(3, batch("b", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
 #[test]
@@ -109,7 +110,7 @@
     assert_eq!((key_state.attempt, &key_state.phase), (1, &Phase::Done(answer)));
 }
 
-/// Callers get large answers all day; instances must not run out of memory over them.
+/// Large answers over a whole day must not exhaust the memory of instances.
 #[test]
 fn the_oldest_answers_lose_their_bodies_first() {
     let (mut log, mut replay) = (Log::default(), ledger());
@@ -139,13 +140,13 @@
     log.append(0, batch("a", 1, vec![claim("k", 1)]));
     log.append(1_000_000, batch("b", 1, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "a");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "a");
     log.append(1_000_001, batch("b", 2, vec![claim("k", 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, "k").unwrap(), "b");
+    assert_eq!(claim_holder(&replay, "k").unwrap(), "b");
 }
 
-/// A claim of a UUIDv7 key surfaces after the key was forgotten. Its age shows it.
+/// A claim of a UUIDv7 key takes effect after the key expired; the key's own timestamp shows it.
 #[test]
 fn a_uuidv7_key_can_not_be_claimed_after_its_window() {
     let made = Uuid::new_v7(Timestamp::from_unix(NoContext, 500, 0)).to_string();
@@ -156,7 +157,7 @@
     let (mut log, mut replay) = (Log::default(), ledger());
     log.append(1_500_001, batch("a", 1, vec![claim(&made, 1)]));
     log.feed(&mut replay, 0);
-    assert_eq!(holder(&replay, &made), None);
+    assert_eq!(claim_holder(&replay, &made), None);
 }
 
 #[test]
@@ -173,7 +174,7 @@
     log.feed(&mut first, 0);
     log.append(4, first.checkpoint("fresh").unwrap().remove(0));
     log.feed(&mut late, 2);
-    assert_eq!(holder(&late, "k2").unwrap(), "a");
+    assert_eq!(claim_holder(&late, "k2").unwrap(), "a");
 }
 
 #[test]
@@ -194,7 +195,7 @@
     assert_eq!(late.state().unwrap().len(), 500);
 }
 
-fn site(weight: u32) -> Vec<SourceFile> {
+fn source_files(weight: u32) -> Vec<SourceFile> {
     let key = "1".repeat(64);
     let text = format!(r#"{{"workspaces":{{"d":{{"key_sha256":["{key}"],"weight":{weight}}}}}}}"#);
     vec![SourceFile { name: "a.json".to_owned(), text }]
@@ -202,7 +203,7 @@
 
 fn change(id: &str, base: u64, weight: u32) -> Vec<u8> {
     let (id, by) = (id.to_owned(), "ana".to_owned());
-    let change = Change { id, base: Version(base), by, files: site(weight) };
+    let change = Change { id, base: Version(base), by, files: source_files(weight) };
     encode::<Publication>(&PublicationEntry::Change(change)).unwrap()
 }
 
@@ -212,7 +213,7 @@
     replay
 }
 
-/// Two operators change version 1 at once; the second's change is then sent again, late.
+/// Two operators change version 1 concurrently; the second one's change is appended again later.
 #[test]
 fn of_two_changes_from_one_version_the_first_is_accepted() {
     let mut log = Log::default();
@@ -254,10 +255,10 @@
 
 #[test]
 fn streams_and_window_are_fixed_once_published() {
-    let config = check_change(None, &site(1)).unwrap();
+    let config = check_change(None, &source_files(1)).unwrap();
     let text = r#"{"ledger":{"streams":2,"window_minutes":5}}"#.to_owned();
     let more = SourceFile { name: "b.json".to_owned(), text };
-    let files = [site(1), vec![more]].concat();
+    let files = [source_files(1), vec![more]].concat();
     let findings = check_change(Some(&config), &files).unwrap_err();
     let paths: Vec<_> = findings.iter().map(|finding| finding.path.as_str()).collect();
     assert_eq!(paths, ["ledger.streams", "ledger.window_minutes"]);
@@ -265,13 +266,13 @@
 
 #[test]
 fn a_difference_names_each_member() {
-    let changes = difference(&site(1), &site(2));
+    let changes = difference(&source_files(1), &source_files(2));
     let texts: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(texts, ["~ workspaces.d.weight: 1 -> 2"]);
-    assert!(difference(&site(1), &site(1)).is_empty());
+    assert!(difference(&source_files(1), &source_files(1)).is_empty());
 }
 
-/// Builds a stream of claims and their ends by two writers out of random numbers.
+/// Builds a stream of claims and their outcomes by two writers from random bytes.
 fn random_stream(steps: &[u8]) -> Log {
     let mut log = Log::default();
     let mut sequences = [0_u64; 2];
@@ -288,14 +289,14 @@
                 Entry::Done { key: key(&text), claim: claim_id, answer }
             }
         };
-        // Now and then a number is used twice, as after a lost answer.
+        // Some sequence numbers are used twice, as after a lost reply.
         sequences[who] += u64::from(step % 7 != 0);
         log.append(time * 50_000, batch(["a", "b"][who], sequences[who].max(1), vec![entry]));
     }
     log
 }
 
-fn same(a: &Replay<Ledger>, b: &Replay<Ledger>) -> bool {
+fn states_match(a: &Replay<Ledger>, b: &Replay<Ledger>) -> bool {
     let (Some(left), Some(right)) = (a.state(), b.state()) else { return false };
     left.len() == right.len()
         && (0..4).all(|i| {
@@ -305,7 +306,7 @@
 }
 
 quickcheck! {
-    /// A reader that starts after records were dropped agrees with one that read them all.
+    /// A reader that starts after records were dropped agrees with a reader of all records.
     fn a_checkpoint_stands_for_what_was_dropped(steps: Vec<u8>, at: usize, upto: usize) -> TestResult {
         if steps.is_empty() {
             return TestResult::discard();
@@ -315,7 +316,7 @@
         let mut early = ledger();
         let head = Log { records: log.records[..covered].to_vec() };
         head.feed(&mut early, 0);
-        // The checkpoint comes some records after what it covers.
+        // Some records lie between those that the checkpoint covers and the checkpoint itself.
         let place = covered + upto % (steps.len() - covered + 1);
         let time = log.records[place - 1].0;
         let records = early.checkpoint("c").unwrap();
@@ -325,20 +326,20 @@
         let (mut whole, mut late) = (ledger(), ledger());
         log.feed(&mut whole, 0);
         log.feed(&mut late, covered);
-        TestResult::from_bool(same(&whole, &late))
+        TestResult::from_bool(states_match(&whole, &late))
     }
 
-    /// A log that gives records again changes nothing.
+    /// Records that the log repeats change nothing.
     fn repeated_pages_change_nothing(steps: Vec<u8>) -> bool {
         let log = random_stream(&steps);
         let (mut once, mut twice) = (ledger(), ledger());
         log.feed(&mut once, 0);
         log.feed(&mut twice, 0);
         log.feed(&mut twice, 0);
-        same(&once, &twice)
+        states_match(&once, &twice)
     }
 
-    /// Whatever stands in a stream, a reader goes on.
+    /// Malformed records never stop a reader.
     fn any_bytes_are_read_or_skipped(records: Vec<Vec<u8>>) -> bool {
         let log = Log { records: records.into_iter().map(|data| (1, data)).collect() };
         let (mut ledger, mut publication) = (ledger(), Replay::<Publication>::new(()));
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -14,7 +14,7 @@
 use bytes::{Buf, Bytes};
 use futures_lite::{AsyncRead, FutureExt, Stream as _, io::BufReader};
 use http_types::{Body, Request, Response, StatusCode};
-use policy::{Tokens, prompt::PromptDigest};
+use policy::{Tokens, prompt::HashedPrompt};
 use protocols::{
     engine::wire::{ATTEMPT, AttemptId, Held, HeldPage, KV_SHARDS, LEASE_MS, PRIORITY},
     http::HttpCall,
@@ -101,7 +101,7 @@
     lease: Duration,
     shards: Vec<ShardRef>,
     chat: bool,
-    digest: PromptDigest,
+    digest: HashedPrompt,
     body: RunBody,
 }
 
@@ -155,7 +155,7 @@
             priority: self.priority,
             lease: self.lease,
             fingerprint: self.digest.fingerprint,
-            prefix: self.digest.blocks,
+            prefix: self.digest.block_hashes,
             prompt: self.digest.tokens,
             share,
             next: self.body.resume.as_ref().map_or(0, |resume| resume.from),
