--- a/crates/policy/examples/place_cost.rs
+++ b/crates/policy/examples/place_cost.rs
@@ -23,7 +23,7 @@
 const ROUNDS: u32 = 20_000;
 
 fn main() {
-    println!("{:>9} {:>9} {:>11} {:>10}", "endpoints", "choose", "expected 16", "state");
+    println!("{:>9} {:>9} {:>11} {:>10}", "endpoints", "choose", "expected 16", "standing");
     for count in [4, 20, 200] {
         let endpoints: Vec<EndpointId> =
             (0..count).map(|n| EndpointId::new(&format!("model-{n:04}")).unwrap()).collect();
